--- a/crates/sandtrack-balancer/src/rules.rs
+++ b/crates/sandtrack-balancer/src/rules.rs
@@ -35,7 +35,13 @@
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         settings.warm_keys &= settings.penalties.cross_zone <= CROSSING;
         let traffic = Traffic::new(MEMORY, KEY_MEMORY, &settings);
-        Balancer::remembering(settings, Pcg32::seed_from_u64(seed), traffic, PART_LEAST, RETRY_SAVED)
+        Balancer::remembering(
+            settings,
+            Pcg32::seed_from_u64(seed),
+            traffic,
+            PART_LEAST,
+            RETRY_SAVED,
+        )
     }
 
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
@@ -47,12 +53,16 @@
                 // Keep the old list; ask again, ever less often but within `ask_within`, never in step.
                 let within = self.settings.rules.ask_within.max(1.0);
                 self.ask_gap = (self.ask_gap * 2.0).clamp(within * ASK_FIRST, within * ASK_LONGEST);
-                self.timers.set(now + self.ask_gap * jitter(&mut self.rng), Timer::Subscribe);
+                self.timers
+                    .set(now + self.ask_gap * jitter(&mut self.rng), Timer::Subscribe);
             }
             Event::Request(arrival) => self.arrive(now, arrival, actions),
-            Event::Probed { upstream, elapsed, ok, report } => {
-                self.probed(now, upstream, elapsed, ok, report)
-            }
+            Event::Probed {
+                upstream,
+                elapsed,
+                ok,
+                report,
+            } => self.probed(now, upstream, elapsed, ok, report),
             Event::Opened { request, attempt } => self.opened(request, attempt as usize, actions),
             Event::Finished(end) => self.finished(now, end, actions),
             Event::ClientGone(request) => self.close(request, actions),
@@ -97,7 +107,14 @@
         if kind != ListKind::Stale {
             self.ask_gap = 0.0;
         }
-        self.fleet.take(now, kind, entries, &self.requests, &mut self.rng, self.settings.rules.soft_removal);
+        self.fleet.take(
+            now,
+            kind,
+            entries,
+            &self.requests,
+            &mut self.rng,
+            self.settings.rules.soft_removal,
+        );
         self.choose_part(now);
     }
 }
--- a/crates/sandtrack-balancer/src/rules/admission.rs
+++ b/crates/sandtrack-balancer/src/rules/admission.rs
@@ -19,7 +19,9 @@
     /// have passed before the request came; its client was there then, so the rule allows that much more.
     pub fn latest(settings: &Settings, class: ClassId, now: Millis, told: Millis) -> Millis {
         match settings.rules.deadline_error {
-            error if error > 0.0 => told.max(now + error).min(now + settings.classes[class.0].deadline),
+            error if error > 0.0 => told
+                .max(now + error)
+                .min(now + settings.classes[class.0].deadline),
             _ => told,
         }
     }
@@ -37,8 +39,11 @@
         let began = self.began(now, &arrival);
         let request = Request::new(arrival, self.settings.limits, began);
         let ends = self.late_work_ends(&request);
-        let expiry =
-            if ends { self.useful_until(&request) - self.settings.step } else { request.arrival.not_after };
+        let expiry = if ends {
+            self.useful_until(&request) - self.settings.step
+        } else {
+            request.arrival.not_after
+        };
         self.timers.set(expiry.max(now), Timer::Expire(id));
         let key = self.ordered(&request);
         self.requests.insert(id, request);
@@ -52,10 +57,17 @@
     /// A request that waits for its turn is given up as soon as those before it, the key's rest and its own
     /// answer take more than its time: so a key that many ask for fills no queue that ends in late answers.
     pub(super) fn waits(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|_| self.is_waiting(id)) else { return };
+        let Some(request) = self.requests.get(&id).filter(|_| self.is_waiting(id)) else {
+            return;
+        };
         let class = request.arrival.class.0;
-        let (ahead, rests) = self.ordered(request).map_or((0, now), |key| self.turns.ahead(key, id));
-        let time = self.traffic.class_time(class).unwrap_or(self.settings.classes[class].aim * SPILL);
+        let (ahead, rests) = self
+            .ordered(request)
+            .map_or((0, now), |key| self.turns.ahead(key, id));
+        let time = self
+            .traffic
+            .class_time(class)
+            .unwrap_or(self.settings.classes[class].aim * SPILL);
         let last = self.useful_until(request) - time * (ahead + 1) as f64 - (rests - now).max(0.0);
         if last > now + self.settings.step.max(PROBE_MIN) {
             self.timers.set(last, Timer::Waits(id));
@@ -65,7 +77,9 @@
     }
 
     pub(super) fn start(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(mut request) = self.requests.remove(&id) else { return };
+        let Some(mut request) = self.requests.remove(&id) else {
+            return;
+        };
         let wait = self.ask(now, &request, actions);
         request.asked = wait.map(|_| now);
         self.requests.insert(id, request);
@@ -79,7 +93,9 @@
     /// It is taken for a repeat of the eldest unserved request of its class and tenant.
     fn began(&mut self, now: Millis, arrival: &Arrival) -> Millis {
         self.unserved.forget(now, &self.settings.classes);
-        let eldest = arrival.retry.then(|| self.unserved.take(arrival.class, arrival.tenant));
+        let eldest = arrival
+            .retry
+            .then(|| self.unserved.take(arrival.class, arrival.tenant));
         eldest.flatten().unwrap_or(now)
     }
 
@@ -87,7 +103,10 @@
     /// tries may not overlap, a called-off one is held to go on all the same, and nothing would be won, but
     /// where its answer would hold a buffer that others wait for.
     fn late_work_ends(&self, request: &Request) -> bool {
-        let (limits, class) = (request.limits, &self.settings.classes[request.arrival.class.0]);
+        let (limits, class) = (
+            request.limits,
+            &self.settings.classes[request.arrival.class.0],
+        );
         let gains = limits.parallel_tries || limits.answer_buffers.is_some();
         limits.cancel && gains && class.late_worth <= 0.0 && !class.stream
     }
@@ -97,12 +116,21 @@
         let best = self.aims().map(|(worth, _)| worth).fold(0.0, f64::max);
         let class = request.arrival.class;
         let starves = self.traffic.starves(class, STARVED);
-        let worth = if starves { 1.0 } else { self.settings.classes[class.0].worth / best.max(1e-9) };
+        let worth = if starves {
+            1.0
+        } else {
+            self.settings.classes[class.0].worth / best.max(1e-9)
+        };
         let over = request.arrival.tenant.is_some_and(|tenant| {
             let portion = self.settings.tenants[tenant.0].portion * self.traffic.rate(now);
             self.traffic.tenant_rate(tenant, now) > OVER_SHARE * portion + OVER_LEAST / MEMORY
         });
-        worth * if over { self.settings.over_share_worth } else { 1.0 }
+        worth
+            * if over {
+                self.settings.over_share_worth
+            } else {
+                1.0
+            }
     }
 
     /// The time that a predicted answer may fill.
@@ -110,13 +138,25 @@
         let class = &self.settings.classes[request.arrival.class.0];
         // A queue that a patient class of little worth fills would shut out the worthier: it has their room.
         let share = self.class_share(request.arrival.class);
-        let worthier = self.aims().filter(|(worth, _)| *worth > class.worth).map(|(_, aim)| aim);
+        let worthier = self
+            .aims()
+            .filter(|(worth, _)| *worth > class.worth)
+            .map(|(_, aim)| aim);
         let left = worthier.fold((self.useful_until(request) - now) / share, f64::min);
         let admit = ADMIT_LEAST + (1.0 - ADMIT_LEAST) * self.worth(request, now);
         let ends = (1.0 - WASTE * self.settings.penalties.waste).max(1.0 - ADMIT);
         // Answers scatter: room is left where only few may miss, most where no second copy helps a late one.
         let few = self.settings.goal.tail > 0.0;
-        let most = if few && !request.limits.parallel_tries { ADMIT_FEW } else { ADMIT };
-        left * (admit * if self.late_work_ends(request) && !few { ends } else { most })
+        let most = if few && !request.limits.parallel_tries {
+            ADMIT_FEW
+        } else {
+            ADMIT
+        };
+        left * (admit
+            * if self.late_work_ends(request) && !few {
+                ends
+            } else {
+                most
+            })
     }
 }
--- a/crates/sandtrack-balancer/src/rules/pick.rs
+++ b/crates/sandtrack-balancer/src/rules/pick.rs
@@ -37,7 +37,10 @@
         }
         let rested = |place: &usize| now >= self.fleet[*place].learnt.rest_until;
         // A first error alone must not end a request that may go nowhere else.
-        let erred = request.attempts.last().is_some_and(|a| a.outcome == Some(Outcome::Error));
+        let erred = request
+            .attempts
+            .last()
+            .is_some_and(|a| a.outcome == Some(Outcome::Error));
         let first = |place: &usize| erred && self.fleet[*place].learnt.turned_away <= 1;
         let any = usable.iter().any(rested);
         usable.retain(|place| if any { rested(place) } else { first(place) });
@@ -49,7 +52,9 @@
     fn homes(&self, now: Millis, key: u64, usable: &mut Vec<usize>) -> usize {
         let share = self.traffic.key_share(key, now);
         let homes = ((share * self.part.len() as f64 / HOME_SHARE).ceil() as usize).max(1);
-        *usable = self.fleet.nearest(key, usable, homes * HOMES_MORE * HOMES_MORE);
+        *usable = self
+            .fleet
+            .nearest(key, usable, homes * HOMES_MORE * HOMES_MORE);
         homes
     }
 
@@ -58,10 +63,18 @@
     /// whatever others can't take, it is sent only the part of a warm one's share that it can do at least.
     pub(super) fn place(&mut self, now: Millis, request: &Request, peers: Peers) -> Option<usize> {
         let mut usable = self.usable(now, request);
-        let offered = self.part.iter().filter(|place| self.fleet[**place].offered()).count();
+        let offered = self
+            .part
+            .iter()
+            .filter(|place| self.fleet[**place].offered())
+            .count();
         let left = usable.len() as f64 / offered.max(1) as f64;
         let key = request.arrival.key.filter(|_| self.settings.warm_keys);
-        let lowest = usable.iter().map(|place| self.rank(*place)).filter(|rank| rank.1.is_some()).min();
+        let lowest = usable
+            .iter()
+            .map(|place| self.rank(*place))
+            .filter(|rank| rank.1.is_some())
+            .min();
         // Equal among all, and as often as a warm one in its place is sent anything: where few are near, or
         // more come than can be done, one in the nearest tier would get several times a warm one's share.
         let drawn = *usable.get(self.rng.gen_range(0..usable.len().max(1)))?;
@@ -92,18 +105,27 @@
             }
         }
         if warmth >= 1.0 {
-            self.traffic.went_on(request.arrival.class, place.is_some(), CLASS_WEIGHT);
+            self.traffic
+                .went_on(request.arrival.class, place.is_some(), CLASS_WEIGHT);
         }
         place
     }
 
     /// The design's pick. `None`: no upstream can answer in time, or none is allowed.
-    fn pick(&mut self, now: Millis, request: &Request, usable: &[usize], peers: Peers) -> Option<usize> {
+    fn pick(
+        &mut self,
+        now: Millis,
+        request: &Request,
+        usable: &[usize],
+        peers: Peers,
+    ) -> Option<usize> {
         if usable.is_empty() {
             return None;
         }
         let predict = |place: &usize| {
-            let told = request.asked.is_some_and(|asked| self.fleet[*place].told_since(asked));
+            let told = request
+                .asked
+                .is_some_and(|asked| self.fleet[*place].told_since(asked));
             self.predict(*place, usize::from(told), peers, now)
         };
         let predicted: Vec<Millis> = usable.iter().map(predict).collect();
@@ -117,12 +139,16 @@
         // full, the lowest from which an answer would still be in time.
         let in_room = |room: f64| {
             lowest(&mut self.rng, &tiers, |members| {
-                let mean = members.iter().map(|n| predicted[*n]).sum::<f64>() / members.len() as f64;
+                let mean =
+                    members.iter().map(|n| predicted[*n]).sum::<f64>() / members.len() as f64;
                 let limit = (aim * room).min(most).min(mean * SKIP);
                 let near = |n: &usize| predicted[*n] <= limit && (own(*n) as f64) < crowd;
                 members.iter().copied().filter(near).collect()
             })
         };
-        [SPILL, SPILL * SPILL_MORE, f64::INFINITY].into_iter().find_map(in_room).map(|n| usable[n])
+        [SPILL, SPILL * SPILL_MORE, f64::INFINITY]
+            .into_iter()
+            .find_map(in_room)
+            .map(|n| usable[n])
     }
 }
--- a/crates/sandtrack-balancer/src/rules/prediction.rs
+++ b/crates/sandtrack-balancer/src/rules/prediction.rs
@@ -7,18 +7,31 @@
 impl Balancer {
     /// The wanted time of each class, in time of the mean class.
     pub(super) fn aims(&self) -> impl Iterator<Item = (f64, Millis)> + '_ {
-        let aim = |(n, class): (usize, &Class)| (class.worth, class.aim / self.class_share(ClassId(n)));
-        self.settings.classes.iter().enumerate().filter(|(_, class)| class.offered).map(aim)
+        let aim =
+            |(n, class): (usize, &Class)| (class.worth, class.aim / self.class_share(ClassId(n)));
+        self.settings
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(_, class)| class.offered)
+            .map(aim)
     }
 
     /// Pace of one that has room for any class.
     pub(super) fn rested(&self) -> Millis {
-        self.aims().map(|(_, aim)| aim).fold(f64::INFINITY, f64::min) * SPILL
+        self.aims()
+            .map(|(_, aim)| aim)
+            .fold(f64::INFINITY, f64::min)
+            * SPILL
     }
 
     /// How long what was learnt counts: where all are in use, some turns, or it would be forgotten between.
     pub(super) fn memory(&self, now: Millis) -> Millis {
-        let turns = if self.settings.warm_keys { self.turn(now) * PACE_TURNS } else { MEMORY };
+        let turns = if self.settings.warm_keys {
+            self.turn(now) * PACE_TURNS
+        } else {
+            MEMORY
+        };
         turns.clamp(MEMORY, MEMORY * MEMORY_MOST)
     }
 
@@ -28,7 +41,11 @@
     pub(super) fn peers(&mut self, now: Millis) -> Peers {
         let (rested, memory) = (self.rested(), self.memory(now));
         if self.part.len() as f64 > PART_MOST && now - self.typical.0 < PROBE_MIN {
-            return Peers { pace: self.typical.1, rested, memory };
+            return Peers {
+                pace: self.typical.1,
+                rested,
+                memory,
+            };
         }
         let mut paces = [Vec::new(), Vec::new()];
         let part = self.part.iter().map(|place| &self.fleet[*place]);
@@ -39,7 +56,11 @@
         }
         let pace = paces.map(median);
         self.typical = (now, pace);
-        Peers { pace, rested, memory }
+        Peers {
+            pace,
+            rested,
+            memory,
+        }
     }
 
     /// Time an answer would take, from the pace learnt and the requests held: by load 1, the report, where
@@ -52,7 +73,9 @@
         let pace = match (upstream.learnt.pace.map(|pace| pace[load]), cold) {
             // Let an upstream back by trials: what it taught fades towards its peers once it is not used, and
             // to what has room: if all were slow once, none would be tried again and nothing ever learnt.
-            (Some(pace), Some(typical)) => upstream.faded(pace, typical.min(peers.rested), now, peers.memory),
+            (Some(pace), Some(typical)) => {
+                upstream.faded(pace, typical.min(peers.rested), now, peers.memory)
+            }
             (Some(pace), None) | (None, Some(pace)) => pace,
             (None, None) => 1.0,
         };
--- a/crates/sandtrack-balancer/src/rules/probing.rs
+++ b/crates/sandtrack-balancer/src/rules/probing.rs
@@ -13,8 +13,9 @@
     /// and is made up for, so that a lost part hands over.
     pub(super) fn choose_part(&mut self, now: Millis) {
         self.part_at = now;
-        let mut order: Vec<usize> =
-            (0..self.fleet.upstreams.len()).filter(|place| self.fleet[*place].listed).collect();
+        let mut order: Vec<usize> = (0..self.fleet.upstreams.len())
+            .filter(|place| self.fleet[*place].listed)
+            .collect();
         order.sort_unstable_by_key(|place| self.fleet[*place].rank);
         let covered = order.len() as f64 * COVER / f64::from(self.settings.siblings.max(1));
         self.part_size = covered.clamp(PART_LEAST, PART_MOST);
@@ -24,11 +25,19 @@
             self.fleet[place].probed = !self.settings.warm_keys || (n as f64) < self.part_size;
             // Its listed size, unless that moves with load, at the speed that its machine type has shown.
             let entry = &self.fleet[place].entry;
-            let listed = if self.settings.weights == Weights::Live { 1.0 } else { entry.scale.max(1e-3) };
+            let listed = if self.settings.weights == Weights::Live {
+                1.0
+            } else {
+                entry.scale.max(1e-3)
+            };
             let time = self.traffic.kind_time(entry.kind).unwrap_or(rested);
             self.fleet[place].size = listed / time.max(1e-3);
         }
-        let size = if self.settings.warm_keys { f64::INFINITY } else { self.part_size };
+        let size = if self.settings.warm_keys {
+            f64::INFINITY
+        } else {
+            self.part_size
+        };
         let nearest = self.part.iter().map(|place| &self.fleet[*place]);
         let nearest = nearest.filter(|u| u.listed && u.tier() == Some(0));
         let mut zones: Vec<ZoneId> = nearest.map(|u| u.entry.zone).collect();
@@ -36,7 +45,9 @@
             zones.push(self.settings.zone);
         }
         let before = std::mem::take(&mut self.part);
-        before.iter().for_each(|place| self.fleet[*place].used = false);
+        before
+            .iter()
+            .for_each(|place| self.fleet[*place].used = false);
         let mut warm = 0.0;
         for (near, enough) in [(true, size / 2.0), (false, size)] {
             for &place in &order {
@@ -57,13 +68,18 @@
         }
         self.part.sort_unstable();
         if self.part != before {
-            self.tiers.regroup(&mut self.fleet, self.part.iter().copied());
+            self.tiers
+                .regroup(&mut self.fleet, self.part.iter().copied());
         }
     }
 
     /// Gap between probes of one upstream: as short as the price allows for the traffic seen.
     fn probe_gap(&self, now: Millis) -> Millis {
-        let most = if self.settings.warm_keys { self.part_size } else { f64::INFINITY };
+        let most = if self.settings.warm_keys {
+            self.part_size
+        } else {
+            f64::INFINITY
+        };
         let paid = self.traffic.rate(now) * PROBE_SPEND / self.settings.penalties.probe.max(1e-9);
         (most.min(self.part.len() as f64) / paid.max(1e-9)).max(PROBE_MIN)
     }
@@ -71,7 +87,10 @@
     fn time(&mut self, now: Millis, place: usize) {
         let upstream = &mut self.fleet[place];
         if upstream.is_probed() && !std::mem::replace(&mut upstream.timed, true) {
-            self.timers.set(next_probe(&mut self.rng, now, None, 0.0), Timer::Probe(place));
+            self.timers.set(
+                next_probe(&mut self.rng, now, None, 0.0),
+                Timer::Probe(place),
+            );
         }
     }
 
@@ -83,20 +102,31 @@
         }
         upstream.probe(now, actions);
         let gap = self.probe_gap(now);
-        self.timers.set(next_probe(&mut self.rng, now, Some(now), gap), Timer::Probe(place));
+        self.timers.set(
+            next_probe(&mut self.rng, now, Some(now), gap),
+            Timer::Probe(place),
+        );
     }
 
     pub(super) fn probed(
-        &mut self, now: Millis, id: UpstreamId, elapsed: Millis, ok: bool, report: Option<Report>,
+        &mut self,
+        now: Millis,
+        id: UpstreamId,
+        elapsed: Millis,
+        ok: bool,
+        report: Option<Report>,
     ) {
-        let Some(place) = self.fleet.place(id) else { return };
+        let Some(place) = self.fleet.place(id) else {
+            return;
+        };
         let upstream = &mut self.fleet[place];
         let sent = upstream.probe_sent.take();
         if ok {
             upstream.succeeded(now);
             upstream.average.sample(elapsed);
             upstream.take_report(now, report);
-            self.tiers.regroup(&mut self.fleet, self.part.iter().copied());
+            self.tiers
+                .regroup(&mut self.fleet, self.part.iter().copied());
         } else if sent.is_some_and(|sent| upstream.heard <= sent) {
             // A slow probe of an upstream that answered meanwhile shows load, not death.
             self.failed(now, place);
@@ -124,7 +154,10 @@
     /// Where probes tell the load and cost little beside a request, a few upstreams drawn at random are
     /// probed for it before the pick, so that the skip sees their queues as they are. Gives the time to wait.
     pub(super) fn ask(
-        &mut self, now: Millis, request: &Request, actions: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        request: &Request,
+        actions: &mut Vec<Action>,
     ) -> Option<Millis> {
         let told = self.settings.feedback == Feedback::OnProbe && self.settings.limits.probes;
         // Where few balancers send, own attempts are most of the load: one for each balancer is enough.
@@ -134,7 +167,10 @@
             return None;
         }
         let mut usable = self.usable(now, request);
-        let tier = usable.iter().map(|place| self.fleet[*place].membership.tier).min()?;
+        let tier = usable
+            .iter()
+            .map(|place| self.fleet[*place].membership.tier)
+            .min()?;
         usable.retain(|place| self.fleet[*place].membership.tier == tier);
         let mut wait: Millis = 0.0;
         for _ in 0..usable.len().min(asks as usize) {
--- a/crates/sandtrack-balancer/src/rules/retry.rs
+++ b/crates/sandtrack-balancer/src/rules/retry.rs
@@ -8,17 +8,35 @@
 
 impl Balancer {
     /// Send the request's next attempt, or answer finally when none can help. `copy`: another is still out.
-    pub(super) fn try_once(&mut self, now: Millis, id: RequestId, copy: bool, actions: &mut Vec<Action>) {
-        let Some(mut request) = self.requests.remove(&id) else { return };
-        let more =
-            (request.attempts.len() as u32) < request.limits.max_attempts && now < request.arrival.not_after;
+    pub(super) fn try_once(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        copy: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut request) = self.requests.remove(&id) else {
+            return;
+        };
+        let more = (request.attempts.len() as u32) < request.limits.max_attempts
+            && now < request.arrival.not_after;
         // Work that may be done twice is paid for from the budget, and so is a third try where two were full;
         // an error's is over, and its server rests.
-        let full = request.attempts.iter().filter(|a| a.outcome == Some(Outcome::Full)).count();
-        let repeat = full > 1 || request.may_have_run().any(|a| a.outcome != Some(Outcome::Error));
+        let full = request
+            .attempts
+            .iter()
+            .filter(|a| a.outcome == Some(Outcome::Full))
+            .count();
+        let repeat = full > 1
+            || request
+                .may_have_run()
+                .any(|a| a.outcome != Some(Outcome::Error));
         let peers = self.peers(now);
-        let place =
-            if more && (!repeat || self.retries >= 1.0) { self.place(now, &request, peers) } else { None };
+        let place = if more && (!repeat || self.retries >= 1.0) {
+            self.place(now, &request, peers)
+        } else {
+            None
+        };
         if let Some(place) = place {
             if repeat {
                 self.retries -= 1.0;
@@ -32,13 +50,22 @@
     }
 
     fn send(
-        &mut self, now: Millis, request: &mut Request, place: usize, peers: Peers, actions: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        request: &mut Request,
+        place: usize,
+        peers: Peers,
+        actions: &mut Vec<Action>,
     ) {
-        let predicted = self.predict(place, 0, peers, now) * self.class_share(request.arrival.class);
+        let predicted =
+            self.predict(place, 0, peers, now) * self.class_share(request.arrival.class);
         let (id, number) = (request.arrival.request, request.attempts.len());
         let class = &self.settings.classes[request.arrival.class.0];
         if request.limits.answer_buffers.is_some() {
-            self.timers.set(now + self.overdue(request.arrival.class) + self.settings.step, Timer::Blocked);
+            self.timers.set(
+                now + self.overdue(request.arrival.class) + self.settings.step,
+                Timer::Blocked,
+            );
         }
         let again = class.effect != Effect::Once && !class.stream;
         let late = (predicted * HEDGE).max(class.aim * HEDGE_LEAST);
@@ -48,12 +75,26 @@
             self.timers.set(now + late, Timer::Hedge(id, number));
         }
         let upstream = &mut self.fleet[place];
-        request.attempts.push(Attempt { upstream: place, sent: now, held: upstream.held(), outcome: None });
+        request.attempts.push(Attempt {
+            upstream: place,
+            sent: now,
+            held: upstream.held(),
+            outcome: None,
+        });
         upstream.out.push(now);
-        actions.push(Action::Send { request: id, upstream: upstream.entry.upstream });
+        actions.push(Action::Send {
+            request: id,
+            upstream: upstream.entry.upstream,
+        });
     }
 
-    pub(super) fn hedge(&mut self, now: Millis, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
+    pub(super) fn hedge(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: usize,
+        actions: &mut Vec<Action>,
+    ) {
         let late = |r: &Request| r.out_since().is_some() && r.attempts.len() == attempt + 1;
         if self.requests.get(&id).is_some_and(late) {
             self.try_once(now, id, true, actions);
@@ -68,17 +109,36 @@
     /// overdue attempts as there are buffers the eldest is over, whose own answer will be late. Where
     /// upstreams are slow, it takes answers that would come in time yet from those that have many out.
     pub(super) fn unblock(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let due = |r: &&Request| r.out_since().is_some_and(|at| at + self.overdue(r.arrival.class) <= now);
-        let overdue = self.requests.values().filter(due).map(|r| (micros(r.began), r.arrival.request));
+        let due = |r: &&Request| {
+            r.out_since()
+                .is_some_and(|at| at + self.overdue(r.arrival.class) <= now)
+        };
+        let overdue = self
+            .requests
+            .values()
+            .filter(due)
+            .map(|r| (micros(r.began), r.arrival.request));
         let overdue: Vec<_> = overdue.collect();
-        if self.settings.limits.answer_buffers.is_some_and(|buffers| overdue.len() >= buffers as usize) {
-            overdue.into_iter().min().into_iter().for_each(|(_, id)| self.give_up(id, actions));
+        if self
+            .settings
+            .limits
+            .answer_buffers
+            .is_some_and(|buffers| overdue.len() >= buffers as usize)
+        {
+            overdue
+                .into_iter()
+                .min()
+                .into_iter()
+                .for_each(|(_, id)| self.give_up(id, actions));
         }
     }
 
     /// Rule 2: whether an attempt here can make no effect happen twice, as late as its connection comes up.
     pub(super) fn in_group(&self, request: &Request, place: usize, now: Millis) -> bool {
-        let (own, late) = (&self.fleet[place].entry, self.settings.limits.connect_timeout);
+        let (own, late) = (
+            &self.fleet[place].entry,
+            self.settings.limits.connect_timeout,
+        );
         match self.settings.classes[request.arrival.class.0].effect {
             Effect::Repeatable => true,
             Effect::Once => request.may_have_run().next().is_none(),
@@ -97,19 +157,31 @@
     /// Rule 2: whether a refusal, which tells the client that a retry is harmless, would be true.
     fn may_refuse(&self, request: &Request) -> bool {
         match self.settings.classes[request.arrival.class.0].effect {
-            Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Repeatable
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             _ => request.may_have_run().next().is_none(),
         }
     }
 
     /// The final answer of a request that gets no other.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else {
+            return;
+        };
         if self.may_refuse(request) {
             let aim = self.settings.classes[request.arrival.class.0].aim;
             let soon = aim * COME_BACK * jitter(&mut self.rng);
-            let retry_after = self.settings.limits.max_retry_after.map(|longest| longest.min(soon));
-            actions.push(Action::Refuse { request: id, retry_after });
+            let retry_after = self
+                .settings
+                .limits
+                .max_retry_after
+                .map(|longest| longest.min(soon));
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { request: id });
         }
@@ -118,10 +190,17 @@
 
     /// The request has its final answer: nothing more is sent for it, and what is out is called off.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.open) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|r| r.open) else {
+            return;
+        };
         request.open = false;
-        if !request.attempts.iter().any(|a| a.outcome == Some(Outcome::Ok)) {
-            self.unserved.note(request.arrival.class, request.arrival.tenant, request.began);
+        if !request
+            .attempts
+            .iter()
+            .any(|a| a.outcome == Some(Outcome::Ok))
+        {
+            self.unserved
+                .note(request.arrival.class, request.arrival.tenant, request.began);
         }
         request.call_off(None, actions);
         if request.out() == 0 {
--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -33,7 +33,11 @@
 impl Balancer {
     /// One that has seen nothing yet.
     pub(crate) fn remembering(
-        settings: Settings, rng: Pcg32, traffic: Traffic, part_size: f64, retries: f64,
+        settings: Settings,
+        rng: Pcg32,
+        traffic: Traffic,
+        part_size: f64,
+        retries: f64,
     ) -> Self {
         Balancer {
             settings,
@@ -60,11 +64,16 @@
 
     /// The key by which the request keeps its place, where its class asks for that.
     pub(crate) fn ordered(&self, request: &Request) -> Option<u64> {
-        request.arrival.key.filter(|_| self.settings.classes[request.arrival.class.0].in_order)
+        request
+            .arrival
+            .key
+            .filter(|_| self.settings.classes[request.arrival.class.0].in_order)
     }
 
     pub(crate) fn is_waiting(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| r.open && r.asked.is_none() && r.attempts.is_empty())
+        self.requests
+            .get(&id)
+            .is_some_and(|r| r.open && r.asked.is_none() && r.attempts.is_empty())
     }
 
     /// Time in which each upstream in use gets a request from here in the mean.
@@ -75,7 +84,8 @@
     /// How much longer than the mean class this one takes: what an upstream's pace is learnt of has a mix of
     /// classes, and one that waits on others for long must not look like a queue to the rest.
     pub(crate) fn class_share(&self, class: ClassId) -> f64 {
-        self.traffic.class_share(class, |n| self.settings.classes[n].offered)
+        self.traffic
+            .class_share(class, |n| self.settings.classes[n].offered)
     }
 
     /// When its answer is worth nothing any more.
@@ -92,14 +102,18 @@
     /// The part of its capacity that a cold upstream has at least; 1 when it is warm.
     pub(crate) fn warmth(&self, upstream: &Upstream, now: Millis) -> f64 {
         let rules = &self.settings.rules;
-        let Some(since) = upstream.entry.since else { return 1.0 };
+        let Some(since) = upstream.entry.since else {
+            return 1.0;
+        };
         let climb = ((now - since - rules.start_drift) / rules.cold.max(1.0)).clamp(0.0, 1.0);
         rules.cold_share + (1.0 - rules.cold_share) * climb
     }
 
     /// Forgets a request that has its answer and of which nothing is out; the next with its key may go.
     pub(crate) fn forget(&mut self, id: RequestId) {
-        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
         if let Some(key) = self.ordered(&request) {
             let at = self.turns.leave(key, id);
             self.timers.set(at, Timer::Turn(key));
@@ -252,7 +266,8 @@
 
     /// New work may go there.
     pub fn offers(&self, id: UpstreamId) -> bool {
-        self.place(id).is_some_and(|place| self.upstreams[place].offered())
+        self.place(id)
+            .is_some_and(|place| self.upstreams[place].offered())
     }
 
     /// How many it has a place for.
@@ -281,16 +296,25 @@
     /// Takes a list. Upstreams are replaced all day long: one that has left is forgotten once no timer, probe or
     /// request refers to its place, and that is free for another.
     pub fn take(
-        &mut self, now: Millis, kind: ListKind, entries: Vec<Entry>, requests: &HashMap<RequestId, Request>,
-        rng: &mut impl Rng, soft: bool,
+        &mut self,
+        now: Millis,
+        kind: ListKind,
+        entries: Vec<Entry>,
+        requests: &HashMap<RequestId, Request>,
+        rng: &mut impl Rng,
+        soft: bool,
     ) {
         let tried: HashSet<usize> = requests.values().flat_map(Request::places).collect();
         let free = |place: &usize| self.upstreams[*place].is_over() && !tried.contains(place);
         let mut vacant: Vec<usize> = (0..self.upstreams.len()).filter(free).collect();
-        self.places.retain(|_, place| vacant.binary_search(place).is_err());
+        self.places
+            .retain(|_, place| vacant.binary_search(place).is_err());
         if kind != ListKind::Patch {
             let named: HashSet<UpstreamId> = entries.iter().map(|entry| entry.upstream).collect();
-            let missing = self.upstreams.iter_mut().filter(|u| !named.contains(&u.entry.upstream));
+            let missing = self
+                .upstreams
+                .iter_mut()
+                .filter(|u| !named.contains(&u.entry.upstream));
             missing.for_each(|u| u.gone(soft));
         }
         for entry in entries {
@@ -381,7 +405,9 @@
     pub fn probe(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.probe_sent.is_none() {
             self.probe_sent = Some(now);
-            actions.push(Action::Probe { upstream: self.entry.upstream });
+            actions.push(Action::Probe {
+                upstream: self.entry.upstream,
+            });
         }
     }
 
@@ -395,14 +421,24 @@
     }
 
     pub fn take_report(&mut self, now: Millis, report: Option<Report>) {
-        let held = report.and_then(|r| r.active.or(r.waiting.map(|waiting| waiting + r.cpu.unwrap_or(0.0))));
+        let held = report.and_then(|r| {
+            r.active
+                .or(r.waiting.map(|waiting| waiting + r.cpu.unwrap_or(0.0)))
+        });
         if let Some(held) = held {
             self.learnt.report = Some((held, self.out.len(), now));
         }
     }
 
     /// Takes the time of an answer into the pace, with this weight at least.
-    pub fn learn_pace(&mut self, elapsed: Millis, held: [f64; 2], now: Millis, memory: Millis, least: f64) {
+    pub fn learn_pace(
+        &mut self,
+        elapsed: Millis,
+        held: [f64; 2],
+        now: Millis,
+        memory: Millis,
+        least: f64,
+    ) {
         let sample = held.map(|held| elapsed / (held + 1.0));
         // The longer nothing was learnt, the less the old pace says: few answers must not lag behind.
         let weight = least.max(1.0 - (-(now - self.learnt.pace_at) / memory).exp());
@@ -422,7 +458,8 @@
     /// One that turned work away is full or takes no connections, whatever its probes and reports say: it is
     /// left alone until its queue has had time to shrink, and longer each time it does so again.
     pub fn turn_away(&mut self, now: Millis, rest: Millis, longest: Millis) {
-        self.learnt.rest_until = now + (rest * f64::powi(2.0, self.learnt.turned_away)).min(longest);
+        self.learnt.rest_until =
+            now + (rest * f64::powi(2.0, self.learnt.turned_away)).min(longest);
         self.learnt.turned_away = (self.learnt.turned_away + 1).min(10);
     }
 
@@ -442,7 +479,12 @@
     /// and ends since.
     pub fn held(&self) -> [f64; 2] {
         let own = self.out.len() as f64;
-        [own, self.learnt.report.map_or(own, |(held, then, _)| own.max(held + own - then as f64))]
+        [
+            own,
+            self.learnt
+                .report
+                .map_or(own, |(held, then, _)| own.max(held + own - then as f64)),
+        ]
     }
 
     pub fn told_since(&self, asked: Millis) -> bool {
@@ -468,7 +510,15 @@
 
 impl Request {
     pub fn new(arrival: Arrival, limits: Limits, began: Millis) -> Self {
-        Request { arrival, limits, began, open: true, streaming: false, asked: None, attempts: Vec::new() }
+        Request {
+            arrival,
+            limits,
+            began,
+            open: true,
+            streaming: false,
+            asked: None,
+            attempts: Vec::new(),
+        }
     }
 
     pub fn out(&self) -> usize {
@@ -477,15 +527,22 @@
 
     /// Since when its last attempt is out, as long as it has no final answer.
     pub fn out_since(&self) -> Option<Millis> {
-        let last = self.attempts.last().filter(|attempt| attempt.outcome.is_none());
-        last.filter(|_| self.open && !self.streaming).map(|attempt| attempt.sent)
+        let last = self
+            .attempts
+            .last()
+            .filter(|attempt| attempt.outcome.is_none());
+        last.filter(|_| self.open && !self.streaming)
+            .map(|attempt| attempt.sent)
     }
 
     /// Calls off what is out, but for one attempt.
     pub fn call_off(&self, keep: Option<usize>, actions: &mut Vec<Action>) {
         for (n, attempt) in self.attempts.iter().enumerate() {
             if self.limits.cancel && attempt.outcome.is_none() && Some(n) != keep {
-                actions.push(Action::Cancel { request: self.arrival.request, attempt: n as u32 });
+                actions.push(Action::Cancel {
+                    request: self.arrival.request,
+                    attempt: n as u32,
+                });
             }
         }
     }
@@ -497,7 +554,9 @@
 
     /// Attempts that ran, may have run or may yet run.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran))
+        self.attempts
+            .iter()
+            .filter(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 }
 
@@ -542,8 +601,18 @@
         let (all, keys, kinds) = (Rate::default(), HashMap::new(), HashMap::new());
         let (tenants, classes, class_taken) = (Vec::new(), Vec::new(), Vec::new());
         let (errors, taken) = (Mean::default(), Mean::default());
-        let mut traffic =
-            Traffic { memory, key_memory, all, tenants, keys, classes, kinds, errors, taken, class_taken };
+        let mut traffic = Traffic {
+            memory,
+            key_memory,
+            all,
+            tenants,
+            keys,
+            classes,
+            kinds,
+            errors,
+            taken,
+            class_taken,
+        };
         traffic.fit(settings);
         traffic
     }
@@ -551,16 +620,27 @@
     pub fn fit(&mut self, settings: &Settings) {
         self.tenants.resize(settings.tenants.len(), Rate::default());
         self.classes.resize(settings.classes.len(), Mean::default());
-        self.class_taken.resize(settings.classes.len(), Mean::default());
+        self.class_taken
+            .resize(settings.classes.len(), Mean::default());
     }
 
     pub fn came(&mut self, now: Millis, tenant: Option<TenantId>, key: Option<u64>) {
         self.all.add(now, self.memory);
-        tenant.into_iter().for_each(|tenant| self.tenants[tenant.0].add(now, self.memory));
-        key.into_iter().for_each(|key| self.keys.entry(key).or_default().add(now, self.key_memory));
-    }
-
-    pub fn answered(&mut self, class: ClassId, kind: u32, elapsed: Millis, usual: Millis, least: f64) {
+        tenant
+            .into_iter()
+            .for_each(|tenant| self.tenants[tenant.0].add(now, self.memory));
+        key.into_iter()
+            .for_each(|key| self.keys.entry(key).or_default().add(now, self.key_memory));
+    }
+
+    pub fn answered(
+        &mut self,
+        class: ClassId,
+        kind: u32,
+        elapsed: Millis,
+        usual: Millis,
+        least: f64,
+    ) {
         self.classes[class.0].add(elapsed, least);
         self.kinds.entry(kind).or_default().add(usual, least);
     }
@@ -578,7 +658,9 @@
     /// which all that room should go to the worthiest alone.
     pub fn starves(&self, class: ClassId, part: f64) -> bool {
         let all = self.taken.get().unwrap_or(0.0);
-        self.class_taken[class.0].get().is_some_and(|own| own < all * part)
+        self.class_taken[class.0]
+            .get()
+            .is_some_and(|own| own < all * part)
     }
 
     /// Requests a millisecond.
@@ -592,19 +674,25 @@
 
     /// The part of all requests that come with this key.
     pub fn key_share(&self, key: u64, now: Millis) -> f64 {
-        let rate = self.keys.get(&key).map_or(0.0, |rate| rate.at(now, self.key_memory));
+        let rate = self
+            .keys
+            .get(&key)
+            .map_or(0.0, |rate| rate.at(now, self.key_memory));
         rate / self.rate(now)
     }
 
     /// A key of which less than this part of one request is left is forgotten.
     pub fn forget_keys(&mut self, now: Millis, least: f64) {
         let memory = self.key_memory;
-        self.keys.retain(|_, rate| rate.at(now, memory) * memory > least);
+        self.keys
+            .retain(|_, rate| rate.at(now, memory) * memory > least);
     }
 
     /// A class's mean time beside the mean of all that are offered.
     pub fn class_share(&self, class: ClassId, offered: impl Fn(usize) -> bool) -> f64 {
-        let learnt = (0..self.classes.len()).filter(|n| offered(*n)).filter_map(|n| self.class_time(n));
+        let learnt = (0..self.classes.len())
+            .filter(|n| offered(*n))
+            .filter_map(|n| self.class_time(n));
         let (count, sum) = learnt.fold((0.0, 0.0), |(n, sum), time| (n + 1.0, sum + time));
         let own = self.class_time(class.0).filter(|_| sum > 0.0);
         own.map_or(1.0, |time| time * count / sum)
@@ -630,14 +718,21 @@
 
     /// Forgets those whose client's time is over.
     pub fn forget(&mut self, now: Millis, classes: &[Class]) {
-        while self.0.front().is_some_and(|(class, _, began)| began + classes[class.0].deadline < now) {
+        while self
+            .0
+            .front()
+            .is_some_and(|(class, _, began)| began + classes[class.0].deadline < now)
+        {
             self.0.pop_front();
         }
     }
 
     /// When the eldest of the class and tenant began; it is taken out.
     pub fn take(&mut self, class: ClassId, tenant: Option<TenantId>) -> Option<Millis> {
-        let place = self.0.iter().position(|eldest| (eldest.0, eldest.1) == (class, tenant))?;
+        let place = self
+            .0
+            .iter()
+            .position(|eldest| (eldest.0, eldest.1) == (class, tenant))?;
         self.0.remove(place).map(|(_, _, began)| began)
     }
 }
@@ -652,7 +747,10 @@
 impl Turns {
     /// Gives how many came before it and have not left, and until when the key rests.
     pub fn join(&mut self, key: u64, id: RequestId) -> (usize, Millis) {
-        let (queue, rests) = self.keys.entry(key).or_insert_with(|| (VecDeque::new(), f64::NEG_INFINITY));
+        let (queue, rests) = self
+            .keys
+            .entry(key)
+            .or_insert_with(|| (VecDeque::new(), f64::NEG_INFINITY));
         queue.push_back(id);
         (queue.len() - 1, *rests)
     }
@@ -660,17 +758,27 @@
     pub fn ahead(&self, key: u64, id: RequestId) -> (usize, Millis) {
         let turn = self.keys.get(&key);
         turn.map_or((0, f64::NEG_INFINITY), |(queue, rests)| {
-            (queue.iter().position(|other| *other == id).unwrap_or(queue.len()), *rests)
+            (
+                queue
+                    .iter()
+                    .position(|other| *other == id)
+                    .unwrap_or(queue.len()),
+                *rests,
+            )
         })
     }
 
     pub fn rest(&mut self, key: u64, until: Millis) {
-        self.keys.entry(key).and_modify(|(_, rests)| *rests = rests.max(until));
+        self.keys
+            .entry(key)
+            .and_modify(|(_, rests)| *rests = rests.max(until));
     }
 
     /// Gives the time at which the next may go.
     pub fn leave(&mut self, key: u64, id: RequestId) -> Millis {
-        let Some((queue, rests)) = self.keys.get_mut(&key) else { return f64::NEG_INFINITY };
+        let Some((queue, rests)) = self.keys.get_mut(&key) else {
+            return f64::NEG_INFINITY;
+        };
         queue.retain(|other| *other != id);
         *rests
     }
@@ -709,7 +817,10 @@
     }
 
     pub fn due(&mut self, now: Millis) -> Option<Timer> {
-        let due = self.queue.peek().is_some_and(|next| next.0 .0 <= micros(now));
+        let due = self
+            .queue
+            .peek()
+            .is_some_and(|next| next.0 .0 <= micros(now));
         if due {
             self.queue.pop().map(|next| next.0 .1)
         } else {
--- a/crates/sandtrack-balancer/tests/common/mod.rs
+++ b/crates/sandtrack-balancer/tests/common/mod.rs
@@ -29,7 +29,10 @@
         feedback: Feedback::OnProbe,
         weights: Weights::Off,
         warm_keys: false,
-        goal: Goal { tail: 0.0, miss_allowed: 0.0 },
+        goal: Goal {
+            tail: 0.0,
+            miss_allowed: 0.0,
+        },
         limits: Limits {
             cancel: true,
             probes: true,
@@ -41,7 +44,13 @@
             connect_timeout: 100.0,
             answer_buffers: None,
         },
-        penalties: Penalties { cross_zone: 0.0, probe: 0.01, waste: 0.02, late_fail: 0.03, peer: 0.01 },
+        penalties: Penalties {
+            cross_zone: 0.0,
+            probe: 0.01,
+            waste: 0.02,
+            late_fail: 0.03,
+            peer: 0.01,
+        },
         rules: Rules {
             answer_slack: 5.0,
             ask_within: 10_000.0,
@@ -109,7 +118,10 @@
         };
         front.feed(Event::Start);
         let entries = (0..upstreams).map(entry).collect();
-        front.feed(Event::List { kind: ListKind::Stale, entries });
+        front.feed(Event::List {
+            kind: ListKind::Stale,
+            entries,
+        });
         front
     }
 
@@ -131,19 +143,38 @@
     }
 
     pub fn probe(&mut self, id: u32, elapsed: Millis, ok: bool) -> Vec<Action> {
-        self.feed(Event::Probed { upstream: UpstreamId(id), elapsed, ok, report: None })
+        self.feed(Event::Probed {
+            upstream: UpstreamId(id),
+            elapsed,
+            ok,
+            report: None,
+        })
     }
 
     pub fn request(&mut self) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        (RequestId(self.next), self.feed(Event::Request(arrival(self.next, self.now))))
+        (
+            RequestId(self.next),
+            self.feed(Event::Request(arrival(self.next, self.now))),
+        )
     }
 
     pub fn finish(
-        &mut self, request: RequestId, attempt: u32, outcome: Outcome, elapsed: Millis,
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Millis,
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        self.feed(Event::Finished(Finished { request, attempt, outcome, elapsed, closed, report: None }))
+        self.feed(Event::Finished(Finished {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            report: None,
+        }))
     }
 
     /// Sends `count` requests that are answered at once; the upstreams they went to.
@@ -175,9 +206,14 @@
 }
 
 pub fn final_answers(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .count()
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Refuse { .. }))
 }
--- a/crates/sandtrack-balancer/tests/decisions.rs
+++ b/crates/sandtrack-balancer/tests/decisions.rs
@@ -3,9 +3,18 @@
 use common::*;
 use sandtrack_balancer::interface::*;
 
-const KEYED_ALL: Effect = Effect::Keyed { group: Group::All, window: 300.0 };
-const KEYED_ZONE: Effect = Effect::Keyed { group: Group::Zone, window: 300.0 };
-const KEYED_CELL: Effect = Effect::Keyed { group: Group::Cell, window: 300.0 };
+const KEYED_ALL: Effect = Effect::Keyed {
+    group: Group::All,
+    window: 300.0,
+};
+const KEYED_ZONE: Effect = Effect::Keyed {
+    group: Group::Zone,
+    window: 300.0,
+};
+const KEYED_CELL: Effect = Effect::Keyed {
+    group: Group::Cell,
+    window: 300.0,
+};
 
 #[test]
 fn probes_start_at_once_and_stay_within_five_seconds() {
@@ -52,7 +61,9 @@
     for _ in 0..2 {
         front.now += 5000.0;
         let probed = front.feed(Event::Wake);
-        assert!(probed.contains(&Action::Probe { upstream: UpstreamId(0) }));
+        assert!(probed.contains(&Action::Probe {
+            upstream: UpstreamId(0)
+        }));
         for id in 0..4 {
             front.probe(id, if id < 2 { 50.0 } else { 9.0 }, id >= 2);
         }
@@ -90,10 +101,19 @@
 fn a_draining_upstream_gets_nothing_from_the_moment_it_is_told() {
     for standing in [Standing::Draining, Standing::Gone] {
         let mut front = Front::new(settings(Effect::Repeatable), 2);
-        let entries = vec![Entry { standing, ..entry(0) }];
-        front.feed(Event::List { kind: ListKind::Patch, entries });
+        let entries = vec![Entry {
+            standing,
+            ..entry(0)
+        }];
+        front.feed(Event::List {
+            kind: ListKind::Patch,
+            entries,
+        });
         assert!(front.spread(50).iter().all(|id| *id == 1));
-        front.feed(Event::List { kind: ListKind::Whole, entries: vec![entry(0)] });
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries: vec![entry(0)],
+        });
         assert!(front.spread(50).iter().all(|id| *id == 0));
     }
 }
@@ -103,8 +123,14 @@
     let mut front = Front::new(settings(Effect::Once), 0);
     let (_, actions) = front.request();
     assert!(refused(&actions) && final_answers(&actions) == 1);
-    let entries = vec![Entry { standing: Standing::Draining, ..entry(0) }];
-    front.feed(Event::List { kind: ListKind::Whole, entries });
+    let entries = vec![Entry {
+        standing: Standing::Draining,
+        ..entry(0)
+    }];
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries,
+    });
     let (_, actions) = front.request();
     assert!(refused(&actions));
     assert!(actions.iter().any(
@@ -118,7 +144,13 @@
     for outcome in [Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot] {
         let proof = outcome.never_ran();
         assert_eq!(proof, matches!(outcome, Full | ConnectFailed | Moot));
-        for effect in [Effect::Repeatable, Effect::Once, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
+        for effect in [
+            Effect::Repeatable,
+            Effect::Once,
+            KEYED_ALL,
+            KEYED_ZONE,
+            KEYED_CELL,
+        ] {
             let mut front = Front::new(settings(effect), 3);
             let (request, first) = front.request();
             let first = sent_to(&first).unwrap();
@@ -127,7 +159,10 @@
             match effect {
                 Effect::Once if !proof => assert_eq!(actions, [Action::Fail { request }]),
                 // Every upstream of the test is a zone and a cell of its own.
-                Effect::Keyed { group: Group::Zone | Group::Cell, .. } if !proof => {
+                Effect::Keyed {
+                    group: Group::Zone | Group::Cell,
+                    ..
+                } if !proof => {
                     assert_eq!(sent_to(&actions), Some(first));
                 }
                 _ => assert_ne!(sent_to(&actions), Some(first)),
@@ -156,7 +191,11 @@
         let (request, _) = front.request();
         front.now += ended;
         let actions = front.finish(request, 0, Outcome::Reset, ended);
-        assert_eq!(sent_to(&actions).is_some(), sent, "window 300, connections 100");
+        assert_eq!(
+            sent_to(&actions).is_some(),
+            sent,
+            "window 300, connections 100"
+        );
     }
 }
 
@@ -186,8 +225,15 @@
             closed: false,
             report: None,
         });
-        let events = if timer_first { [Event::Wake, timeout] } else { [timeout, Event::Wake] };
-        let actions: Vec<Action> = events.into_iter().flat_map(|event| front.feed(event)).collect();
+        let events = if timer_first {
+            [Event::Wake, timeout]
+        } else {
+            [timeout, Event::Wake]
+        };
+        let actions: Vec<Action> = events
+            .into_iter()
+            .flat_map(|event| front.feed(event))
+            .collect();
         assert_eq!((final_answers(&actions), sent_to(&actions)), (1, None));
     }
 }
@@ -197,20 +243,42 @@
     let mut front = Front::new(settings(Effect::Repeatable), 2);
     let (request, _) = front.request();
     let actions = front.feed(Event::ClientGone(request));
-    assert_eq!(actions, [Action::Cancel { request, attempt: 0 }]);
+    assert_eq!(
+        actions,
+        [Action::Cancel {
+            request,
+            attempt: 0
+        }]
+    );
     assert!(front.finish(request, 0, Outcome::Cancelled, 5.0).is_empty());
     assert!(front.feed(Event::ClientGone(request)).is_empty());
 }
 
 /// Sends by upstream when each of many balancers, all alike but for the seed, gets one request at one moment.
-fn sends_of_all(balancers: u32, upstreams: u32, since: impl Fn(u32) -> Option<Millis>) -> Vec<usize> {
+fn sends_of_all(
+    balancers: u32,
+    upstreams: u32,
+    since: impl Fn(u32) -> Option<Millis>,
+) -> Vec<usize> {
     let mut sends = vec![0; upstreams as usize];
     for me in 0..balancers {
-        let one_of_many = Settings { me, siblings: balancers, ..settings(Effect::Repeatable) };
+        let one_of_many = Settings {
+            me,
+            siblings: balancers,
+            ..settings(Effect::Repeatable)
+        };
         let mut front = Front::seeded(one_of_many, u64::from(me), 0);
-        let entries =
-            (0..upstreams).map(|id| Entry { zone: ZoneId(0), since: since(id), ..entry(id) }).collect();
-        front.feed(Event::List { kind: ListKind::Whole, entries });
+        let entries = (0..upstreams)
+            .map(|id| Entry {
+                zone: ZoneId(0),
+                since: since(id),
+                ..entry(id)
+            })
+            .collect();
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries,
+        });
         if let Some(to) = sent_to(&front.request().1) {
             sends[to as usize] += 1;
         }
@@ -224,7 +292,10 @@
     let allowance = (2.5 * 0.3 * 2000.0 / 200.0) as usize;
     let sends = sends_of_all(400, 40, |id| (id == 0).then_some(1000.0));
     assert!((1..=allowance).contains(&sends[0]), "{sends:?}");
-    assert!(sends[0] * 2 < sends[1..].iter().sum::<usize>() / 39, "{sends:?}");
+    assert!(
+        sends[0] * 2 < sends[1..].iter().sum::<usize>() / 39,
+        "{sends:?}"
+    );
 }
 
 #[test]
@@ -240,18 +311,34 @@
 #[test]
 fn a_cold_upstream_gets_more_as_it_warms() {
     let [first, half, warm] = [0.0, 4000.0, 8000.0].map(|age| {
-        let sends = sends_of_all(800, 20, |id| Some(if id == 0 { 1000.0 - age } else { -9000.0 }));
+        let sends = sends_of_all(800, 20, |id| {
+            Some(if id == 0 { 1000.0 - age } else { -9000.0 })
+        });
         sends[0]
     });
-    assert!(first > 0 && first * 2 < warm && first < half && half < warm, "{first} {half} {warm}");
+    assert!(
+        first > 0 && first * 2 < warm && first < half && half < warm,
+        "{first} {half} {warm}"
+    );
 }
 
 /// A quiet balancer among hundreds, before a fleet of 60, half of it in its own zone; what it uses is probed.
 fn one_of_hundreds(seed: u64) -> Front {
-    let quiet = Settings { siblings: 500, ..settings(Effect::Repeatable) };
+    let quiet = Settings {
+        siblings: 500,
+        ..settings(Effect::Repeatable)
+    };
     let mut front = Front::seeded(quiet, seed, 0);
-    let entries = (0..60).map(|id| Entry { zone: ZoneId(id % 2), ..entry(id) }).collect();
-    let asked = probes(&front.feed(Event::List { kind: ListKind::Whole, entries }));
+    let entries = (0..60)
+        .map(|id| Entry {
+            zone: ZoneId(id % 2),
+            ..entry(id)
+        })
+        .collect();
+    let asked = probes(&front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries,
+    }));
     for id in asked {
         front.now += 1.0;
         front.probe(id, if id % 2 == 0 { 1.0 } else { 9.0 }, true);
@@ -284,14 +371,22 @@
 fn an_upstream_that_leaves_and_comes_back_has_one_probe_timer() {
     let mut front = Front::new(settings(Effect::Repeatable), 1);
     front.probe(0, 1.0, true);
-    front.feed(Event::List { kind: ListKind::Whole, entries: Vec::new() });
-    front.feed(Event::List { kind: ListKind::Whole, entries: vec![entry(0)] });
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: Vec::new(),
+    });
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: vec![entry(0)],
+    });
     let mut probed = 0;
     while front.now < 41_000.0 {
         let wake = front.wake;
         let asked = probes(&front.at(wake, Event::Wake));
         probed += asked.len();
-        asked.iter().for_each(|id| drop(front.probe(*id, 1.0, true)));
+        asked
+            .iter()
+            .for_each(|id| drop(front.probe(*id, 1.0, true)));
     }
     assert!((8..=11).contains(&probed), "{probed}");
 }
@@ -307,7 +402,9 @@
     for _ in 0..6 {
         actions.clear();
         balancer.handle(now, Event::ListBroken, &mut actions);
-        let Some(Action::Wake { at }) = actions.pop() else { panic!("no timer") };
+        let Some(Action::Wake { at }) = actions.pop() else {
+            panic!("no timer")
+        };
         gaps.push(at - now);
         now = at;
         balancer.handle(now, Event::Wake, &mut actions);
@@ -326,7 +423,12 @@
     let copy = front.at(front.now + 200.0, Event::Wake);
     assert!(sent_to(&copy).is_some());
     let left = front.feed(Event::ClientGone(request));
-    assert_eq!(left.iter().filter(|a| matches!(a, Action::Cancel { .. })).count(), 2);
+    assert_eq!(
+        left.iter()
+            .filter(|a| matches!(a, Action::Cancel { .. }))
+            .count(),
+        2
+    );
     let late = Finished {
         request,
         attempt: 0,
@@ -337,7 +439,10 @@
     };
     let late = front.feed(Event::Finished(late));
     let gone_again = front.feed(Event::ClientGone(request));
-    let anew = late.iter().chain(&gone_again).filter(|a| matches!(a, Action::Cancel { .. }));
+    let anew = late
+        .iter()
+        .chain(&gone_again)
+        .filter(|a| matches!(a, Action::Cancel { .. }));
     assert_eq!(anew.count(), 0);
 }
 
@@ -345,20 +450,46 @@
 fn odd_settings_and_lists_lead_to_sane_decisions() {
     let mut odd = settings(Effect::Repeatable);
     (odd.siblings, odd.penalties.probe) = (0, 0.0);
-    odd.rules = Rules { cold: 0.0, cold_share: 0.0, fall: 0.0, fall_multiple: 0.0, ..odd.rules };
+    odd.rules = Rules {
+        cold: 0.0,
+        cold_share: 0.0,
+        fall: 0.0,
+        fall_multiple: 0.0,
+        ..odd.rules
+    };
     let mut front = Front::new(odd, 0);
-    front.feed(Event::List { kind: ListKind::Whole, entries: Vec::new() });
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: Vec::new(),
+    });
     assert!(refused(&front.request().1));
     // Thousands of lines, each listed twice, half of them started just now; then none; then one.
     let since = |id: u32| id.is_multiple_of(2).then_some(front.now);
-    let entries: Vec<Entry> = (0..6000).map(|id| Entry { since: since(id / 2), ..entry(id / 2) }).collect();
-    front.feed(Event::List { kind: ListKind::Whole, entries });
+    let entries: Vec<Entry> = (0..6000)
+        .map(|id| Entry {
+            since: since(id / 2),
+            ..entry(id / 2)
+        })
+        .collect();
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries,
+    });
     front.now += 10.0;
     front.spread(50);
-    front.feed(Event::Message { from: 77, content: vec![0xff; 300] });
-    front.feed(Event::List { kind: ListKind::Whole, entries: Vec::new() });
+    front.feed(Event::Message {
+        from: 77,
+        content: vec![0xff; 300],
+    });
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: Vec::new(),
+    });
     assert!(refused(&front.request().1));
-    front.feed(Event::List { kind: ListKind::Patch, entries: vec![entry(9)] });
+    front.feed(Event::List {
+        kind: ListKind::Patch,
+        entries: vec![entry(9)],
+    });
     assert!(front.spread(20).iter().all(|to| *to == 9));
 }
 
@@ -368,7 +499,10 @@
     streamed.classes[0].stream = true;
     let mut front = Front::new(streamed, 2);
     let (request, _) = front.request();
-    front.feed(Event::Opened { request, attempt: 0 });
+    front.feed(Event::Opened {
+        request,
+        attempt: 0,
+    });
     let late = front.at(front.now + 5000.0, Event::Wake);
     assert_eq!(final_answers(&late), 0);
     let broken = Event::Finished(Finished {
@@ -407,7 +541,11 @@
     let (balancers, requests) = (40, 80);
     let (mut errors, mut answers) = (0, 0);
     for me in 0..balancers {
-        let one_of_many = Settings { me, siblings: balancers, ..settings(Effect::Once) };
+        let one_of_many = Settings {
+            me,
+            siblings: balancers,
+            ..settings(Effect::Once)
+        };
         let mut front = Front::seeded(one_of_many, u64::from(me), 4);
         for n in 0..requests {
             front.now += 70.0;
@@ -415,7 +553,12 @@
             let bad = sent_to(&actions) == Some(0) && (n + me) % 4 != 0;
             errors += usize::from(bad);
             answers += usize::from(!bad);
-            front.finish(request, 0, if bad { Outcome::Error } else { Outcome::Ok }, 30.0);
+            front.finish(
+                request,
+                0,
+                if bad { Outcome::Error } else { Outcome::Ok },
+                30.0,
+            );
         }
     }
     assert!(errors * 30 < answers, "{errors} of {answers}");
@@ -465,8 +608,14 @@
     let slow = sent_to(&actions).unwrap();
     front.now += 900.0;
     front.finish(request, 0, Outcome::Ok, 900.0);
-    let entries = vec![Entry { standing: Standing::Draining, ..entry(slow) }];
-    front.feed(Event::List { kind: ListKind::Patch, entries });
+    let entries = vec![Entry {
+        standing: Standing::Draining,
+        ..entry(slow)
+    }];
+    front.feed(Event::List {
+        kind: ListKind::Patch,
+        entries,
+    });
     assert!(refused(&front.request().1));
     front.now += 10_000.0;
     assert!(sent_to(&front.request().1).is_some());
@@ -490,7 +639,11 @@
 fn a_patient_class_gets_no_more_room_than_a_worthier_one() {
     for (worth, sent) in [(1.0, true), (9.0, false)] {
         let mut both = settings(Effect::Repeatable);
-        both.classes.push(Class { aim: 100.0, worth, ..class(Effect::Repeatable) });
+        both.classes.push(Class {
+            aim: 100.0,
+            worth,
+            ..class(Effect::Repeatable)
+        });
         let mut front = Front::new(both, 1);
         teach(&mut front, 1, 120.0);
         assert_eq!(sent_to(&front.request().1).is_some(), sent);
@@ -503,13 +656,19 @@
 fn a_class_of_little_worth_is_not_starved_beside_a_worthy_one() {
     let mut both = settings(Effect::Repeatable);
     (both.limits.parallel_tries, both.penalties.waste) = (true, 0.2);
-    both.classes.push(Class { worth: 9.0, ..class(Effect::Repeatable) });
+    both.classes.push(Class {
+        worth: 9.0,
+        ..class(Effect::Repeatable)
+    });
     let mut front = Front::new(both, 1);
     teach(&mut front, 1, 180.0);
     let mut sent = [0, 0];
     for request in 1001..1041 {
         let class = request as usize % 2;
-        let arrival = Arrival { class: ClassId(class), ..arrival(request, front.now) };
+        let arrival = Arrival {
+            class: ClassId(class),
+            ..arrival(request, front.now)
+        };
         if sent_to(&front.feed(Event::Request(arrival))).is_some() {
             sent[class] += 1;
             front.finish(RequestId(request), 0, Outcome::Ok, 180.0);
@@ -540,12 +699,24 @@
     let sent = front.spread(60);
     assert!(sent.contains(&1) && !sent.contains(&2) && !sent.contains(&3));
     // A nearer tier appears, and drains: the group below is as it was.
-    let entries = vec![Entry { standing: Standing::Ready, ..entry(9) }];
-    front.feed(Event::List { kind: ListKind::Patch, entries });
+    let entries = vec![Entry {
+        standing: Standing::Ready,
+        ..entry(9)
+    }];
+    front.feed(Event::List {
+        kind: ListKind::Patch,
+        entries,
+    });
     front.probe(9, 1.0, true);
     assert!(front.spread(30).iter().all(|id| *id == 9));
-    let entries = vec![Entry { standing: Standing::Draining, ..entry(9) }];
-    front.feed(Event::List { kind: ListKind::Patch, entries });
+    let entries = vec![Entry {
+        standing: Standing::Draining,
+        ..entry(9)
+    }];
+    front.feed(Event::List {
+        kind: ListKind::Patch,
+        entries,
+    });
     let sent = front.spread(60);
     assert!(sent.contains(&1) && !sent.contains(&2));
     // Past the limit and a quarter it leaves.
@@ -561,8 +732,14 @@
         front.probe(0, 1.0, true);
         front.probe(1, 9.0, true);
         for (standing, elapsed) in [(Standing::Draining, far), (Standing::Ready, 150.0)] {
-            let entries = vec![Entry { standing, ..entry(0) }];
-            front.feed(Event::List { kind: ListKind::Patch, entries });
+            let entries = vec![Entry {
+                standing,
+                ..entry(0)
+            }];
+            front.feed(Event::List {
+                kind: ListKind::Patch,
+                entries,
+            });
             teach(&mut front, 1, elapsed);
         }
         assert_eq!(sent_to(&front.request().1), Some(then));
@@ -601,7 +778,10 @@
         for _ in 0..12 {
             let (request, actions) = front.request();
             assert!(sent_to(&actions).is_some() || stream);
-            front.feed(Event::Opened { request, attempt: 0 });
+            front.feed(Event::Opened {
+                request,
+                attempt: 0,
+            });
         }
         front.now += 600.0;
         assert_eq!(refused(&front.request().1), stream);
@@ -619,9 +799,16 @@
         assert_eq!((probes(&actions).len(), sent_to(&actions)), (3, None));
         front.now += 1.0;
         for id in 0..3 {
-            let report =
-                Some(Report { active: Some(if id == idle { 0.0 } else { 5.0 }), ..Report::default() });
-            front.feed(Event::Probed { upstream: UpstreamId(id), elapsed: 1.0, ok: true, report });
+            let report = Some(Report {
+                active: Some(if id == idle { 0.0 } else { 5.0 }),
+                ..Report::default()
+            });
+            front.feed(Event::Probed {
+                upstream: UpstreamId(id),
+                elapsed: 1.0,
+                ok: true,
+                report,
+            });
         }
         front.now += 3.0;
         assert_eq!(sent_to(&front.feed(Event::Wake)), Some(idle));
@@ -645,12 +832,21 @@
 #[test]
 fn one_request_alone_is_not_past_its_tenants_share() {
     let mut shared = settings(Effect::Repeatable);
-    shared.tenants = [0.05, 0.95].map(|portion| Tenant { portion, quota_rps: 10.0, offered: true }).to_vec();
+    shared.tenants = [0.05, 0.95]
+        .map(|portion| Tenant {
+            portion,
+            quota_rps: 10.0,
+            offered: true,
+        })
+        .to_vec();
     let mut front = Front::new(shared, 1);
     teach(&mut front, 1, 230.0);
     let sent: Vec<bool> = (1001..1011)
         .map(|request| {
-            let arrival = Arrival { tenant: Some(TenantId(0)), ..arrival(request, front.now) };
+            let arrival = Arrival {
+                tenant: Some(TenantId(0)),
+                ..arrival(request, front.now)
+            };
             let sent = sent_to(&front.feed(Event::Request(arrival))).is_some();
             front.finish(RequestId(request), 0, Outcome::Ok, 230.0);
             sent
@@ -670,8 +866,14 @@
         front.now += 350.0;
         front.feed(Event::ClientGone(RequestId(1001)));
         front.finish(RequestId(1001), 0, Outcome::Cancelled, 350.0);
-        let again = Arrival { retry, ..arrival(1002, front.now) };
-        assert_eq!(sent_to(&front.feed(Event::Request(again))).is_some(), !retry);
+        let again = Arrival {
+            retry,
+            ..arrival(1002, front.now)
+        };
+        assert_eq!(
+            sent_to(&front.feed(Event::Request(again))).is_some(),
+            !retry
+        );
     }
 }
 
@@ -691,10 +893,15 @@
     let mut second_probes = std::collections::BTreeSet::new();
     let mut second_asks = std::collections::BTreeSet::new();
     for seed in 0..50 {
-        let quiet = Settings { siblings: 500, ..settings(Effect::Repeatable) };
+        let quiet = Settings {
+            siblings: 500,
+            ..settings(Effect::Repeatable)
+        };
         let mut front = Front::seeded(quiet, seed, 60);
         let first = probes(&front.seen);
-        first.iter().for_each(|id| drop(front.probe(*id, 1.0, true)));
+        first
+            .iter()
+            .for_each(|id| drop(front.probe(*id, 1.0, true)));
         let mut last: std::collections::BTreeMap<u32, Millis> =
             first.iter().map(|id| (*id, front.now)).collect();
         let began = front.now;
@@ -711,11 +918,17 @@
         second_probes.insert(next.unwrap() as u64);
         front.feed(Event::ListBroken);
         let broken = front.now;
-        while !front.at(front.wake, Event::Wake).contains(&Action::Subscribe) {}
+        while !front
+            .at(front.wake, Event::Wake)
+            .contains(&Action::Subscribe)
+        {}
         assert!(front.now - broken < 10_000.0 / 2.0);
         second_asks.insert((front.now - broken) as u64);
     }
-    assert!(second_probes.len() > 40 && second_asks.len() > 25, "{second_probes:?} {second_asks:?}");
+    assert!(
+        second_probes.len() > 40 && second_asks.len() > 25,
+        "{second_probes:?} {second_asks:?}"
+    );
 }
 
 #[test]
@@ -739,7 +952,10 @@
 }
 
 fn listed(front: &mut Front, entries: Vec<Entry>) {
-    front.feed(Event::List { kind: ListKind::Patch, entries });
+    front.feed(Event::List {
+        kind: ListKind::Patch,
+        entries,
+    });
 }
 
 /// Each upstream ever listed kept its place: memory and every look at all of them grew all day long.
@@ -751,12 +967,33 @@
         front.feed(Event::Wake);
         front.spread(2);
         let seen = std::mem::take(&mut front.seen);
-        probes(&seen).into_iter().for_each(|probe| drop(front.probe(probe, 1.0, true)));
-        listed(&mut front, vec![entry(id), Entry { standing: Standing::Gone, ..entry(id - 4) }]);
+        probes(&seen)
+            .into_iter()
+            .for_each(|probe| drop(front.probe(probe, 1.0, true)));
+        listed(
+            &mut front,
+            vec![
+                entry(id),
+                Entry {
+                    standing: Standing::Gone,
+                    ..entry(id - 4)
+                },
+            ],
+        );
         // One is heard of only when it has gone already.
-        listed(&mut front, vec![Entry { standing: Standing::Gone, ..entry(id + 100_000) }]);
+        listed(
+            &mut front,
+            vec![Entry {
+                standing: Standing::Gone,
+                ..entry(id + 100_000)
+            }],
+        );
     }
-    assert!(front.balancer.fleet().remembered() < 50, "{}", front.balancer.fleet().remembered());
+    assert!(
+        front.balancer.fleet().remembered() < 50,
+        "{}",
+        front.balancer.fleet().remembered()
+    );
     let sent = front.spread(100);
     assert!(sent.iter().all(|id| (2996..3000).contains(id)), "{sent:?}");
 }
@@ -766,21 +1003,34 @@
 #[test]
 fn an_earlier_attempt_at_one_that_has_left_still_counts_where_it_was() {
     let mut front = Front::new(settings(KEYED_ZONE), 0);
-    let at = |id, zone| Entry { zone: ZoneId(zone), ..entry(id) };
+    let at = |id, zone| Entry {
+        zone: ZoneId(zone),
+        ..entry(id)
+    };
     listed(&mut front, (0..3).map(|id| at(id, 0)).collect());
     let (request, actions) = front.request();
     let first = sent_to(&actions).expect("a send");
     let second = sent_to(&front.finish(request, 0, Outcome::Error, 5.0)).expect("a repeat");
     // The first leaves, with nothing out there, and two in other zones come.
     (0..3).for_each(|id| drop(front.probe(id, 1.0, true)));
-    listed(&mut front, vec![Entry { standing: Standing::Gone, ..at(first, 0) }]);
+    listed(
+        &mut front,
+        vec![Entry {
+            standing: Standing::Gone,
+            ..at(first, 0)
+        }],
+    );
     for id in 3..6 {
         front.now += 10.0;
         front.feed(Event::Wake);
         listed(&mut front, vec![at(id, 5)]);
     }
     let third = sent_to(&front.finish(request, 1, Outcome::Error, 5.0));
-    assert_eq!(third, (0..3).find(|id| ![first, second].contains(id)), "in the zone of both");
+    assert_eq!(
+        third,
+        (0..3).find(|id| ![first, second].contains(id)),
+        "in the zone of both"
+    );
 }
 
 /// The late end of an attempt at one that has left would be laid to the one in its place.
@@ -790,12 +1040,22 @@
     front.probe(0, 1.0, true);
     let (request, actions) = front.request();
     assert_eq!(sent_to(&actions), Some(0));
-    listed(&mut front, vec![Entry { standing: Standing::Gone, ..entry(0) }]);
+    listed(
+        &mut front,
+        vec![Entry {
+            standing: Standing::Gone,
+            ..entry(0)
+        }],
+    );
     // In another zone, where the key's earlier attempt is not known.
     listed(&mut front, vec![entry(1)]);
     listed(&mut front, vec![entry(2)]);
     let actions = front.finish(request, 0, Outcome::Reset, 5.0);
-    assert_eq!(sent_to(&actions), None, "a repeat elsewhere could take effect twice");
+    assert_eq!(
+        sent_to(&actions),
+        None,
+        "a repeat elsewhere could take effect twice"
+    );
     assert_eq!(final_answers(&actions), 1);
     // The new ones are as healthy as they came.
     let sent = front.spread(40);
@@ -805,38 +1065,71 @@
 /// Many balancers' late work filled the upstreams: every answer came after its aim while others were refused.
 #[test]
 fn an_attempt_ends_when_its_answer_is_worth_nothing_any_more() {
-    let ends = |cancel: bool, parallel_tries: bool, late_worth: f64, answer_buffers: Option<u32>| {
-        let mut settings = settings(Effect::Once);
-        settings.limits = Limits { cancel, parallel_tries, answer_buffers, ..settings.limits };
-        settings.classes[0].late_worth = late_worth;
-        let mut front = Front::new(settings, 2);
-        let (request, actions) = front.request();
-        assert!(sent_to(&actions).is_some());
-        let began = front.now;
-        let mut last = Vec::new();
-        while final_answers(&last) == 0 {
-            last = front.at(front.wake, Event::Wake);
-        }
-        assert_eq!(final_answers(&front.seen), 1);
-        let called_off = last.contains(&Action::Cancel { request, attempt: 0 });
-        assert_eq!(called_off, cancel, "what is out is called off with it");
-        assert!(last.contains(&Action::Fail { request }), "an unsafe one that may have run is no refusal");
-        front.now - began
-    };
-    assert_eq!(ends(true, true, 0.0, None), 399.0, "the aim less a step: its client is told in time");
-    assert_eq!(ends(true, true, 0.5, None), 1000.0, "a late answer is worth something");
+    let ends =
+        |cancel: bool, parallel_tries: bool, late_worth: f64, answer_buffers: Option<u32>| {
+            let mut settings = settings(Effect::Once);
+            settings.limits = Limits {
+                cancel,
+                parallel_tries,
+                answer_buffers,
+                ..settings.limits
+            };
+            settings.classes[0].late_worth = late_worth;
+            let mut front = Front::new(settings, 2);
+            let (request, actions) = front.request();
+            assert!(sent_to(&actions).is_some());
+            let began = front.now;
+            let mut last = Vec::new();
+            while final_answers(&last) == 0 {
+                last = front.at(front.wake, Event::Wake);
+            }
+            assert_eq!(final_answers(&front.seen), 1);
+            let called_off = last.contains(&Action::Cancel {
+                request,
+                attempt: 0,
+            });
+            assert_eq!(called_off, cancel, "what is out is called off with it");
+            assert!(
+                last.contains(&Action::Fail { request }),
+                "an unsafe one that may have run is no refusal"
+            );
+            front.now - began
+        };
+    assert_eq!(
+        ends(true, true, 0.0, None),
+        399.0,
+        "the aim less a step: its client is told in time"
+    );
+    assert_eq!(
+        ends(true, true, 0.5, None),
+        1000.0,
+        "a late answer is worth something"
+    );
     assert_eq!(ends(false, true, 0.0, None), 1000.0, "no cancel is allowed");
-    assert_eq!(ends(true, false, 0.0, None), 1000.0, "the work might go on all the same");
+    assert_eq!(
+        ends(true, false, 0.0, None),
+        1000.0,
+        "the work might go on all the same"
+    );
     // lagos-main rough-1: half of all refused, behind few buffers that late answers held.
-    assert_eq!(ends(true, false, 0.0, Some(3)), 399.0, "its answer would hold a buffer that others wait for");
+    assert_eq!(
+        ends(true, false, 0.0, Some(3)),
+        399.0,
+        "its answer would hold a buffer that others wait for"
+    );
 }
 
 /// Answers scatter about the mean that is foretold: where late work ends by itself, one foretold just in time is tried.
 #[test]
 fn where_late_work_ends_by_itself_all_of_the_time_left_may_be_filled() {
-    for (parallel_tries, tail, tried) in [(true, 0.0, true), (false, 0.0, false), (true, 0.4, false)] {
+    for (parallel_tries, tail, tried) in
+        [(true, 0.0, true), (false, 0.0, false), (true, 0.4, false)]
+    {
         let mut settings = settings(Effect::Once);
-        settings.goal = Goal { tail, miss_allowed: 0.02 };
+        settings.goal = Goal {
+            tail,
+            miss_allowed: 0.02,
+        };
         settings.limits.parallel_tries = parallel_tries;
         let mut front = Front::new(settings, 1);
         teach(&mut front, 1, 330.0);
@@ -848,10 +1141,15 @@
 /// lagos-main, a release at full size: queues of late answers choked all upstreams, half of all was refused.
 #[test]
 fn where_only_few_may_miss_and_no_copy_helps_more_room_is_left() {
-    for (parallel_tries, tail, tried) in [(true, 0.4, true), (false, 0.4, false), (false, 0.0, true)] {
+    for (parallel_tries, tail, tried) in
+        [(true, 0.4, true), (false, 0.4, false), (false, 0.0, true)]
+    {
         let mut settings = settings(Effect::Once);
         settings.limits.parallel_tries = parallel_tries;
-        settings.goal = Goal { tail, miss_allowed: 0.02 };
+        settings.goal = Goal {
+            tail,
+            miss_allowed: 0.02,
+        };
         let mut front = Front::new(settings, 1);
         teach(&mut front, 1, 240.0);
         let (_, actions) = front.request();
@@ -861,18 +1159,32 @@
 
 /// A balancer where upstreams are warm for keys: its own seed, and its own numbers for the same upstreams.
 fn keyed(seed: u64, first: u32, upstreams: u32) -> Front {
-    let warm = Settings { warm_keys: true, siblings: 20, ..settings(Effect::Repeatable) };
+    let warm = Settings {
+        warm_keys: true,
+        siblings: 20,
+        ..settings(Effect::Repeatable)
+    };
     let mut front = Front::seeded(warm, seed, 0);
-    let named =
-        |id: u32| Entry { identity: u64::from((id - first) % upstreams), zone: ZoneId(0), ..entry(id) };
+    let named = |id: u32| Entry {
+        identity: u64::from((id - first) % upstreams),
+        zone: ZoneId(0),
+        ..entry(id)
+    };
     // Listed in another order, too.
-    let entries = (first..first + upstreams).map(|id| named(first + (id * 7 + seed as u32) % upstreams));
-    front.feed(Event::List { kind: ListKind::Whole, entries: entries.collect() });
+    let entries =
+        (first..first + upstreams).map(|id| named(first + (id * 7 + seed as u32) % upstreams));
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: entries.collect(),
+    });
     front
 }
 
 fn ask(front: &mut Front, request: u64, key: u64) -> Option<u32> {
-    let arrival = Arrival { key: Some(key), ..arrival(request, front.now) };
+    let arrival = Arrival {
+        key: Some(key),
+        ..arrival(request, front.now)
+    };
     let to = sent_to(&front.feed(Event::Request(arrival)));
     front.finish(RequestId(request), 0, Outcome::Ok, 60.0);
     to
@@ -908,12 +1220,19 @@
         let to = ask(&mut front, n + 1, if n % 2 == 0 { 7 } else { n });
         homes.extend(to.filter(|_| n % 2 == 0));
     }
-    assert!((10..40).contains(&homes.len()), "half of all traffic is no matter of one: {homes:?}");
+    assert!(
+        (10..40).contains(&homes.len()),
+        "half of all traffic is no matter of one: {homes:?}"
+    );
     let mut front = keyed(1, 0, 40);
     let home = ask(&mut front, 1, 7).expect("a send");
     front.feed(Event::List {
         kind: ListKind::Patch,
-        entries: vec![Entry { identity: u64::from(home), standing: Standing::Draining, ..entry(home) }],
+        entries: vec![Entry {
+            identity: u64::from(home),
+            standing: Standing::Draining,
+            ..entry(home)
+        }],
     });
     assert_ne!(ask(&mut front, 2, 7).expect("the next in order"), home);
 }
@@ -933,13 +1252,27 @@
     }
     assert!((4..=20).contains(&probed.len()), "{probed:?}");
     for key in 0.. {
-        let arrival = Arrival { key: Some(key), ..arrival(key + 1, front.now) };
+        let arrival = Arrival {
+            key: Some(key),
+            ..arrival(key + 1, front.now)
+        };
         let to = sent_to(&front.feed(Event::Request(arrival))).expect("a send");
         let good = probed.contains(&to);
-        let then =
-            front.finish(RequestId(key + 1), 0, if good { Outcome::Ok } else { Outcome::ConnectFailed }, 5.0);
+        let then = front.finish(
+            RequestId(key + 1),
+            0,
+            if good {
+                Outcome::Ok
+            } else {
+                Outcome::ConnectFailed
+            },
+            5.0,
+        );
         if !good {
-            assert!(probes(&then).contains(&to), "only a probe can tell that it is back");
+            assert!(
+                probes(&then).contains(&to),
+                "only a probe can tell that it is back"
+            );
             return;
         }
     }
@@ -952,8 +1285,17 @@
     for seed in 0..400 {
         let mut front = Front::seeded(settings(Effect::Repeatable), seed, 0);
         let since = |id: u32| (id == 0).then_some(1000.0);
-        let entries = (0..10).map(|id| Entry { zone: ZoneId(0), since: since(id), ..entry(id) }).collect();
-        front.feed(Event::List { kind: ListKind::Whole, entries });
+        let entries = (0..10)
+            .map(|id| Entry {
+                zone: ZoneId(0),
+                since: since(id),
+                ..entry(id)
+            })
+            .collect();
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries,
+        });
         for n in 0..60 {
             front.now += 1.0;
             let (request, mut actions) = front.request();
@@ -968,7 +1310,10 @@
         }
     }
     assert!(refusals > 10_000, "{refusals}");
-    assert!(cold < 400 * 60 / 10, "no more than an equal part of all: {cold}");
+    assert!(
+        cold < 400 * 60 / 10,
+        "no more than an equal part of all: {cold}"
+    );
 }
 
 /// One pace for all classes refused a long class of little worth beside idle upstreams: ub-calendar's quiet day 20%.
@@ -976,16 +1321,34 @@
 fn a_long_class_is_not_taken_for_a_queue() {
     let mut long = settings(Effect::Repeatable);
     let (patient, worthy) = (class(Effect::Repeatable), class(Effect::Repeatable));
-    let patient = Class { aim: 1000.0, ..patient };
-    long.classes = vec![patient, Class { aim: 250.0, worth: 10.0, ..worthy }];
+    let patient = Class {
+        aim: 1000.0,
+        ..patient
+    };
+    long.classes = vec![
+        patient,
+        Class {
+            aim: 250.0,
+            worth: 10.0,
+            ..worthy
+        },
+    ];
     let mut front = Front::new(long, 4);
     let mut refusals = 0;
     for n in 0..200 {
         front.now += 300.0;
         let class = ClassId(n as usize % 2);
-        let actions = front.feed(Event::Request(Arrival { class, ..arrival(n + 1, front.now) }));
+        let actions = front.feed(Event::Request(Arrival {
+            class,
+            ..arrival(n + 1, front.now)
+        }));
         refusals += usize::from(refused(&actions));
-        front.finish(RequestId(n + 1), 0, Outcome::Ok, if class.0 == 0 { 220.0 } else { 70.0 });
+        front.finish(
+            RequestId(n + 1),
+            0,
+            Outcome::Ok,
+            if class.0 == 0 { 220.0 } else { 70.0 },
+        );
     }
     assert!(refusals < 10, "{refusals}");
 }
@@ -994,13 +1357,18 @@
 #[test]
 fn what_was_called_off_late_teaches_that_its_upstream_is_slow() {
     let copies = settings(Effect::Repeatable);
-    let limits = Limits { parallel_tries: true, ..copies.limits };
+    let limits = Limits {
+        parallel_tries: true,
+        ..copies.limits
+    };
     let mut front = Front::new(Settings { limits, ..copies }, 2);
     let mut to_slow = 0;
     for n in 0..60 {
         front.now += 100.0;
         let (request, actions) = front.request();
-        let Some(to) = sent_to(&actions) else { continue };
+        let Some(to) = sent_to(&actions) else {
+            continue;
+        };
         to_slow += usize::from(n >= 20 && to == 0);
         front.now += 50.0;
         if to != 0 || n < 4 {
@@ -1034,16 +1402,32 @@
     after.limits.max_attempts = 9;
     front.feed(Event::Settings(Box::new(after)));
     let actions = front.finish(request, 0, Outcome::Error, 5.0);
-    assert_eq!(actions.first(), Some(&Action::Fail { request }), "it may have run once");
+    assert_eq!(
+        actions.first(),
+        Some(&Action::Fail { request }),
+        "it may have run once"
+    );
     // The new class counts at once, and the old one again after the way back.
-    let fresh = Arrival { class: ClassId(1), ..arrival(700, front.now) };
+    let fresh = Arrival {
+        class: ClassId(1),
+        ..arrival(700, front.now)
+    };
     assert!(sent_to(&front.feed(Event::Request(fresh))).is_some());
     front.feed(Event::Settings(Box::new(Settings {
-        classes: vec![class(Effect::Once), Class { offered: false, ..class(Effect::Repeatable) }],
+        classes: vec![
+            class(Effect::Once),
+            Class {
+                offered: false,
+                ..class(Effect::Repeatable)
+            },
+        ],
         ..before
     })));
     let again = front.finish(RequestId(700), 0, Outcome::Error, 5.0);
-    assert!(sent_to(&again).is_some(), "it came as one that may be repeated");
+    assert!(
+        sent_to(&again).is_some(),
+        "it came as one that may be repeated"
+    );
     assert!(sent_to(&front.request().1).is_some());
 }
 
@@ -1051,10 +1435,17 @@
 #[test]
 fn a_class_that_left_limits_nobody() {
     let mut left = settings(Effect::Repeatable);
-    left.classes.push(Class { aim: 5.0, worth: 9.0, ..class(Effect::Repeatable) });
+    left.classes.push(Class {
+        aim: 5.0,
+        worth: 9.0,
+        ..class(Effect::Repeatable)
+    });
     let mut front = Front::new(left.clone(), 2);
     teach(&mut front, 6, 60.0);
-    assert!(refused(&front.request().1), "the worthier would have no room");
+    assert!(
+        refused(&front.request().1),
+        "the worthier would have no room"
+    );
     left.classes[1].offered = false;
     front.feed(Event::Settings(Box::new(left)));
     assert!(sent_to(&front.request().1).is_some());
@@ -1069,7 +1460,9 @@
         dear.penalties.waste = waste;
         let mut front = Front::new(dear, 1);
         teach(&mut front, 10, 60.0);
-        (0..40).filter(|_| sent_to(&front.request().1).is_some()).count()
+        (0..40)
+            .filter(|_| sent_to(&front.request().1).is_some())
+            .count()
     };
     let (cheap, dear) = (sent(0.0), sent(0.3));
     assert!(dear > 0 && dear * 2 < cheap, "{dear} {cheap}");
@@ -1091,7 +1484,10 @@
         attempts.push(tries);
     }
     assert!(attempts[..2].iter().all(|tries| *tries > 2), "{attempts:?}");
-    assert!(attempts[5..20].iter().filter(|tries| **tries == 2).count() > 12, "{attempts:?}");
+    assert!(
+        attempts[5..20].iter().filter(|tries| **tries == 2).count() > 12,
+        "{attempts:?}"
+    );
 }
 
 /// Settings of a class that keeps order and must not run twice; a key rests 200 ms.
@@ -1103,7 +1499,10 @@
 }
 
 fn ask_with_key(front: &mut Front, request: u64, key: u64) -> Vec<Action> {
-    front.feed(Event::Request(Arrival { key: Some(key), ..arrival(request, front.now) }))
+    front.feed(Event::Request(Arrival {
+        key: Some(key),
+        ..arrival(request, front.now)
+    }))
 }
 
 #[test]
@@ -1113,15 +1512,33 @@
     assert!(sent_to(&ask_with_key(&mut front, 1, 7)).is_some());
     assert!(sent_to(&ask_with_key(&mut front, 2, 7)).is_none());
     assert!(sent_to(&ask_with_key(&mut front, 3, 7)).is_none());
-    assert!(sent_to(&ask_with_key(&mut front, 4, 8)).is_some(), "another key is free");
+    assert!(
+        sent_to(&ask_with_key(&mut front, 4, 8)).is_some(),
+        "another key is free"
+    );
     front.now += 10.0;
     // Its own second try is not held up; the others still wait.
     let again = front.finish(RequestId(1), 0, Outcome::Full, 10.0);
-    assert!(matches!(again[0], Action::Send { request: RequestId(1), .. }));
+    assert!(matches!(
+        again[0],
+        Action::Send {
+            request: RequestId(1),
+            ..
+        }
+    ));
     front.now += 10.0;
     let next = front.finish(RequestId(1), 1, Outcome::Ok, 10.0);
-    let sends: Vec<&Action> = next.iter().filter(|a| matches!(a, Action::Send { .. })).collect();
-    assert!(matches!(sends[..], [Action::Send { request: RequestId(2), .. }]));
+    let sends: Vec<&Action> = next
+        .iter()
+        .filter(|a| matches!(a, Action::Send { .. }))
+        .collect();
+    assert!(matches!(
+        sends[..],
+        [Action::Send {
+            request: RequestId(2),
+            ..
+        }]
+    ));
     // One whose client has gone leaves its place; the one before it is not over.
     assert!(sent_to(&front.feed(Event::ClientGone(RequestId(3)))).is_none());
     front.finish(RequestId(2), 0, Outcome::Ok, 10.0);
@@ -1167,9 +1584,17 @@
     };
     // Another answer would no longer be in time: told at once, with advice, and not at the deadline.
     assert!(front.now < aim - 50.0);
-    assert!(answered.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(_), .. })));
+    assert!(answered.iter().any(|a| matches!(
+        a,
+        Action::Refuse {
+            retry_after: Some(_),
+            ..
+        }
+    )));
     // A key that very many ask for: what can't come to its turn in time is refused as it comes.
-    let refused = (10..40).filter(|n| final_answers(&ask_with_key(&mut front, *n, 7)) > 0).count();
+    let refused = (10..40)
+        .filter(|n| final_answers(&ask_with_key(&mut front, *n, 7)) > 0)
+        .count();
     assert!(refused > 20, "{refused}");
 }
 
@@ -1179,11 +1604,17 @@
     skewed.rules.deadline_error = 1500.0;
     let mut front = Front::new(skewed, 4);
     let told = front.now - 300.0;
-    let sent = front.feed(Event::Request(Arrival { not_after: told, ..arrival(1, front.now) }));
+    let sent = front.feed(Event::Request(Arrival {
+        not_after: told,
+        ..arrival(1, front.now)
+    }));
     assert!(sent_to(&sent).is_some());
     // Told too long, it is answered within its class's time.
     let came = front.now;
-    front.feed(Event::Request(Arrival { not_after: came + 2400.0, ..arrival(2, came) }));
+    front.feed(Event::Request(Arrival {
+        not_after: came + 2400.0,
+        ..arrival(2, came)
+    }));
     while final_answers(&front.at(front.wake, Event::Wake)) == 0 {}
     assert!(front.now <= came + 1000.0);
 }
@@ -1195,13 +1626,22 @@
         soft.rules.soft_removal = soft_removal;
         let mut front = Front::new(soft, 2);
         let list = |front: &mut Front, id, standing| {
-            let entries = vec![Entry { standing, ..entry(id) }];
-            front.feed(Event::List { kind: ListKind::Patch, entries });
+            let entries = vec![Entry {
+                standing,
+                ..entry(id)
+            }];
+            front.feed(Event::List {
+                kind: ListKind::Patch,
+                entries,
+            });
         };
         list(&mut front, 1, Standing::Gone);
         assert_eq!(front.spread(50).contains(&1), soft_removal);
         // Left out of a full list is no more than that either.
-        front.feed(Event::List { kind: ListKind::Whole, entries: vec![entry(0)] });
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries: vec![entry(0)],
+        });
         assert_eq!(front.spread(50).contains(&1), soft_removal);
         // A drain binds, whatever the list says after it.
         list(&mut front, 0, Standing::Draining);
@@ -1217,10 +1657,18 @@
         drifting.rules.start_drift = start_drift;
         let mut front = Front::new(drifting, 2);
         let since = Some(front.now - 8000.0);
-        front.feed(Event::List { kind: ListKind::Patch, entries: vec![Entry { since, ..entry(1) }] });
+        front.feed(Event::List {
+            kind: ListKind::Patch,
+            entries: vec![Entry { since, ..entry(1) }],
+        });
         front.spread(400).iter().filter(|to| **to == 1).count()
     };
-    assert!(sends(6000.0) * 3 < sends(0.0) * 2, "{} {}", sends(6000.0), sends(0.0));
+    assert!(
+        sends(6000.0) * 3 < sends(0.0) * 2,
+        "{} {}",
+        sends(6000.0),
+        sends(0.0)
+    );
 }
 
 /// portail-rural: 83% of requests crossed zones at a fifth of a request's worth each.
@@ -1231,26 +1679,41 @@
         priced.penalties.cross_zone = cross_zone;
         priced.warm_keys = warm_keys;
         let mut front = Front::new(priced, 0);
-        let zoned = |id: u32| Entry { zone: ZoneId(id % 3), ..entry(id) };
+        let zoned = |id: u32| Entry {
+            zone: ZoneId(id % 3),
+            ..entry(id)
+        };
         let mut entries: Vec<Entry> = (0..12).map(zoned).collect();
-        front.feed(Event::List { kind: ListKind::Whole, entries: entries.clone() });
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries: entries.clone(),
+        });
         // Deep probes wait in the queues of the near ones.
         (0..12).for_each(|id| drop(front.probe(id, if id % 3 == 0 { 60.0 } else { 8.0 }, true)));
         let to = |front: &mut Front, n: u64| {
-            ask(front, n, n % 40).unwrap_or_else(|| panic!("no send of {n}, {cross_zone} {warm_keys}")) % 3
+            ask(front, n, n % 40)
+                .unwrap_or_else(|| panic!("no send of {n}, {cross_zone} {warm_keys}"))
+                % 3
         };
         let far = (100..300).filter(|n| to(&mut front, *n) != 0).count();
         assert_eq!(far > 0, cross_zone == 0.0, "{far} of 200 crossed");
         // A queue in the own zone says nothing of the others: they are tried before a near one is filled up.
         if cross_zone > 0.0 {
             (400..460).for_each(|n| drop(front.feed(Event::Request(arrival(n, front.now)))));
-            let crossed = |a: &Action| matches!(a, Action::Send { upstream, .. } if upstream.0 % 3 != 0);
-            let sent = front.seen[front.seen.len() - 60..].iter().filter(|a| crossed(a)).count();
+            let crossed =
+                |a: &Action| matches!(a, Action::Send { upstream, .. } if upstream.0 % 3 != 0);
+            let sent = front.seen[front.seen.len() - 60..]
+                .iter()
+                .filter(|a| crossed(a))
+                .count();
             assert!(sent > 10, "{sent} of 60 crossed");
         }
         // None near: the far ones serve.
         entries.retain(|entry| entry.zone != ZoneId(0));
-        front.feed(Event::List { kind: ListKind::Whole, entries });
+        front.feed(Event::List {
+            kind: ListKind::Whole,
+            entries,
+        });
         assert!((300..340).all(|n| to(&mut front, n) != 0));
     }
 }
@@ -1258,7 +1721,10 @@
 /// windhoek-stock big-2: 64 upstreams in each part, half of all attempts found no connection.
 #[test]
 fn a_part_is_no_larger_than_its_cover_by_all_balancers_asks_for() {
-    let mut cheap = Settings { siblings: 200, ..settings(Effect::Repeatable) };
+    let mut cheap = Settings {
+        siblings: 200,
+        ..settings(Effect::Repeatable)
+    };
     cheap.penalties.probe = 0.0;
     let mut front = Front::new(cheap, 120);
     let mut used = front.spread(300);
@@ -1274,10 +1740,29 @@
     priced.penalties.cross_zone = 0.2;
     let mut front = Front::new(priced, 0);
     let since = Some(front.now - 1.0);
-    let cold = Entry { since, zone: ZoneId(0), ..entry(0) };
-    let far = (2..6).map(|id| Entry { zone: ZoneId(1), ..entry(id) });
-    let entries = [cold, Entry { zone: ZoneId(0), ..entry(1) }].into_iter().chain(far).collect();
-    front.feed(Event::List { kind: ListKind::Whole, entries });
+    let cold = Entry {
+        since,
+        zone: ZoneId(0),
+        ..entry(0)
+    };
+    let far = (2..6).map(|id| Entry {
+        zone: ZoneId(1),
+        ..entry(id)
+    });
+    let entries = [
+        cold,
+        Entry {
+            zone: ZoneId(0),
+            ..entry(1)
+        },
+    ]
+    .into_iter()
+    .chain(far)
+    .collect();
+    front.feed(Event::List {
+        kind: ListKind::Whole,
+        entries,
+    });
     (0..6).for_each(|id| drop(front.probe(id, if id < 2 { 1.0 } else { 8.0 }, true)));
     // Far more than can be done: each takes 20 ms for one after the other.
     let (mut out, mut free) = (std::collections::BTreeMap::new(), [0.0f64; 6]);
@@ -1293,7 +1778,10 @@
         }
         if let Some(to) = sent_to(&front.feed(Event::Request(arrival(n, front.now)))) {
             free[to as usize] = free[to as usize].max(front.now) + 20.0;
-            out.insert((free[to as usize] * 1000.0) as u64 + n, (RequestId(n), front.now));
+            out.insert(
+                (free[to as usize] * 1000.0) as u64 + n,
+                (RequestId(n), front.now),
+            );
             sent += 1.0;
             to_cold += f64::from(u8::from(to == 0));
         }
@@ -1319,8 +1807,16 @@
         while front.wake <= until && front.wake > front.now {
             front.at(front.wake, Event::Wake);
         }
-        assert_eq!(front.seen.contains(&Action::Fail { request: eldest }), ended, "{buffers:?}");
-        assert_eq!(final_answers(&front.seen), usize::from(ended), "the others go on");
+        assert_eq!(
+            front.seen.contains(&Action::Fail { request: eldest }),
+            ended,
+            "{buffers:?}"
+        );
+        assert_eq!(
+            final_answers(&front.seen),
+            usize::from(ended),
+            "the others go on"
+        );
     }
 }
 
@@ -1340,11 +1836,25 @@
         front.now += 2.0;
         // One of them fails three of four by itself, all others each third for its request's sake.
         let error = if to == 5 { n % 4 != 0 } else { n % 3 == 0 };
-        front.finish(request, 0, if error { Outcome::Error } else { Outcome::Ok }, 2.0);
+        front.finish(
+            request,
+            0,
+            if error { Outcome::Error } else { Outcome::Ok },
+            2.0,
+        );
     }
     assert_eq!(refused_at_last, 0);
-    let sent: Vec<u32> = front.seen.iter().filter_map(|a| sent_to(std::slice::from_ref(a))).collect();
+    let sent: Vec<u32> = front
+        .seen
+        .iter()
+        .filter_map(|a| sent_to(std::slice::from_ref(a)))
+        .collect();
     let late = &sent[sent.len() - 300..];
     let share = |id: u32| late.iter().filter(|to| **to == id).count();
-    assert!(share(5) * 2 < share(0), "{} {}: the failing one still rests", share(5), share(0));
+    assert!(
+        share(5) * 2 < share(0),
+        "{} {}: the failing one still rests",
+        share(5),
+        share(0)
+    );
 }
--- a/crates/sandtrack-balancer/tests/invariants.rs
+++ b/crates/sandtrack-balancer/tests/invariants.rs
@@ -74,7 +74,9 @@
     fn feed(&mut self, event: Event) {
         for action in self.front.feed(event) {
             match action {
-                Action::Send { request, upstream, .. } => self.sent(request.0, upstream.0),
+                Action::Send {
+                    request, upstream, ..
+                } => self.sent(request.0, upstream.0),
                 Action::Refuse { request, .. } => self.answered(request.0, true),
                 Action::Fail { request } => self.answered(request.0, false),
                 Action::Cancel { request, attempt } => {
@@ -89,38 +91,71 @@
         let now = self.front.now;
         self.keeps_order(id);
         let settings = &self.settings;
-        assert!(!self.closed_to_new.contains(&upstream), "sent to a draining or gone upstream");
+        assert!(
+            !self.closed_to_new.contains(&upstream),
+            "sent to a draining or gone upstream"
+        );
         let ledger = self.requests.get_mut(&id).unwrap();
         assert!(!ledger.closed, "sent for a closed request");
-        assert!(now < ledger.not_after || settings.rules.deadline_error > 0.0, "sent past the deadline");
+        assert!(
+            now < ledger.not_after || settings.rules.deadline_error > 0.0,
+            "sent past the deadline"
+        );
         assert!(ledger.sent.len() < 4, "more attempts than allowed");
         let out = ledger.sent.iter().filter(|s| s.outcome.is_none()).count();
-        assert!(settings.limits.parallel_tries || out == 0, "two attempts out together");
+        assert!(
+            settings.limits.parallel_tries || out == 0,
+            "two attempts out together"
+        );
         for earlier in ledger.sent.iter().filter(|s| !s.never_ran()) {
             match settings.classes[ledger.class].effect {
                 Effect::Repeatable => {}
                 Effect::Once => panic!("an unsafe request was sent again"),
                 Effect::Keyed { group, window } => {
                     // Every upstream is a zone and a cell of its own here.
-                    assert!(group == Group::All || earlier.upstream == upstream, "left its group");
+                    assert!(
+                        group == Group::All || earlier.upstream == upstream,
+                        "left its group"
+                    );
                     assert!(now <= earlier.at + window, "past its window");
                 }
             }
         }
-        ledger.sent.push(Sent { upstream, at: now, outcome: None });
+        ledger.sent.push(Sent {
+            upstream,
+            at: now,
+            outcome: None,
+        });
     }
 
     /// Nothing for one while an earlier one of its key is not over, is out, or the key rests after it.
     fn keeps_order(&self, id: u64) {
         let (classes, now) = (&self.settings.classes, self.front.now);
         let ordered = |ledger: &Ledger| ledger.key.filter(|_| classes[ledger.class].in_order);
-        let Some(key) = ordered(&self.requests[&id]) else { return };
-        for (_, earlier) in self.requests.range(..id).filter(|(_, ledger)| ordered(ledger) == Some(key)) {
-            assert!(earlier.closed, "sent while an earlier one of its key was open");
+        let Some(key) = ordered(&self.requests[&id]) else {
+            return;
+        };
+        for (_, earlier) in self
+            .requests
+            .range(..id)
+            .filter(|(_, ledger)| ordered(ledger) == Some(key))
+        {
+            assert!(
+                earlier.closed,
+                "sent while an earlier one of its key was open"
+            );
             for sent in &earlier.sent {
-                let (outcome, at) = sent.outcome.expect("sent while an attempt of its key was out");
-                let may_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-                assert!(!may_run || now >= at + self.settings.rules.turn_gap, "sent while its key rested");
+                let (outcome, at) = sent
+                    .outcome
+                    .expect("sent while an attempt of its key was out");
+                let may_run = matches!(
+                    outcome,
+                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+                );
+                assert!(
+                    !may_run || now >= at + self.settings.rules.turn_gap,
+                    "sent while its key rested"
+                );
             }
         }
     }
@@ -133,7 +168,10 @@
         assert!(now <= latest, "answered too late");
         let may_have_run = ledger.sent.iter().any(|s| !s.never_ran());
         let harmless = match self.settings.classes[ledger.class].effect {
-            Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Repeatable
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             _ => !may_have_run,
         };
         assert!(!refused || harmless, "a refusal that promises too much");
@@ -152,7 +190,14 @@
         let (closed, elapsed) = (ledger.closed, now - ledger.sent[attempt].at);
         let attempt = attempt as u32;
         let request = RequestId(id);
-        self.feed(Event::Finished(Finished { request, attempt, outcome, elapsed, closed, report: None }));
+        self.feed(Event::Finished(Finished {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            report: None,
+        }));
     }
 
     /// Lets time pass in steps of at most 1 ms past each wake, as the wire does; overdue attempts time out.
--- a/crates/sandtrack-cli/src/call.rs
+++ b/crates/sandtrack-cli/src/call.rs
@@ -38,7 +38,12 @@
 
     /// The change of named items of `body`, as it is.
     pub fn update(based_on: u64, body: Vec<u8>) -> Call {
-        Call { method: "POST", target: "/v1/configuration/update".to_owned(), based_on: Some(based_on), body }
+        Call {
+            method: "POST",
+            target: "/v1/configuration/update".to_owned(),
+            based_on: Some(based_on),
+            body,
+        }
     }
 
     pub fn read() -> Call {
@@ -50,7 +55,12 @@
     }
 
     fn get(target: &str) -> Call {
-        Call { method: "GET", target: target.to_owned(), based_on: None, body: Vec::new() }
+        Call {
+            method: "GET",
+            target: target.to_owned(),
+            based_on: None,
+            body: Vec::new(),
+        }
     }
 
     /// `zone` is a name that can stand in a path.
@@ -89,10 +99,17 @@
     pub fn bytes(&self, address: SocketAddr, target: &str) -> Vec<u8> {
         let host = address.to_string();
         let based_on = self.based_on.map(|version| version.to_string());
-        let based_on = based_on.as_deref().map(|version| ("Based-On-Version", version));
+        let based_on = based_on
+            .as_deref()
+            .map(|version| ("Based-On-Version", version));
         let kind = (!self.body.is_empty()).then_some(("Content-Type", "application/json"));
         let headers = [("Host", host.as_str()), ("Connection", "close")].into_iter();
-        message::request(self.method, target, headers.chain(based_on).chain(kind), &self.body)
+        message::request(
+            self.method,
+            target,
+            headers.chain(based_on).chain(kind),
+            &self.body,
+        )
     }
 }
 
@@ -100,14 +117,20 @@
 pub fn told(answer: &Message) -> CliError {
     let mut body = answer.body.clone();
     let value = simd_json::to_owned_value(&mut body).unwrap_or_default();
-    let code =
-        value.get_str("code").and_then(|code| code.strip_prefix('E')).and_then(|code| code.parse().ok());
+    let code = value
+        .get_str("code")
+        .and_then(|code| code.strip_prefix('E'))
+        .and_then(|code| code.parse().ok());
     let text = |field: &str| value.get_str(field).map(str::to_owned);
     match code {
         Some(number) => {
             let code = Code(number);
             let what = text("what").unwrap_or_else(|| code.meaning().to_owned());
-            CliError::Coded { code, place: text("place").unwrap_or_default(), what }
+            CliError::Coded {
+                code,
+                place: text("place").unwrap_or_default(),
+                what,
+            }
         }
         None => {
             let status = answer.head.status;
@@ -134,5 +157,10 @@
 fn told_code(answer: &Message) -> Option<Code> {
     let mut body = answer.body.clone();
     let value = simd_json::to_owned_value(&mut body).ok()?;
-    value.get_str("code")?.strip_prefix('E')?.parse().ok().map(Code)
+    value
+        .get_str("code")?
+        .strip_prefix('E')?
+        .parse()
+        .ok()
+        .map(Code)
 }
--- a/crates/sandtrack-cli/src/cli.rs
+++ b/crates/sandtrack-cli/src/cli.rs
@@ -64,18 +64,27 @@
 /// What is no `IP:PORT`.
 pub fn addresses(text: &str) -> Result<Vec<SocketAddr>, String> {
     let parse = |word: &str| word.parse().map_err(|_| format!("`{word}` is no IP:PORT"));
-    text.split(',').map(str::trim).filter(|word| !word.is_empty()).map(parse).collect()
+    text.split(',')
+        .map(str::trim)
+        .filter(|word| !word.is_empty())
+        .map(parse)
+        .collect()
 }
 
 /// Seconds as ms.
 fn seconds(text: String) -> Result<Millis, String> {
-    let number: f64 = text.parse().map_err(|_| format!("`{text}` is no number of seconds"))?;
+    let number: f64 = text
+        .parse()
+        .map_err(|_| format!("`{text}` is no number of seconds"))?;
     let fits = number.is_finite() && number > 0.0 && number <= 1e6;
-    fits.then_some(number * 1000.0).ok_or_else(|| format!("`{text}`: above 0 and at most 1,000,000 s"))
+    fits.then_some(number * 1000.0)
+        .ok_or_else(|| format!("`{text}`: above 0 and at most 1,000,000 s"))
 }
 
 fn common() -> impl Parser<Common> {
-    let json = long("json").help("Results as JSON, one object a line").switch();
+    let json = long("json")
+        .help("Results as JSON, one object a line")
+        .switch();
     let control = long("control")
         .help("Control addresses, IP:PORT joined by commas, asked in turn; else those of SANDTRACK_CONTROL")
         .argument::<String>("ADDRESSES")
@@ -86,7 +95,11 @@
         .argument::<String>("SECONDS")
         .parse(seconds)
         .optional();
-    construct!(Common { json, control, within })
+    construct!(Common {
+        json,
+        control,
+        within
+    })
 }
 
 fn options(command: impl Parser<Command>) -> impl Parser<Options> {
@@ -108,10 +121,18 @@
         .help("Version that it builds on, 0 for the first; else what is current")
         .argument::<u64>("N")
         .optional();
-    let dry_run =
-        long("dry-run").help("Check it against what is in force and show what would change").switch();
+    let dry_run = long("dry-run")
+        .help("Check it against what is in force and show what would change")
+        .switch();
     let file = positional::<PathBuf>("FILE");
-    options(construct!(Change { based_on, dry_run, file }).map(wrap))
+    options(
+        construct!(Change {
+            based_on,
+            dry_run,
+            file
+        })
+        .map(wrap),
+    )
 }
 
 fn just(command: Command) -> impl Parser<Options> {
@@ -126,7 +147,9 @@
     let put = change(Command::Put)
         .to_options()
         .descr("Puts a whole configuration in force")
-        .footer("Example: sandtrackctl configuration put --control 10.1.0.13:8166 configuration.json")
+        .footer(
+            "Example: sandtrackctl configuration put --control 10.1.0.13:8166 configuration.json",
+        )
         .command("put")
         .help("Put a whole configuration in force");
     let update = change(Command::Update)
@@ -191,8 +214,11 @@
 
 fn route() -> impl Parser<Options> {
     let host = positional::<String>("HOST");
-    let path = positional::<String>("PATH").guard(|path| path.starts_with('/'), "PATH begins with a slash");
-    let file = positional::<PathBuf>("FILE").help("A configuration; else the one in force").optional();
+    let path = positional::<String>("PATH")
+        .guard(|path| path.starts_with('/'), "PATH begins with a slash");
+    let file = positional::<PathBuf>("FILE")
+        .help("A configuration; else the one in force")
+        .optional();
     options(construct!(Command::Route { host, path, file }))
         .to_options()
         .descr("Shows which route and service a request takes, and why")
@@ -202,8 +228,14 @@
 }
 
 fn follow() -> impl Parser<Options> {
-    let length = long("for").help("How long (60)").argument::<String>("SECONDS").parse(seconds);
-    let every = long("every").help("How often it is looked (1)").argument::<String>("SECONDS").parse(seconds);
+    let length = long("for")
+        .help("How long (60)")
+        .argument::<String>("SECONDS")
+        .parse(seconds);
+    let every = long("every")
+        .help("How often it is looked (1)")
+        .argument::<String>("SECONDS")
+        .parse(seconds);
     let (length, every) = (length.fallback(60_000.0), every.fallback(1000.0));
     options(construct!(Command::Follow { length, every }))
         .to_options()
--- a/crates/sandtrack-cli/src/difference.rs
+++ b/crates/sandtrack-cli/src/difference.rs
@@ -59,22 +59,37 @@
     }
     for (list, items) in &from.lists {
         let kept = to.list(list).unwrap_or_default();
-        for item in items.iter().filter(|item| !kept.iter().any(|kept| kept.name == item.name)) {
+        for item in items
+            .iter()
+            .filter(|item| !kept.iter().any(|kept| kept.name == item.name))
+        {
             all.push(removed(format!("{list} `{}`", item.name), &item.value));
         }
     }
-    for (name, value) in from.fields.iter().filter(|(name, _)| to.field(name).is_none()) {
+    for (name, value) in from
+        .fields
+        .iter()
+        .filter(|(name, _)| to.field(name).is_none())
+    {
         all.push(removed(name.clone(), value));
     }
     all
 }
 
 fn added(place: String, value: &OwnedValue) -> Difference {
-    Difference { place, from: None, to: Some(value.encode()) }
+    Difference {
+        place,
+        from: None,
+        to: Some(value.encode()),
+    }
 }
 
 fn removed(place: String, value: &OwnedValue) -> Difference {
-    Difference { place, from: Some(value.encode()), to: None }
+    Difference {
+        place,
+        from: Some(value.encode()),
+        to: None,
+    }
 }
 
 /// Objects field by field; anything else as a whole.
@@ -84,7 +99,11 @@
     }
     let (Some(old), Some(new)) = (from.as_object(), to.as_object()) else {
         let (from, to) = (Some(from.encode()), Some(to.encode()));
-        return all.push(Difference { place: place.to_owned(), from, to });
+        return all.push(Difference {
+            place: place.to_owned(),
+            from,
+            to,
+        });
     };
     let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
     names.sort_unstable();
--- a/crates/sandtrack-cli/src/error.rs
+++ b/crates/sandtrack-cli/src/error.rs
@@ -15,13 +15,21 @@
     Usage(String),
     /// With its place, as control tells it and as a check without control finds it.
     #[error("{code} {place}: {what}")]
-    Coded { code: Code, place: String, what: String },
+    Coded {
+        code: Code,
+        place: String,
+        what: String,
+    },
 }
 
 impl CliError {
     /// A code at a place, in the words of the table.
     pub fn coded(code: Code, place: impl Into<String>) -> CliError {
-        CliError::Coded { code, place: place.into(), what: code.meaning().to_owned() }
+        CliError::Coded {
+            code,
+            place: place.into(),
+            what: code.meaning().to_owned(),
+        }
     }
 
     /// The hundreds of the code: 1 settings, 2 configuration, 3 control, 4 requests, 5 disk.
@@ -46,7 +54,11 @@
 
 impl From<Invalid> for CliError {
     fn from(invalid: Invalid) -> CliError {
-        CliError::Coded { code: invalid.code, place: invalid.place, what: invalid.what }
+        CliError::Coded {
+            code: invalid.code,
+            place: invalid.place,
+            what: invalid.what,
+        }
     }
 }
 
--- a/crates/sandtrack-cli/src/explain.rs
+++ b/crates/sandtrack-cli/src/explain.rs
@@ -18,16 +18,27 @@
 ///
 /// # Errors
 /// Where none matches, with what there is instead.
-pub fn explain(configuration: &Configuration, host: &str, path: &str) -> Result<Explanation, CliError> {
+pub fn explain(
+    configuration: &Configuration,
+    host: &str,
+    path: &str,
+) -> Result<Explanation, CliError> {
     let path = origin_form(path);
     match configuration.route_of_request(host, &path).cloned() {
         Some(route) => {
             let also = |other: &&Route| {
-                other.host == route.host && other.name != route.name && path.starts_with(&other.path_prefix)
+                other.host == route.host
+                    && other.name != route.name
+                    && path.starts_with(&other.path_prefix)
             };
-            let mut others: Vec<Route> = configuration.routes.iter().filter(also).cloned().collect();
+            let mut others: Vec<Route> =
+                configuration.routes.iter().filter(also).cloned().collect();
             others.sort_by_key(|other| std::cmp::Reverse(other.path_prefix.len()));
-            Ok(Explanation { version: configuration.version, route, others })
+            Ok(Explanation {
+                version: configuration.version,
+                route,
+                others,
+            })
         }
         None => {
             let host = host.to_ascii_lowercase();
@@ -41,7 +52,10 @@
                 [] => format!("no route has host `{host}`"),
                 prefixes => format!("host `{host}` has only {}", prefixes.join(" ")),
             };
-            Err(CliError::coded(codes::NO_ROUTE, format!("version {}: {why}", configuration.version)))
+            Err(CliError::coded(
+                codes::NO_ROUTE,
+                format!("version {}: {why}", configuration.version),
+            ))
         }
     }
 }
@@ -50,7 +64,11 @@
     /// Services with their share of the requests.
     fn shares(&self) -> Vec<(&str, f64)> {
         let all: f64 = self.route.split.iter().map(|(_, weight)| weight).sum();
-        self.route.split.iter().map(|(service, weight)| (service.as_str(), weight / all)).collect()
+        self.route
+            .split
+            .iter()
+            .map(|(service, weight)| (service.as_str(), weight / all))
+            .collect()
     }
 
     fn kind(&self) -> &'static str {
@@ -64,8 +82,14 @@
     pub fn lines(&self) -> Vec<String> {
         let route = &self.route;
         let shares = self.shares();
-        let shares = shares.iter().map(|(service, share)| format!("{service} {:.1}%", share * 100.0));
-        let again = if route.is_idempotent() { "may run more than once" } else { "runs at most once" };
+        let shares = shares
+            .iter()
+            .map(|(service, share)| format!("{service} {:.1}%", share * 100.0));
+        let again = if route.is_idempotent() {
+            "may run more than once"
+        } else {
+            "runs at most once"
+        };
         let homes = match route.home_regions.as_slice() {
             [] => "any region".to_owned(),
             homes => format!("{} only", homes.join(", ")),
@@ -78,7 +102,10 @@
             ),
         ];
         for other in &self.others {
-            lines.push(format!("  matches too: {} with {}", other.name, other.path_prefix));
+            lines.push(format!(
+                "  matches too: {} with {}",
+                other.name, other.path_prefix
+            ));
         }
         lines.push(format!("service {}", shares.collect::<Vec<_>>().join(", ")));
         lines.push(format!(
@@ -97,7 +124,9 @@
     pub fn to_json(&self) -> String {
         let quote = |text: &str| format!("\"{}\"", escape(text));
         let shares = self.shares();
-        let shares = shares.iter().map(|(service, share)| format!("{}:{share}", quote(service)));
+        let shares = shares
+            .iter()
+            .map(|(service, share)| format!("{}:{share}", quote(service)));
         let others = self.others.iter().map(|other| quote(&other.name));
         format!(
             "{{\"version_number\":{},\"route\":{},\"host\":{},\"path_prefix\":{},\"others\":[{}],\"services\":{{{}}},\"kind\":\"{}\",\"idempotent\":{}}}",
--- a/crates/sandtrack-cli/src/program.rs
+++ b/crates/sandtrack-cli/src/program.rs
@@ -34,7 +34,10 @@
     /// # Errors
     /// Where no whole answer came.
     fn exchange(
-        &mut self, address: SocketAddr, request: &[u8], silence: Millis,
+        &mut self,
+        address: SocketAddr,
+        request: &[u8],
+        silence: Millis,
     ) -> Result<Message, TransportError>;
     /// A line of results.
     fn print(&mut self, line: &str);
@@ -49,7 +52,9 @@
 
 impl Default for System {
     fn default() -> System {
-        System { began: Instant::now() }
+        System {
+            began: Instant::now(),
+        }
     }
 }
 
@@ -63,7 +68,10 @@
     }
 
     fn exchange(
-        &mut self, address: SocketAddr, request: &[u8], silence: Millis,
+        &mut self,
+        address: SocketAddr,
+        request: &[u8],
+        silence: Millis,
     ) -> Result<Message, TransportError> {
         exchange(address, request, silence)
     }
@@ -97,11 +105,20 @@
     };
     let Options { common, command } = options;
     let json = common.json;
-    let mut sandtrackctl = Sandtrackctl { common, environment, world, turn: 0 };
+    let mut sandtrackctl = Sandtrackctl {
+        common,
+        environment,
+        world,
+        turn: 0,
+    };
     match sandtrackctl.carry_out(command) {
         Ok(()) => 0,
         Err(error) => {
-            let line = if json { error.to_json() } else { error.to_string() };
+            let line = if json {
+                error.to_json()
+            } else {
+                error.to_string()
+            };
             world.complain(&line);
             error.exit_code()
         }
@@ -116,7 +133,10 @@
 
 impl InForce {
     fn none() -> InForce {
-        InForce { document: Document::default(), configuration: None }
+        InForce {
+            document: Document::default(),
+            configuration: None,
+        }
     }
 }
 
@@ -155,8 +175,11 @@
             }
             Command::EvacuationStatus => {
                 let (_, status) = self.status()?;
-                let zones: Vec<String> =
-                    status.evacuated.iter().map(|zone| format!("\"{}\"", escape(zone))).collect();
+                let zones: Vec<String> = status
+                    .evacuated
+                    .iter()
+                    .map(|zone| format!("\"{}\"", escape(zone)))
+                    .collect();
                 let json = format!("{{\"evacuated\":[{}]}}", zones.join(","));
                 self.tell(&format!("evacuated: {}", status.evacuated_line()), &json);
                 self.warn(&status);
@@ -166,7 +189,10 @@
                 let (body, status) = self.status()?;
                 match self.common.json {
                     true => self.world.print(&body),
-                    false => status.lines().iter().for_each(|line| self.world.print(line)),
+                    false => status
+                        .lines()
+                        .iter()
+                        .for_each(|line| self.world.print(line)),
                 }
                 Ok(())
             }
@@ -179,7 +205,10 @@
                 let explanation = explain(&configuration.ok_or_else(none)?, &host, &path)?;
                 match self.common.json {
                     true => self.world.print(&explanation.to_json()),
-                    false => explanation.lines().iter().for_each(|line| self.world.print(line)),
+                    false => explanation
+                        .lines()
+                        .iter()
+                        .for_each(|line| self.world.print(line)),
                 }
                 Ok(())
             }
@@ -226,13 +255,15 @@
                     if (200..300).contains(&answer.head.status) {
                         return Ok(answer);
                     }
-                    return Err(match (told(&answer), retry.is_unclear() && call.is_order()) {
-                        (CliError::Coded { code, place, what }, true) => {
-                            let what = format!("{what}; an earlier try got no clear answer");
-                            CliError::Coded { code, place, what }
-                        }
-                        (error, _) => error,
-                    });
+                    return Err(
+                        match (told(&answer), retry.is_unclear() && call.is_order()) {
+                            (CliError::Coded { code, place, what }, true) => {
+                                let what = format!("{what}; an earlier try got no clear answer");
+                                CliError::Coded { code, place, what }
+                            }
+                            (error, _) => error,
+                        },
+                    );
                 }
                 Step::GivenUp { last, unclear } => {
                     let last = match last {
@@ -240,10 +271,20 @@
                         Some(Err(error)) => error.to_string(),
                         None => "none was asked".to_owned(),
                     };
-                    let code = if unclear && call.is_order() { codes::UNSURE } else { codes::NOT_NOW };
-                    let what =
-                        format!("no answer that ends the call in {:.0} s; at last: {last}", length / 1000.0);
-                    return Err(CliError::Coded { code, place: "control".to_owned(), what });
+                    let code = if unclear && call.is_order() {
+                        codes::UNSURE
+                    } else {
+                        codes::NOT_NOW
+                    };
+                    let what = format!(
+                        "no answer that ends the call in {:.0} s; at last: {last}",
+                        length / 1000.0
+                    );
+                    return Err(CliError::Coded {
+                        code,
+                        place: "control".to_owned(),
+                        what,
+                    });
                 }
             }
         }
@@ -253,13 +294,14 @@
     fn control(&self) -> Result<Vec<SocketAddr>, CliError> {
         let control = match (&self.common.control, self.environment) {
             (Some(control), _) => control.clone(),
-            (None, Some(environment)) => {
-                addresses(environment).map_err(|why| CliError::Usage(format!("SANDTRACK_CONTROL: {why}")))?
-            }
+            (None, Some(environment)) => addresses(environment)
+                .map_err(|why| CliError::Usage(format!("SANDTRACK_CONTROL: {why}")))?,
             (None, None) => Vec::new(),
         };
         let missing = "no control address: give --control IP:PORT or set SANDTRACK_CONTROL";
-        (!control.is_empty()).then_some(control).ok_or_else(|| CliError::Usage(missing.to_owned()))
+        (!control.is_empty())
+            .then_some(control)
+            .ok_or_else(|| CliError::Usage(missing.to_owned()))
     }
 
     fn in_force(&mut self) -> Result<InForce, CliError> {
@@ -267,9 +309,15 @@
             Ok(answer) => {
                 let document = Document::parse(&answer.body)?;
                 let configuration = Some(Configuration::read(&document)?);
-                Ok(InForce { document, configuration })
+                Ok(InForce {
+                    document,
+                    configuration,
+                })
             }
-            Err(CliError::Coded { code: codes::NO_CONFIGURATION, .. }) => Ok(InForce::none()),
+            Err(CliError::Coded {
+                code: codes::NO_CONFIGURATION,
+                ..
+            }) => Ok(InForce::none()),
             Err(error) => Err(error),
         }
     }
@@ -284,11 +332,18 @@
         let (old, new) = (from.version, to.version);
         if self.common.json {
             let all: Vec<String> = all.iter().map(Difference::to_json).collect();
-            self.world.print(&format!("{{\"from\":{old},\"to\":{new},\"differences\":[{}]}}", all.join(",")));
+            self.world.print(&format!(
+                "{{\"from\":{old},\"to\":{new},\"differences\":[{}]}}",
+                all.join(",")
+            ));
             return;
         }
-        self.world.print(&format!("version {old} -> {new}: {} differences", all.len()));
-        all.iter().for_each(|one| self.world.print(&one.to_string()));
+        self.world.print(&format!(
+            "version {old} -> {new}: {} differences",
+            all.len()
+        ));
+        all.iter()
+            .for_each(|one| self.world.print(&one.to_string()));
     }
 
     fn put(&mut self, change: &Change) -> Result<(), CliError> {
@@ -311,7 +366,10 @@
 
     /// Sends a configuration, or shows what it would change. What can be told before it is sent is.
     fn configure(
-        &mut self, change: &Change, version: u64, call: impl Fn(u64) -> Call,
+        &mut self,
+        change: &Change,
+        version: u64,
+        call: impl Fn(u64) -> Call,
         next: impl Fn(&Document) -> Document,
     ) -> Result<(), CliError> {
         let mut based_on = change.based_on;
@@ -319,16 +377,23 @@
             let current = self.in_force()?.document;
             let next = next(&current);
             Configuration::read(&next)?;
-            let is_same = next.version == current.version && differences(&current, &next).is_empty();
+            let is_same =
+                next.version == current.version && differences(&current, &next).is_empty();
             if is_same && based_on.is_none() {
                 // A command that is given again after its answer was lost.
                 return self.acknowledged(version, "is in force already");
             }
             if based_on.is_some_and(|based_on| based_on != current.version) {
-                return Err(CliError::coded(codes::ANOTHER_VERSION, format!("current {}", current.version)));
+                return Err(CliError::coded(
+                    codes::ANOTHER_VERSION,
+                    format!("current {}", current.version),
+                ));
             }
             if next.version <= current.version {
-                let place = format!("version_number {}, current {}", next.version, current.version);
+                let place = format!(
+                    "version_number {}, current {}",
+                    next.version, current.version
+                );
                 return Err(CliError::coded(codes::VERSION_NOT_ABOVE, place));
             }
             if change.dry_run {
@@ -338,19 +403,26 @@
             based_on = Some(current.version);
         }
         self.call(&call(based_on.unwrap_or(0)))?;
-        self.acknowledged(version, &format!("is acknowledged, on top of {}", based_on.unwrap_or(0)))
+        self.acknowledged(
+            version,
+            &format!("is acknowledged, on top of {}", based_on.unwrap_or(0)),
+        )
     }
 
     fn acknowledged(&mut self, version: u64, what: &str) -> Result<(), CliError> {
-        self.tell(&format!("version {version} {what}"), &format!("{{\"version_number\":{version}}}"));
+        self.tell(
+            &format!("version {version} {what}"),
+            &format!("{{\"version_number\":{version}}}"),
+        );
         Ok(())
     }
 
     fn check(&mut self, file: &Path) -> Result<(), CliError> {
         let body = read_file(file, codes::CONFIGURATION_UNREADABLE)?;
         let mut copy = body.clone();
-        let is_update = simd_json::to_owned_value(&mut copy)
-            .is_ok_and(|value| value.contains_key("set_items") || value.contains_key("remove_names"));
+        let is_update = simd_json::to_owned_value(&mut copy).is_ok_and(|value| {
+            value.contains_key("set_items") || value.contains_key("remove_names")
+        });
         if is_update {
             let update = Update::parse(&body)?;
             let set: usize = update.set.iter().map(|(_, items)| items.len()).sum();
@@ -359,31 +431,49 @@
                 "change to version {}: {set} items set, {removed} removed; `update --dry-run` checks it on what is in force",
                 update.version
             );
-            let json =
-                format!("{{\"version_number\":{},\"set\":{set},\"removed\":{removed}}}", update.version);
+            let json = format!(
+                "{{\"version_number\":{},\"set\":{set},\"removed\":{removed}}}",
+                update.version
+            );
             self.tell(&text, &json);
             return Ok(());
         }
         let (_, _, configuration) = whole(file)?;
-        let Configuration { version, routes, services, .. } = &configuration;
+        let Configuration {
+            version,
+            routes,
+            services,
+            ..
+        } = &configuration;
         let (routes, services) = (routes.len(), services.len());
-        let json = format!("{{\"version_number\":{version},\"routes\":{routes},\"services\":{services}}}");
-        self.tell(&format!("version {version}: {routes} routes, {services} services, valid"), &json);
+        let json =
+            format!("{{\"version_number\":{version},\"routes\":{routes},\"services\":{services}}}");
+        self.tell(
+            &format!("version {version}: {routes} routes, {services} services, valid"),
+            &json,
+        );
         Ok(())
     }
 
     fn check_settings(&mut self, file: &Path) -> Result<(), CliError> {
         let (settings, odd) = settings::check(read_file(file, codes::SETTINGS_UNREADABLE)?)?;
-        let notes: Vec<String> = odd.iter().map(|note| format!("\"{}\"", escape(note))).collect();
-        let json =
-            format!("{{\"node\":\"{}\",\"notes\":[{}]}}", escape(&settings.node_name), notes.join(","));
+        let notes: Vec<String> = odd
+            .iter()
+            .map(|note| format!("\"{}\"", escape(note)))
+            .collect();
+        let json = format!(
+            "{{\"node\":\"{}\",\"notes\":[{}]}}",
+            escape(&settings.node_name),
+            notes.join(",")
+        );
         let text = format!(
             "{} as {} in {}: the settings can be used",
             settings.node_name, settings.role, settings.zone
         );
         self.tell(&text, &json);
         if !self.common.json {
-            odd.iter().for_each(|note| self.world.print(&format!("note: {note}")));
+            odd.iter()
+                .for_each(|note| self.world.print(&format!("note: {note}")));
         }
         Ok(())
     }
@@ -394,12 +484,18 @@
         let mut known: Option<BTreeMap<String, String>> = None;
         loop {
             let looked = self.world.now();
-            let found = self.call_for(&Call::status(), LOOK_MS).and_then(|answer| read_status(&answer));
+            let found = self
+                .call_for(&Call::status(), LOOK_MS)
+                .and_then(|answer| read_status(&answer));
             let at = self.world.now() - began;
             let (mut facts, answers, outcome) = match found {
                 Ok((_, status)) => (status.facts(), "answers", Ok(())),
                 Err(error @ CliError::Usage(_)) => return Err(error),
-                Err(error) => (known.clone().unwrap_or_default(), "does not answer", Err(error)),
+                Err(error) => (
+                    known.clone().unwrap_or_default(),
+                    "does not answer",
+                    Err(error),
+                ),
             };
             facts.insert("control".to_owned(), answers.to_owned());
             for change in changed(&known.unwrap_or_default(), &facts) {
@@ -424,10 +520,14 @@
     let what = &change.what;
     if json {
         let side = |side: &Option<String>| {
-            side.as_ref().map_or("null".to_owned(), |side| format!("\"{}\"", escape(side)))
+            side.as_ref()
+                .map_or("null".to_owned(), |side| format!("\"{}\"", escape(side)))
         };
         let (from, to) = (side(&change.from), side(&change.to));
-        return format!("{{\"at_s\":{at:.1},\"what\":\"{}\",\"from\":{from},\"to\":{to}}}", escape(what));
+        return format!(
+            "{{\"at_s\":{at:.1},\"what\":\"{}\",\"from\":{from},\"to\":{to}}}",
+            escape(what)
+        );
     }
     match (&change.from, &change.to) {
         (None, Some(to)) => format!("{at:6.1} s  + {what}: {to}"),
@@ -471,11 +571,18 @@
     };
     let before = &body[..index];
     let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
-    let column = index - before.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1) + 1;
+    let column = index
+        - before
+            .iter()
+            .rposition(|byte| *byte == b'\n')
+            .map_or(0, |at| at + 1)
+        + 1;
     match error {
-        CliError::Coded { code, what, .. } => {
-            CliError::Coded { code, place: format!("line {line}, column {column}"), what }
-        }
+        CliError::Coded { code, what, .. } => CliError::Coded {
+            code,
+            place: format!("line {line}, column {column}"),
+            what,
+        },
         other => other,
     }
 }
--- a/crates/sandtrack-cli/src/retry.rs
+++ b/crates/sandtrack-cli/src/retry.rs
@@ -75,16 +75,28 @@
             return Step::Answered(answer.clone());
         }
         let over = self.not_before.max(now) > self.until;
-        let address = self.addresses.get(self.turn % self.addresses.len().max(1)).filter(|_| !over);
+        let address = self
+            .addresses
+            .get(self.turn % self.addresses.len().max(1))
+            .filter(|_| !over);
         let Some(address) = address else {
-            return Step::GivenUp { last: self.last.clone(), unclear: self.unclear };
+            return Step::GivenUp {
+                last: self.last.clone(),
+                unclear: self.unclear,
+            };
         };
         if now < self.not_before {
             return Step::Pause(self.not_before - now);
         }
         match &self.redirect {
-            Some((address, target)) => Step::Try { address: *address, target: Some(target.clone()) },
-            None => Step::Try { address: *address, target: None },
+            Some((address, target)) => Step::Try {
+                address: *address,
+                target: Some(target.clone()),
+            },
+            None => Step::Try {
+                address: *address,
+                target: None,
+            },
         }
     }
 
@@ -130,7 +142,10 @@
             Err(TransportError::NotConnected(_)) => false,
             Err(_) => true,
         };
-        let again = result.as_ref().ok().and_then(|answer| answer.head.headers.get("retry-after"));
+        let again = result
+            .as_ref()
+            .ok()
+            .and_then(|answer| answer.head.headers.get("retry-after"));
         let again = again.and_then(|seconds| seconds.trim().parse::<f64>().ok());
         let again = again.filter(|seconds| seconds.is_finite()).unwrap_or(0.0) * 1000.0;
         self.not_before = now + again.clamp(self.pause, PAUSE_MOST_MS);
--- a/crates/sandtrack-cli/src/settings.rs
+++ b/crates/sandtrack-cli/src/settings.rs
@@ -29,18 +29,37 @@
     };
     for Field { path, kind, .. } in FIELDS {
         if let Some(found) = at(&value, path) {
-            note(!kind.fits(found), format!("`{path}` is {}; it should be: {}", found.encode(), kind.text()));
+            note(
+                !kind.fits(found),
+                format!(
+                    "`{path}` is {}; it should be: {}",
+                    found.encode(),
+                    kind.text()
+                ),
+            );
         }
     }
-    note(settings.seed_nodes.is_empty(), "`seed_nodes` is empty: no other machine is found".to_owned());
+    note(
+        settings.seed_nodes.is_empty(),
+        "`seed_nodes` is empty: no other machine is found".to_owned(),
+    );
     for seed in settings.seed_nodes.iter().filter(|seed| !is_address(seed)) {
         note(true, format!("`seed_nodes`: `{seed}` is no IP:PORT"));
     }
-    note(settings.listen.is_empty(), "`listen_addresses` is empty: nothing is served".to_owned());
+    note(
+        settings.listen.is_empty(),
+        "`listen_addresses` is empty: nothing is served".to_owned(),
+    );
     match settings.region_of(&settings.zone) {
-        None => note(true, format!("`zones` does not have the own zone `{}`", settings.zone)),
+        None => note(
+            true,
+            format!("`zones` does not have the own zone `{}`", settings.zone),
+        ),
         Some(region) => {
-            let what = format!("`region` is `{}`, `zones` has `{region}` for it", settings.region);
+            let what = format!(
+                "`region` is `{}`, `zones` has `{region}` for it",
+                settings.region
+            );
             note(region != settings.region, what);
         }
     }
--- a/crates/sandtrack-cli/src/status.rs
+++ b/crates/sandtrack-cli/src/status.rs
@@ -61,7 +61,11 @@
             chain: texts(view, "chain"),
             voters: texts(view, "voters"),
             control_nodes: each(&value, "control_nodes", |one| {
-                (text(one, "address"), text(one, "node"), one.get_bool("linked").unwrap_or(false))
+                (
+                    text(one, "address"),
+                    text(one, "node"),
+                    one.get_bool("linked").unwrap_or(false),
+                )
             }),
             proxies: each(&value, "proxies", |one| Proxy {
                 node: text(one, "node"),
@@ -75,7 +79,11 @@
             reader: text(&value, "reader"),
             readings: number(&value, "readings"),
             services: each(&value, "services", |one| {
-                (text(one, "service"), number(one, "upstreams"), number(one, "draining"))
+                (
+                    text(one, "service"),
+                    number(one, "upstreams"),
+                    number(one, "draining"),
+                )
             }),
         })
     }
@@ -93,29 +101,57 @@
             format!("view        {}", self.epoch),
             format!("chain       {}", or_none(&self.chain, " > ")),
             format!("voters      {}", or_none(&self.voters, " ")),
-            format!("reader      {}", if self.reader.is_empty() { "none" } else { &self.reader }),
+            format!(
+                "reader      {}",
+                if self.reader.is_empty() {
+                    "none"
+                } else {
+                    &self.reader
+                }
+            ),
             format!("evacuated   {}", self.evacuated_line()),
         ];
-        lines.extend(self.warning().map(|warning| format!("warning     {warning}")));
+        lines.extend(
+            self.warning()
+                .map(|warning| format!("warning     {warning}")),
+        );
         for (address, node, linked) in &self.control_nodes {
             let linked = if *linked { "linked" } else { "not linked" };
-            let node = if node.is_empty() { "of unknown name" } else { node };
+            let node = if node.is_empty() {
+                "of unknown name"
+            } else {
+                node
+            };
             lines.push(format!("control node  {address} {node}, {linked}"));
         }
         let ready = self.proxies.iter().filter(|proxy| proxy.ready).count();
-        let current = self.proxies.iter().filter(|proxy| proxy.version == self.version).count();
+        let current = self
+            .proxies
+            .iter()
+            .filter(|proxy| proxy.version == self.version)
+            .count();
         lines.push(format!(
             "proxies    {}: {ready} ready, {current} with version {}",
             self.proxies.len(),
             self.version
         ));
         for proxy in &self.proxies {
-            let Proxy { node, zone, front, open, .. } = proxy;
+            let Proxy {
+                node,
+                zone,
+                front,
+                open,
+                ..
+            } = proxy;
             let state = state(proxy);
-            lines.push(format!("proxy     {node} in {zone} at {front}: {state}, {open} requests in hand"));
+            lines.push(format!(
+                "proxy     {node} in {zone} at {front}: {state}, {open} requests in hand"
+            ));
         }
         for (service, upstreams, draining) in &self.services {
-            lines.push(format!("service     {service}: {upstreams} upstreams, {draining} draining"));
+            lines.push(format!(
+                "service     {service}: {upstreams} upstreams, {draining} draining"
+            ));
         }
         lines
     }
@@ -136,10 +172,24 @@
             ("view".to_owned(), self.epoch.to_string()),
             ("chain".to_owned(), or_none(&self.chain, " > ")),
             ("voters".to_owned(), or_none(&self.voters, " ")),
-            ("reader".to_owned(), if self.reader.is_empty() { "none" } else { &self.reader }.to_owned()),
+            (
+                "reader".to_owned(),
+                if self.reader.is_empty() {
+                    "none"
+                } else {
+                    &self.reader
+                }
+                .to_owned(),
+            ),
             ("evacuated".to_owned(), self.evacuated_line()),
-            ("majority".to_owned(), if self.attached { "heard" } else { "not heard" }.to_owned()),
-            (format!("control node {}", self.address), "linked".to_owned()),
+            (
+                "majority".to_owned(),
+                if self.attached { "heard" } else { "not heard" }.to_owned(),
+            ),
+            (
+                format!("control node {}", self.address),
+                "linked".to_owned(),
+            ),
         ]);
         for (address, _, linked) in &self.control_nodes {
             let linked = if *linked { "linked" } else { "not linked" };
@@ -165,13 +215,20 @@
 }
 
 /// What is another way now.
-pub fn changed(before: &BTreeMap<String, String>, after: &BTreeMap<String, String>) -> Vec<Changed> {
+pub fn changed(
+    before: &BTreeMap<String, String>,
+    after: &BTreeMap<String, String>,
+) -> Vec<Changed> {
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
     names.sort_unstable();
     names.dedup();
     let change = |name: &String| {
         let (from, to) = (before.get(name).cloned(), after.get(name).cloned());
-        (from != to).then(|| Changed { what: name.clone(), from, to })
+        (from != to).then(|| Changed {
+            what: name.clone(),
+            from,
+            to,
+        })
     };
     names.into_iter().filter_map(change).collect()
 }
@@ -202,9 +259,14 @@
 }
 
 fn each<T>(value: &OwnedValue, field: &str, read: impl Fn(&OwnedValue) -> T) -> Vec<T> {
-    value.get_array(field).map(|items| items.iter().map(read).collect()).unwrap_or_default()
+    value
+        .get_array(field)
+        .map(|items| items.iter().map(read).collect())
+        .unwrap_or_default()
 }
 
 fn texts(value: &OwnedValue, field: &str) -> Vec<String> {
-    each(value, field, |one| one.as_str().unwrap_or_default().to_owned())
+    each(value, field, |one| {
+        one.as_str().unwrap_or_default().to_owned()
+    })
 }
--- a/crates/sandtrack-cli/src/transport.rs
+++ b/crates/sandtrack-cli/src/transport.rs
@@ -28,12 +28,20 @@
 ///
 /// # Errors
 /// Where no whole answer came.
-pub fn exchange(address: SocketAddr, request: &[u8], silence: Millis) -> Result<Message, TransportError> {
+pub fn exchange(
+    address: SocketAddr,
+    request: &[u8],
+    silence: Millis,
+) -> Result<Message, TransportError> {
     let silence = Duration::from_secs_f64(silence.max(1.0) / 1000.0);
     let not_connected = |error: std::io::Error| TransportError::NotConnected(error.kind());
     let mut stream = TcpStream::connect_timeout(&address, silence).map_err(not_connected)?;
-    stream.set_read_timeout(Some(silence)).map_err(not_connected)?;
-    stream.set_write_timeout(Some(silence)).map_err(not_connected)?;
+    stream
+        .set_read_timeout(Some(silence))
+        .map_err(not_connected)?;
+    stream
+        .set_write_timeout(Some(silence))
+        .map_err(not_connected)?;
     // An answer may come before the request was taken whole (413), and is read all the same.
     let written = stream.write_all(request);
     let mut answer = Answer::default();
@@ -54,7 +62,11 @@
         };
         if count == 0 {
             let over = written.is_ok() && parser.ended(&ring);
-            let message = if over { answer.take(&mut parser, &mut ring)? } else { None };
+            let message = if over {
+                answer.take(&mut parser, &mut ring)?
+            } else {
+                None
+            };
             return message.ok_or(TransportError::Broken);
         }
         if !ring.push(&bytes[..count]) {
@@ -71,11 +83,22 @@
 
 impl Answer {
     /// Takes what has come; the whole answer once it is there.
-    fn take(&mut self, parser: &mut Parser, ring: &mut Ring) -> Result<Option<Message>, TransportError> {
+    fn take(
+        &mut self,
+        parser: &mut Parser,
+        ring: &mut Ring,
+    ) -> Result<Option<Message>, TransportError> {
         while let Some(part) = parser.next(ring).map_err(|_| TransportError::Garbled)? {
             match (part, &mut self.message) {
-                (Part::Head(head), _) => self.message = Some(Message { head, body: Vec::new() }),
-                (Part::Data(data), Some(message)) if message.body.len() + data.len() <= ANSWER_MAX => {
+                (Part::Head(head), _) => {
+                    self.message = Some(Message {
+                        head,
+                        body: Vec::new(),
+                    })
+                }
+                (Part::Data(data), Some(message))
+                    if message.body.len() + data.len() <= ANSWER_MAX =>
+                {
                     message.body.extend(data);
                 }
                 (Part::Data(_), _) => return Err(TransportError::Garbled),
--- a/crates/sandtrack-cli/tests/pages.rs
+++ b/crates/sandtrack-cli/tests/pages.rs
@@ -29,14 +29,22 @@
             let line = line.strip_prefix("target/release/").unwrap_or(line);
             commands.extend(line.strip_prefix("sandtrackctl ").map(str::to_owned));
         }
-        commands
-            .extend(quoted(&page).filter_map(|text| text.strip_prefix("sandtrackctl ")).map(str::to_owned));
+        commands.extend(
+            quoted(&page)
+                .filter_map(|text| text.strip_prefix("sandtrackctl "))
+                .map(str::to_owned),
+        );
     }
     commands.sort_unstable();
     commands.dedup();
     assert!(commands.len() > 15, "{commands:?}");
     for command in commands {
-        let words: Vec<&str> = command.split(';').next().unwrap_or_default().split_whitespace().collect();
+        let words: Vec<&str> = command
+            .split(';')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
         assert!(is_command_line(&words), "sandtrackctl {command}");
     }
     assert!(!is_command_line(&["configuration", "write", "FILE"]));
@@ -48,8 +56,9 @@
     for word in event.split_inclusive([' ', ':']) {
         let bare = word.trim_end_matches([' ', ':']);
         let stands_for = bare.len() == 1 && bare.chars().all(|letter| letter.is_ascii_uppercase());
-        let is_code =
-            bare.strip_prefix('E').is_some_and(|code| code.len() == 3 && code.parse::<u16>().is_ok());
+        let is_code = bare
+            .strip_prefix('E')
+            .is_some_and(|code| code.len() == 3 && code.parse::<u16>().is_ok());
         if stands_for || is_code {
             fragments.push(word[bare.len()..].to_owned());
         } else if let Some(last) = fragments.last_mut() {
@@ -79,7 +88,10 @@
     let sources = |package: &str| read_all(&root().join(format!("crates/sandtrack-{package}/src")));
     let sources = ["control", "proxy", "invariants"].map(sources).concat();
     let page = page("docs/system/operations.md");
-    let rows = page.lines().skip_while(|line| !line.starts_with("| event |")).skip(2);
+    let rows = page
+        .lines()
+        .skip_while(|line| !line.starts_with("| event |"))
+        .skip(2);
     let mut events = 0;
     for row in rows.take_while(|line| line.starts_with('|')) {
         for event in quoted(row.split('|').nth(1).unwrap_or_default()) {
@@ -87,7 +99,10 @@
             let fragments = fragments(event);
             assert!(!fragments.is_empty(), "{event}");
             for fragment in fragments {
-                assert!(sources.contains(&fragment), "`{event}`: `{fragment}` is logged nowhere");
+                assert!(
+                    sources.contains(&fragment),
+                    "`{event}`: `{fragment}` is logged nowhere"
+                );
             }
         }
     }
--- a/crates/sandtrack-cli/tests/settings.rs
+++ b/crates/sandtrack-cli/tests/settings.rs
@@ -26,7 +26,11 @@
 fn with(path: &str, value: Option<OwnedValue>) -> OwnedValue {
     let mut whole = whole();
     let (parent, name) = path.rsplit_once('.').unwrap_or(("", path));
-    let within = if parent.is_empty() { &mut whole } else { whole.get_mut(parent).expect("an object") };
+    let within = if parent.is_empty() {
+        &mut whole
+    } else {
+        whole.get_mut(parent).expect("an object")
+    };
     match value {
         Some(value) => within.try_insert(name.to_owned(), value),
         None => within.try_remove(name),
@@ -55,7 +59,11 @@
 fn every_field_of_the_page_is_read() {
     for Field { path, kind, .. } in FIELDS {
         assert!(at(&whole(), path).is_some(), "`{path}` is in no deployment");
-        assert_ne!(parsed(&with(path, Some(another(*kind)))), parsed(&whole()), "`{path}` is not read");
+        assert_ne!(
+            parsed(&with(path, Some(another(*kind)))),
+            parsed(&whole()),
+            "`{path}` is not read"
+        );
     }
 }
 
@@ -70,7 +78,11 @@
                 assert!(error.to_string().contains(&format!("`{path}`")), "{error}");
             }
             Without::Taken(value) => {
-                assert_eq!(parsed(&missing), parsed(&with(path, Some(json(value)))), "`{path}`");
+                assert_eq!(
+                    parsed(&missing),
+                    parsed(&with(path, Some(json(value)))),
+                    "`{path}`"
+                );
             }
             Without::None => {
                 assert_eq!(parsed(&missing).data_directory, None, "`{path}`");
@@ -86,8 +98,12 @@
         assert_eq!(parsed(&with(path, None)), parsed(&whole()), "`{path}`");
     }
     for (name, value) in whole().as_object().expect("an object").iter() {
-        let read = |path: &str| FIELDS.iter().any(|field| field.path == path) || IGNORED.contains(&path);
-        let inside = value.as_object().into_iter().flat_map(|object| object.keys());
+        let read =
+            |path: &str| FIELDS.iter().any(|field| field.path == path) || IGNORED.contains(&path);
+        let inside = value
+            .as_object()
+            .into_iter()
+            .flat_map(|object| object.keys());
         let mut inside = inside.map(|inner| format!("{name}.{inner}")).peekable();
         assert!(
             read(name) || inside.peek().is_some() && inside.all(|path| read(&path)),
@@ -98,7 +114,13 @@
 
 #[test]
 fn a_value_of_another_type_or_out_of_range_is_told() {
-    for Field { path, kind, without, .. } in FIELDS {
+    for Field {
+        path,
+        kind,
+        without,
+        ..
+    } in FIELDS
+    {
         let mut wrong = vec!["[[]]"];
         match kind {
             Kind::Number(_, least) => {
@@ -122,7 +144,13 @@
                 }
                 Err(error) => {
                     assert_eq!(*without, Without::Refused, "`{path}`: {value}: {error}");
-                    assert_matches!(error, CliError::Coded { code: codes::SETTINGS_FIELD, .. });
+                    assert_matches!(
+                        error,
+                        CliError::Coded {
+                            code: codes::SETTINGS_FIELD,
+                            ..
+                        }
+                    );
                 }
             }
         }
@@ -134,14 +162,24 @@
 /// The table of the page.
 fn table() -> String {
     let mut table =
-        "| field | type, unit, range | without it | what it is for |\n| --- | --- | --- | --- |\n".to_owned();
-    for Field { path, kind, without, meaning } in FIELDS {
+        "| field | type, unit, range | without it | what it is for |\n| --- | --- | --- | --- |\n"
+            .to_owned();
+    for Field {
+        path,
+        kind,
+        without,
+        meaning,
+    } in FIELDS
+    {
         let without = match without {
             Without::Refused => "E102".to_owned(),
             Without::Taken(value) => format!("`{value}`"),
             Without::None => "none".to_owned(),
         };
-        table.push_str(&format!("| `{path}` | {} | {without} | {meaning} |\n", kind.text()));
+        table.push_str(&format!(
+            "| `{path}` | {} | {without} | {meaning} |\n",
+            kind.text()
+        ));
     }
     let ignored: Vec<String> = IGNORED.iter().map(|path| format!("`{path}`")).collect();
     format!("{table}\nNot read: {}.\n", ignored.join(", "))
@@ -151,7 +189,10 @@
 fn the_page_has_the_table() {
     let page = std::fs::read_to_string(root().join("docs/system/settings.md")).expect("the page");
     let table = table();
-    assert!(page.contains(&table), "docs/system/settings.md should have:\n{table}");
+    assert!(
+        page.contains(&table),
+        "docs/system/settings.md should have:\n{table}"
+    );
 }
 
 #[test]
@@ -160,14 +201,20 @@
     let mut names: Vec<String> = Vec::new();
     for file in std::fs::read_dir(&folder).expect("the folder") {
         let path = file.expect("a file").path();
-        let name = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = path
+            .file_name()
+            .map(|name| name.to_string_lossy().into_owned())
+            .unwrap_or_default();
         if name.ends_with(".settings.json") {
             let (settings, notes) = check(std::fs::read(&path).expect("a file")).expect(&name);
             assert_eq!(notes, [""; 0], "{name}");
             assert_eq!(format!("{}.settings.json", settings.node_name), name);
             let addresses = settings.listen.values().chain(&settings.seed_nodes);
             for address in addresses.chain([&settings.cloud_api.address, &settings.ip_address]) {
-                assert!(address.starts_with("127."), "{name}: {address} is no loopback");
+                assert!(
+                    address.starts_with("127."),
+                    "{name}: {address} is no loopback"
+                );
             }
             names.push(name);
         }
@@ -176,7 +223,11 @@
     for name in ["configuration.json", "change.json"] {
         let path = folder.join(name);
         let words = ["configuration", "check", path.to_str().expect("text")].map(str::to_owned);
-        let code = sandtrack_cli::program::run(&words, None, &mut sandtrack_cli::program::System::default());
+        let code = sandtrack_cli::program::run(
+            &words,
+            None,
+            &mut sandtrack_cli::program::System::default(),
+        );
         assert_eq!(code, 0, "{name}");
     }
 }
--- a/crates/sandtrack-cli/tests/transcripts.rs
+++ b/crates/sandtrack-cli/tests/transcripts.rs
@@ -30,14 +30,28 @@
 
 impl Stage {
     fn new(script: VecDeque<(String, Answer)>) -> Stage {
-        let open = |name| (name, TcpListener::bind("127.0.0.1:0").expect("a port of loopback"));
+        let open = |name| {
+            (
+                name,
+                TcpListener::bind("127.0.0.1:0").expect("a port of loopback"),
+            )
+        };
         let listeners = vec![open("A"), open("B"), open("C")];
         let address = |(name, listener): &(&'static str, TcpListener)| {
-            (*name, listener.local_addr().expect("its address").to_string())
+            (
+                *name,
+                listener.local_addr().expect("its address").to_string(),
+            )
         };
         let mut names: Vec<_> = listeners.iter().map(address).collect();
         names.push(("Z", "127.0.0.1:1".to_owned()));
-        Stage { listeners, names, script, transcript: String::new(), now: 0.0 }
+        Stage {
+            listeners,
+            names,
+            script,
+            transcript: String::new(),
+            now: 0.0,
+        }
     }
 
     fn note(&mut self, line: &str) {
@@ -49,13 +63,17 @@
     fn real(&self, text: &str) -> String {
         self.names
             .iter()
-            .fold(text.to_owned(), |text, (name, real)| text.replace(&format!("{{{name}}}"), real))
+            .fold(text.to_owned(), |text, (name, real)| {
+                text.replace(&format!("{{{name}}}"), real)
+            })
     }
 
     fn named(&self, text: &str) -> String {
         self.names
             .iter()
-            .fold(text.to_owned(), |text, (name, real)| text.replace(real, &format!("{{{name}}}")))
+            .fold(text.to_owned(), |text, (name, real)| {
+                text.replace(real, &format!("{{{name}}}"))
+            })
     }
 
     /// Lines of bytes on the wire; every line of a head ends with CR LF, and a body is as it is.
@@ -63,9 +81,17 @@
         let text = self.named(std::str::from_utf8(bytes).expect("text"));
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let mut lines: Vec<&str> = head.split("\r\n").collect();
-        assert!(lines.iter().all(|line| !line.contains('\n')), "a bare line feed in {head:?}");
+        assert!(
+            lines.iter().all(|line| !line.contains('\n')),
+            "a bare line feed in {head:?}"
+        );
         lines.push("");
-        lines.extend((!body.is_empty()).then(|| body.split('\n')).into_iter().flatten());
+        lines.extend(
+            (!body.is_empty())
+                .then(|| body.split('\n'))
+                .into_iter()
+                .flatten(),
+        );
         for line in lines {
             self.note(format!("{mark} {line}").trim_end());
         }
@@ -83,21 +109,44 @@
     }
 
     fn exchange(
-        &mut self, address: SocketAddr, request: &[u8], silence: Millis,
+        &mut self,
+        address: SocketAddr,
+        request: &[u8],
+        silence: Millis,
     ) -> Result<Message, TransportError> {
-        let name = self.names.iter().find(|(_, real)| *real == address.to_string());
+        let name = self
+            .names
+            .iter()
+            .find(|(_, real)| *real == address.to_string());
         let name = name.map_or("?", |(name, _)| name);
-        let Some(at) = self.listeners.iter().position(|(listening, _)| *listening == name) else {
+        let Some(at) = self
+            .listeners
+            .iter()
+            .position(|(listening, _)| *listening == name)
+        else {
             let result = exchange(address, request, silence);
-            self.note(&format!("{name}! {}", result.as_ref().expect_err("nobody listens")));
+            self.note(&format!(
+                "{name}! {}",
+                result.as_ref().expect_err("nobody listens")
+            ));
             return result;
         };
         let (scripted, answer) = self.script.pop_front().unwrap_or_else(|| {
-            panic!("a call that is not in the script, to {name}, after:\n{}", self.transcript)
+            panic!(
+                "a call that is not in the script, to {name}, after:\n{}",
+                self.transcript
+            )
         });
-        assert_eq!(scripted, name, "another address is called, after:\n{}", self.transcript);
+        assert_eq!(
+            scripted, name,
+            "another address is called, after:\n{}",
+            self.transcript
+        );
         let answer = match answer {
-            Answer::Bytes(bytes) => Some(self.real(std::str::from_utf8(&bytes).expect("text")).into_bytes()),
+            Answer::Bytes(bytes) => Some(
+                self.real(std::str::from_utf8(&bytes).expect("text"))
+                    .into_bytes(),
+            ),
             Answer::Silence => None,
         };
         let listener = self.listeners[at].1.try_clone().expect("the listener");
@@ -108,7 +157,11 @@
                 stream.read_exact(&mut received).expect("the whole request");
                 match &answer {
                     Some(bytes) => stream.write_all(bytes).expect("the answer is taken"),
-                    None => assert_eq!(stream.read(&mut [0]).expect("the end"), 0, "more than the request"),
+                    None => assert_eq!(
+                        stream.read(&mut [0]).expect("the end"),
+                        0,
+                        "more than the request"
+                    ),
                 }
                 received
             });
@@ -133,12 +186,14 @@
 
     fn print(&mut self, line: &str) {
         let line = self.named(line);
-        line.split('\n').for_each(|line| self.note(format!("out: {line}").trim_end()));
+        line.split('\n')
+            .for_each(|line| self.note(format!("out: {line}").trim_end()));
     }
 
     fn complain(&mut self, line: &str) {
         let line = self.named(line);
-        line.split('\n').for_each(|line| self.note(format!("err: {line}").trim_end()));
+        line.split('\n')
+            .for_each(|line| self.note(format!("err: {line}").trim_end()));
     }
 }
 
@@ -147,7 +202,10 @@
     let mut answers: VecDeque<(String, Answer)> = VecDeque::new();
     let mut block: Option<(String, Vec<&str>)> = None;
     for line in approved.lines().chain([""]) {
-        let (name, rest) = line.split_once('<').filter(|(name, _)| name.len() == 1).unwrap_or_default();
+        let (name, rest) = line
+            .split_once('<')
+            .filter(|(name, _)| name.len() == 1)
+            .unwrap_or_default();
         let rest = rest.strip_prefix(' ').unwrap_or(rest);
         if let Some((of, lines)) = block.as_mut().filter(|(of, _)| of == name) {
             assert!(!of.is_empty());
@@ -159,7 +217,10 @@
                 ["(nothing)"] => Answer::Bytes(Vec::new()),
                 ["(silence)"] => Answer::Silence,
                 lines => {
-                    let end = lines.iter().position(|line| line.is_empty()).unwrap_or(lines.len());
+                    let end = lines
+                        .iter()
+                        .position(|line| line.is_empty())
+                        .unwrap_or(lines.len());
                     let head = lines[..end].join("\r\n");
                     let body = lines.get(end + 1..).unwrap_or_default().join("\n");
                     Answer::Bytes(format!("{head}\r\n\r\n{body}").into_bytes())
@@ -195,12 +256,23 @@
         }
     }
     let left: Vec<&str> = stage.script.iter().map(|(name, _)| name.as_str()).collect();
-    assert!(left.is_empty(), "answers that nobody asked for, of {left:?}, after:\n{}", stage.transcript);
+    assert!(
+        left.is_empty(),
+        "answers that nobody asked for, of {left:?}, after:\n{}",
+        stage.transcript
+    );
     if stage.transcript != approved {
         let received = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.txt"));
         std::fs::write(&received, &stage.transcript).expect("the target's folder");
-        let differs = stage.transcript.lines().zip(approved.lines()).find(|(one, other)| one != other);
-        panic!("{name}: received {} differs, first at {differs:#?}", received.display());
+        let differs = stage
+            .transcript
+            .lines()
+            .zip(approved.lines())
+            .find(|(one, other)| one != other);
+        panic!(
+            "{name}: received {} differs, first at {differs:#?}",
+            received.display()
+        );
     }
 }
 
--- a/crates/sandtrack-cli/tests/transport.rs
+++ b/crates/sandtrack-cli/tests/transport.rs
@@ -37,8 +37,11 @@
 
 #[test]
 fn an_answer_in_chunks_or_up_to_the_end_of_its_connection_comes_whole() {
-    let chunks: [&[u8]; 3] =
-        [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r", b"\nabc\r\n2\r\nde\r\n", b"0\r\n\r\n"];
+    let chunks: [&[u8]; 3] = [
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r",
+        b"\nabc\r\n2\r\nde\r\n",
+        b"0\r\n\r\n",
+    ];
     assert_matches!(answered_with(&chunks), Ok(answer) if answer.body == b"abcde");
     let open: [&[u8]; 2] = [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab", b"cde"];
     assert_matches!(answered_with(&open), Ok(answer) if answer.body == b"abcde");
@@ -48,7 +51,11 @@
 fn an_answer_that_is_cut_is_none() {
     let whole: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde";
     for end in 0..whole.len() {
-        assert_matches!(answered_with(&[&whole[..end]]), Err(TransportError::Broken), "cut at {end}");
+        assert_matches!(
+            answered_with(&[&whole[..end]]),
+            Err(TransportError::Broken),
+            "cut at {end}"
+        );
     }
     assert_matches!(answered_with(&[whole]), Ok(answer) if answer.body == b"abcde");
 }
@@ -62,10 +69,17 @@
         b"HTTP/1.1 101 Switching\r\n\r\n",
     ];
     for case in cases {
-        assert_matches!(answered_with(&[case]), Err(TransportError::Garbled), "{case:?}");
+        assert_matches!(
+            answered_with(&[case]),
+            Err(TransportError::Garbled),
+            "{case:?}"
+        );
     }
     let endless = vec![b'a'; 64 * 1024];
-    assert_matches!(answered_with(&[b"HTTP/1.1 200 OK\r\nX: ", &endless]), Err(TransportError::Garbled));
+    assert_matches!(
+        answered_with(&[b"HTTP/1.1 200 OK\r\nX: ", &endless]),
+        Err(TransportError::Garbled)
+    );
 }
 
 #[test]
--- a/crates/sandtrack-control/src/arrivals.rs
+++ b/crates/sandtrack-control/src/arrivals.rs
@@ -22,7 +22,10 @@
 impl Arrival {
     /// A connection that was accepted as it came.
     pub fn at(accepted: Millis) -> Arrival {
-        Arrival { queued_since: accepted, accepted }
+        Arrival {
+            queued_since: accepted,
+            accepted,
+        }
     }
 }
 
@@ -36,7 +39,10 @@
 impl Awake {
     /// A process that starts: what waited before is not known.
     pub fn new(now: Millis) -> Awake {
-        Awake { looked: now, since: now }
+        Awake {
+            looked: now,
+            since: now,
+        }
     }
 
     /// The process runs at this moment; yes when it was held up before.
--- a/crates/sandtrack-control/src/call_log.rs
+++ b/crates/sandtrack-control/src/call_log.rs
@@ -47,12 +47,27 @@
     pub fn read(&mut self, now: Millis, call: u64, message: &Message, arrival: Option<Arrival>) {
         let head = &message.head;
         let based_on = head.headers.get("based-on-version");
-        let based_on = based_on.map_or_else(String::new, |version| format!(" on version {version}"));
-        let what = format!("{} {}{based_on}, {} bytes", head.method, head.target, message.body.len());
+        let based_on =
+            based_on.map_or_else(String::new, |version| format!(" on version {version}"));
+        let what = format!(
+            "{} {}{based_on}, {} bytes",
+            head.method,
+            head.target,
+            message.body.len()
+        );
         let is_order = head.method == "POST";
         let bare_order = (is_order && message.body.is_empty()).then(|| head.target.clone());
         let on_the_way = arrival.map_or(0.0, |arrival| now - arrival.accepted);
-        self.begun.insert(call, Begun { what, bare_order, is_order, read: now, on_the_way });
+        self.begun.insert(
+            call,
+            Begun {
+                what,
+                bare_order,
+                is_order,
+                read: now,
+                on_the_way,
+            },
+        );
     }
 
     /// The target of an order for a zone that was read so lately that its caller waits for it still.
@@ -64,9 +79,18 @@
 
     /// A call is answered; nothing where it was answered before.
     pub fn answered(&mut self, now: Millis, call: u64, reply: &Reply) -> Option<Told> {
-        let Begun { what, is_order, read, on_the_way, .. } = self.begun.remove(&call)?;
+        let Begun {
+            what,
+            is_order,
+            read,
+            on_the_way,
+            ..
+        } = self.begun.remove(&call)?;
         let code = reply.code.map_or_else(String::new, |code| code.to_string());
-        *self.answered.entry((reply.status, code.clone())).or_default() += 1;
+        *self
+            .answered
+            .entry((reply.status, code.clone()))
+            .or_default() += 1;
         let refusal = match reply.code {
             Some(code) => format!(" {code} {}", code.meaning()),
             None => String::new(),
@@ -76,7 +100,10 @@
             reply.status,
             now - read,
         );
-        Some(Told { line, is_notable: is_order || reply.code.is_some() })
+        Some(Told {
+            line,
+            is_notable: is_order || reply.code.is_some(),
+        })
     }
 
     /// A call was read whose caller has left: it is not made.
@@ -87,13 +114,31 @@
     /// Appends them to the figures of the process.
     pub fn tell(&self, text: &mut MetricsText) {
         const CALLS: &str = "sandtrack_control_calls_total";
-        text.family(CALLS, Kind::Counter, "Operators' calls by how they were answered");
+        text.family(
+            CALLS,
+            Kind::Counter,
+            "Operators' calls by how they were answered",
+        );
         for ((status, code), count) in &self.answered {
-            text.figure(CALLS, &[("status", &status.to_string()), ("code", code)], count);
+            text.figure(
+                CALLS,
+                &[("status", &status.to_string()), ("code", code)],
+                count,
+            );
         }
         let help = "Calls that were not made, as their caller had left";
-        text.single("sandtrack_control_calls_left_total", Kind::Counter, help, self.left);
+        text.single(
+            "sandtrack_control_calls_left_total",
+            Kind::Counter,
+            help,
+            self.left,
+        );
         let help = "Calls that are not answered yet";
-        text.single("sandtrack_control_calls_open", Kind::Gauge, help, self.begun.len());
+        text.single(
+            "sandtrack_control_calls_open",
+            Kind::Gauge,
+            help,
+            self.begun.len(),
+        );
     }
 }
--- a/crates/sandtrack-control/src/commands.rs
+++ b/crates/sandtrack-control/src/commands.rs
@@ -49,16 +49,30 @@
         let evacuation = |begin: &bool| if *begin { "begins" } else { "is over" };
         match self {
             Command::Replace { based_on, body }
-            | Command::Configure { form: Form::Replace, based_on, body } => {
+            | Command::Configure {
+                form: Form::Replace,
+                based_on,
+                body,
+            } => {
                 write!(f, "replace on {based_on}, {} bytes", body.len())
             }
             Command::Update { based_on, body }
-            | Command::Configure { form: Form::Update, based_on, body } => {
+            | Command::Configure {
+                form: Form::Update,
+                based_on,
+                body,
+            } => {
                 write!(f, "update on {based_on}, {} bytes", body.len())
             }
-            Command::Evacuate { zone, begin } => write!(f, "evacuation of {zone} {}", evacuation(begin)),
+            Command::Evacuate { zone, begin } => {
+                write!(f, "evacuation of {zone} {}", evacuation(begin))
+            }
             Command::SetEvacuation { zone, begin, seen } => {
-                write!(f, "evacuation of {zone} {}, ordered after {seen}", evacuation(begin))
+                write!(
+                    f,
+                    "evacuation of {zone} {}, ordered after {seen}",
+                    evacuation(begin)
+                )
             }
         }
     }
@@ -72,7 +86,11 @@
     /// It builds on another version than the current one.
     Other { current: u64 },
     /// It can never be taken as it is.
-    Invalid { code: u16, place: String, what: String },
+    Invalid {
+        code: u16,
+        place: String,
+        what: String,
+    },
     /// Order `number` for the same zone came first: this one changed nothing, and this copy of it never will.
     Superseded { number: u64 },
     /// It builds on a version so old that it is not known any more whether it was taken. It changed nothing now.
@@ -81,7 +99,11 @@
 
 impl From<Invalid> for Outcome {
     fn from(invalid: Invalid) -> Outcome {
-        Outcome::Invalid { code: invalid.code.0, place: invalid.place, what: invalid.what }
+        Outcome::Invalid {
+            code: invalid.code.0,
+            place: invalid.place,
+            what: invalid.what,
+        }
     }
 }
 
--- a/crates/sandtrack-control/src/contact.rs
+++ b/crates/sandtrack-control/src/contact.rs
@@ -32,7 +32,10 @@
         if now < self.counts_from {
             return;
         }
-        let word = self.words.entry(peer.to_owned()).or_insert(Word { heard: now, testimony });
+        let word = self.words.entry(peer.to_owned()).or_insert(Word {
+            heard: now,
+            testimony,
+        });
         word.heard = now;
         word.testimony = testimony.or(word.testimony);
     }
@@ -55,10 +58,18 @@
             if address == me {
                 return own.confirms(address, view);
             }
-            let word = self.words.get(address).filter(|word| now - word.heard <= LEASE_MS);
-            word.and_then(|word| word.testimony).is_some_and(|testimony| testimony.confirms(address, view))
+            let word = self
+                .words
+                .get(address)
+                .filter(|word| now - word.heard <= LEASE_MS);
+            word.and_then(|word| word.testimony)
+                .is_some_and(|testimony| testimony.confirms(address, view))
         };
-        let confirming = view.voters.iter().filter(|voter| confirms(&voter.address)).count();
+        let confirming = view
+            .voters
+            .iter()
+            .filter(|voter| confirms(&voter.address))
+            .count();
         now >= self.counts_from && confirming >= view.majority()
     }
 }
--- a/crates/sandtrack-control/src/control.rs
+++ b/crates/sandtrack-control/src/control.rs
@@ -47,7 +47,12 @@
 impl Reply {
     /// A success.
     pub fn success(body: String) -> Reply {
-        Reply { status: 200, body, code: None, location: None }
+        Reply {
+            status: 200,
+            body,
+            code: None,
+            location: None,
+        }
     }
 
     /// A refusal with a numbered code, at a place, in the words of the table.
@@ -58,21 +63,38 @@
     fn told(status: u16, code: Code, place: &str, what: &str) -> Reply {
         let (place, what) = (escape(place), escape(what));
         let body = format!("{{\"code\":\"{code}\",\"place\":\"{place}\",\"what\":\"{what}\"}}");
-        Reply { status, body, code: Some(code), location: None }
+        Reply {
+            status,
+            body,
+            code: Some(code),
+            location: None,
+        }
     }
 
     /// The same, but its caller is to go on at another control node at once, and not to pick one after a pause: that may be
     /// the very one that does not answer.
     pub fn sent_on(self, location: String) -> Reply {
-        Reply { status: TEMPORARY_REDIRECT, location: Some(location), ..self }
+        Reply {
+            status: TEMPORARY_REDIRECT,
+            location: Some(location),
+            ..self
+        }
     }
 
     /// The answer as it is written; `close`: it is the connection's last.
     pub fn bytes(&self, close: bool) -> Vec<u8> {
         let kind = [("Content-Type", "application/json")].into_iter();
         let again = (self.status == 503).then_some(("Retry-After", AGAIN_S));
-        let location = self.location.as_deref().map(|location| ("Location", location));
-        message::response(self.status, kind.chain(again).chain(location), self.body.as_bytes(), close)
+        let location = self
+            .location
+            .as_deref()
+            .map(|location| ("Location", location));
+        message::response(
+            self.status,
+            kind.chain(again).chain(location),
+            self.body.as_bytes(),
+            close,
+        )
     }
 }
 
@@ -88,10 +110,18 @@
         if call.head.method == method {
             return order;
         }
-        Err(Reply::error(405, codes::BAD_CALL, &format!("{} {path}: {method} is meant", call.head.method)))
+        Err(Reply::error(
+            405,
+            codes::BAD_CALL,
+            &format!("{} {path}: {method} is meant", call.head.method),
+        ))
     };
     let based_on = || {
-        let version = call.head.headers.get("based-on-version").and_then(|version| version.parse().ok());
+        let version = call
+            .head
+            .headers
+            .get("based-on-version")
+            .and_then(|version| version.parse().ok());
         version.ok_or_else(|| Reply::error(400, codes::BAD_CALL, "Based-On-Version"))
     };
     match words.as_slice() {
@@ -99,31 +129,43 @@
             "POST",
             based_on().and_then(|based_on| {
                 // It can be told at once, and without the others.
-                ControlState::check(&call.body)
-                    .map_err(|invalid| Reply::told(400, invalid.code, &invalid.place, &invalid.what))?;
+                ControlState::check(&call.body).map_err(|invalid| {
+                    Reply::told(400, invalid.code, &invalid.place, &invalid.what)
+                })?;
                 Ok(configure(Form::Replace, based_on, &call.body))
             }),
         ),
-        ["v1", "configuration", "update"] => {
-            wants("POST", based_on().map(|based_on| configure(Form::Update, based_on, &call.body)))
-        }
+        ["v1", "configuration", "update"] => wants(
+            "POST",
+            based_on().map(|based_on| configure(Form::Update, based_on, &call.body)),
+        ),
         ["v1", "configuration", "read"] => wants("GET", Ok(Order::Read)),
         ["v1", "status"] => wants("GET", Ok(Order::Status)),
-        ["v1", "evacuation", zone, verb @ ("begin" | "finish")] => {
-            wants("POST", Ok(Order::Evacuate { zone: (*zone).to_owned(), begin: *verb == "begin" }))
-        }
+        ["v1", "evacuation", zone, verb @ ("begin" | "finish")] => wants(
+            "POST",
+            Ok(Order::Evacuate {
+                zone: (*zone).to_owned(),
+                begin: *verb == "begin",
+            }),
+        ),
         _ => Err(Reply::error(404, codes::BAD_CALL, path)),
     }
 }
 
 fn configure(form: Form, based_on: u64, body: &[u8]) -> Order {
-    Order::Configure(Command::Configure { form, based_on, body: body.to_vec() })
+    Order::Configure(Command::Configure {
+        form,
+        based_on,
+        body: body.to_vec(),
+    })
 }
 
 /// The answer to an order for what came of it.
 pub fn outcome(result: Result<Outcome, Refusal>) -> Reply {
     match result {
-        Ok(Outcome::Taken { version }) => Reply::success(format!("{{\"version_number\":{version}}}")),
+        Ok(Outcome::Taken { version }) => {
+            Reply::success(format!("{{\"version_number\":{version}}}"))
+        }
         Ok(Outcome::Other { current }) => {
             Reply::error(412, codes::ANOTHER_VERSION, &format!("current {current}"))
         }
--- a/crates/sandtrack-control/src/control_state.rs
+++ b/crates/sandtrack-control/src/control_state.rs
@@ -47,7 +47,10 @@
 /// What stands behind a [`SnapshotBase`]; nothing does in format 1. New formats are added at the end.
 #[derive(BorshSerialize, BorshDeserialize)]
 enum SnapshotMore {
-    Format2 { taken: Vec<Sha256Record>, orders: OrderNumbers },
+    Format2 {
+        taken: Vec<Sha256Record>,
+        orders: OrderNumbers,
+    },
 }
 
 /// The state that operators change.
@@ -91,7 +94,11 @@
     /// The version that a configuration made, if it is among those remembered as taken.
     pub fn version_taken(&self, command: &Command) -> Option<u64> {
         match command {
-            Command::Configure { form, based_on, body } => self.taken.version_of(*form, *based_on, body),
+            Command::Configure {
+                form,
+                based_on,
+                body,
+            } => self.taken.version_of(*form, *based_on, body),
             _ => None,
         }
     }
@@ -112,7 +119,10 @@
 
     /// The frames that lead from the configuration of number `from` to this one; `None` where that is not known any more.
     pub fn changes_since(&self, from: u64) -> Option<Vec<ToProxy>> {
-        let at = self.changes.iter().position(|change| change.from_number == from)?;
+        let at = self
+            .changes
+            .iter()
+            .position(|change| change.from_number == from)?;
         let frame = |change: &Change| ToProxy::Changes {
             from_number: change.from_number,
             number: change.number,
@@ -131,7 +141,14 @@
         Configuration::read(&Document::parse(body)?).map(drop)
     }
 
-    fn configure(&mut self, number: u64, form: Form, based_on: u64, body: &[u8], digest: Digest) -> Outcome {
+    fn configure(
+        &mut self,
+        number: u64,
+        form: Form,
+        based_on: u64,
+        body: &[u8],
+        digest: Digest,
+    ) -> Outcome {
         if let Some(version) = self.taken.version_of(form, based_on, body) {
             return Outcome::Taken { version };
         }
@@ -143,7 +160,9 @@
         if based_on != self.document.version {
             return match self.taken.may_have_forgotten(based_on) {
                 true => Outcome::Forgotten,
-                false => Outcome::Other { current: self.document.version },
+                false => Outcome::Other {
+                    current: self.document.version,
+                },
             };
         }
         let next = match self.check_next(next) {
@@ -152,7 +171,9 @@
         };
         let version = next.version;
         let rises = version > self.document.version && number > self.configuration_number;
-        check(Invariant::VersionRises, rises, || format!("{version} behind {}", self.document.version));
+        check(Invariant::VersionRises, rises, || {
+            format!("{version} behind {}", self.document.version)
+        });
         self.note_change(number, &next);
         (self.document, self.configuration_number) = (next, number);
         self.taken.push(version, digest);
@@ -171,7 +192,10 @@
         let next = as_read_back(next)?;
         Configuration::read(&next)?;
         if next.version <= self.document.version {
-            let place = format!("version_number {}, current {}", next.version, self.document.version);
+            let place = format!(
+                "version_number {}, current {}",
+                next.version, self.document.version
+            );
             return Err(Invalid::new(codes::VERSION_NOT_ABOVE, place));
         }
         Ok(next)
@@ -187,22 +211,36 @@
             }
             Command::Evacuate { zone, begin } => {
                 self.evacuations.set_format_1(number, zone, begin);
-                Outcome::Taken { version: self.document.version }
+                Outcome::Taken {
+                    version: self.document.version,
+                }
             }
-            Command::Configure { form, based_on, body } => {
+            Command::Configure {
+                form,
+                based_on,
+                body,
+            } => {
                 let digest = Digest::sha256(form, based_on, &body);
                 self.configure(number, form, based_on, &body, digest)
             }
             Command::SetEvacuation { zone, begin, seen } => {
                 match self.evacuations.set(number, zone, begin, seen) {
-                    Ok(()) => Outcome::Taken { version: self.document.version },
+                    Ok(()) => Outcome::Taken {
+                        version: self.document.version,
+                    },
                     Err(overtaken) => overtaken,
                 }
             }
         }
     }
 
-    fn configure_format_1(&mut self, number: u64, form: Form, based_on: u64, body: &[u8]) -> Outcome {
+    fn configure_format_1(
+        &mut self,
+        number: u64,
+        form: Form,
+        based_on: u64,
+        body: &[u8],
+    ) -> Outcome {
         let digest = Digest::fnv(form, based_on, body);
         self.configure(number, form, based_on, body, digest)
     }
@@ -211,9 +249,19 @@
         let (items, fields) = self.document.changes(next);
         let text = |item: &ItemChange| item.json.as_ref().map_or(0, String::len) + item.name.len();
         let size = items.iter().map(text).sum::<usize>()
-            + fields.iter().map(|(name, json)| name.len() + json.len()).sum::<usize>();
+            + fields
+                .iter()
+                .map(|(name, json)| name.len() + json.len())
+                .sum::<usize>();
         let from_number = self.configuration_number;
-        self.changes.push_back(Change { from_number, number, version: next.version, items, fields, size });
+        self.changes.push_back(Change {
+            from_number,
+            number,
+            version: next.version,
+            items,
+            fields,
+            size,
+        });
         while self.changes.len() > CHANGES_KEPT
             || self.changes.iter().map(|change| change.size).sum::<usize>() > CHANGES_BYTES
         {
@@ -237,10 +285,17 @@
 /// Whether the text of a document certainly reads as the same document; cheap, as it is asked for each change.
 fn reads_back_as_it_is(document: &Document) -> bool {
     let reads_as_list = |value: &OwnedValue| {
-        value.as_array().is_some_and(|items| items.iter().all(|item| item.as_object().is_some()))
+        value
+            .as_array()
+            .is_some_and(|items| items.iter().all(|item| item.as_object().is_some()))
     };
-    REQUIRED_LISTS.iter().all(|list| document.list(list).is_some())
-        && !document.fields.iter().any(|(_, value)| reads_as_list(value))
+    REQUIRED_LISTS
+        .iter()
+        .all(|list| document.list(list).is_some())
+        && !document
+            .fields
+            .iter()
+            .any(|(_, value)| reads_as_list(value))
 }
 
 impl StateMachine for ControlState {
@@ -259,14 +314,20 @@
 
     fn query(&self, question: &[u8]) -> Vec<u8> {
         let answer: Answer = match borsh::from_slice(question) {
-            Ok(Question::Configuration) => (self.configuration_number > 0).then(|| self.document.to_json()),
+            Ok(Question::Configuration) => {
+                (self.configuration_number > 0).then(|| self.document.to_json())
+            }
             Ok(Question::Contact) | Err(_) => None,
         };
         borsh::to_vec(&answer).unwrap_or_default()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let document = if self.configuration_number > 0 { self.document.to_json() } else { String::new() };
+        let document = if self.configuration_number > 0 {
+            self.document.to_json()
+        } else {
+            String::new()
+        };
         let base = SnapshotBase {
             document,
             configuration_number: self.configuration_number,
@@ -275,14 +336,22 @@
             evacuated: self.evacuations.zones().map(str::to_owned).collect(),
         };
         let taken = self.taken.sha256_records();
-        let more = SnapshotMore::Format2 { taken, orders: self.evacuations.orders().clone() };
+        let more = SnapshotMore::Format2 {
+            taken,
+            orders: self.evacuations.orders().clone(),
+        };
         borsh::to_vec(&(base, more)).unwrap_or_default()
     }
 
     fn restore(&mut self, mut snapshot: &[u8]) -> bool {
-        let Ok(base) = SnapshotBase::deserialize(&mut snapshot) else { return false };
+        let Ok(base) = SnapshotBase::deserialize(&mut snapshot) else {
+            return false;
+        };
         let (sha256_records, orders) = if snapshot.is_empty() {
-            (Vec::new(), OrderNumbers::of_format_1(base.evacuation_number))
+            (
+                Vec::new(),
+                OrderNumbers::of_format_1(base.evacuation_number),
+            )
         } else {
             match borsh::from_slice(snapshot) {
                 Ok(SnapshotMore::Format2 { taken, orders }) => (taken, orders),
