--- a/crates/sandtrack-control/src/directory.rs
+++ b/crates/sandtrack-control/src/directory.rs
@@ -29,7 +29,11 @@
         return Err(Reply::error(404, codes::BAD_CALL, path));
     }
     if head.method != "GET" {
-        return Err(Reply::error(405, codes::BAD_CALL, &format!("{} {path}: GET is meant", head.method)));
+        return Err(Reply::error(
+            405,
+            codes::BAD_CALL,
+            &format!("{} {path}: GET is meant", head.method),
+        ));
     }
     let mut place = Place::default();
     for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
@@ -48,7 +52,9 @@
     let mut read = Vec::with_capacity(bytes.len());
     let mut at = 0;
     while let Some(byte) = bytes.get(at) {
-        let hex = value.get(at + 1..at + 3).and_then(|hex| u8::from_str_radix(hex, 16).ok());
+        let hex = value
+            .get(at + 1..at + 3)
+            .and_then(|hex| u8::from_str_radix(hex, 16).ok());
         match (byte, hex) {
             (b'%', Some(hex)) => {
                 read.push(hex);
@@ -66,11 +72,20 @@
 /// third of what a place has on average: a place that has lost more sends its clients on. Where there are too many, `turn`
 /// says with which to begin.
 pub fn choose<'a>(
-    place: &Place, ready: &[&'a ProxyInfo], zones: usize, regions: usize, turn: usize,
+    place: &Place,
+    ready: &[&'a ProxyInfo],
+    zones: usize,
+    regions: usize,
+    turn: usize,
 ) -> Vec<&'a str> {
-    let enough = |count: usize, places: usize| count > 0 && 3 * count * places.max(1) >= ready.len();
+    let enough =
+        |count: usize, places: usize| count > 0 && 3 * count * places.max(1) >= ready.len();
     let of = |near: &dyn Fn(&ProxyInfo) -> bool| -> Vec<&'a str> {
-        ready.iter().filter(|info| near(info)).map(|info| info.front.as_str()).collect()
+        ready
+            .iter()
+            .filter(|info| near(info))
+            .map(|info| info.front.as_str())
+            .collect()
     };
     let zone = of(&|info| info.zone == place.zone);
     let region = of(&|info| info.region == place.region);
@@ -96,7 +111,13 @@
     if addresses.is_empty() {
         return Reply::error(503, codes::NO_PROXY, "directory");
     }
-    let addresses: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
-    let body = format!("{{\"addresses\":[{}],\"lifetime_s\":{LIFETIME_S}}}", addresses.join(","));
+    let addresses: Vec<String> = addresses
+        .iter()
+        .map(|address| format!("\"{address}\""))
+        .collect();
+    let body = format!(
+        "{{\"addresses\":[{}],\"lifetime_s\":{LIFETIME_S}}}",
+        addresses.join(",")
+    );
     Reply::success(body)
 }
--- a/crates/sandtrack-control/src/disk.rs
+++ b/crates/sandtrack-control/src/disk.rs
@@ -68,7 +68,9 @@
 /// # Errors
 /// Where there is no thread to be had.
 pub fn start(
-    mut wal: Wal, orders: async_channel::Receiver<Order>, done: impl Fn(Done) + Send + 'static,
+    mut wal: Wal,
+    orders: async_channel::Receiver<Order>,
+    done: impl Fn(Done) + Send + 'static,
 ) -> std::io::Result<()> {
     let work = move || {
         let done = EndsByFault(done);
@@ -90,5 +92,9 @@
             });
         }
     };
-    std::thread::Builder::new().name("disk".to_owned()).stack_size(STACK).spawn(work).map(drop)
+    std::thread::Builder::new()
+        .name("disk".to_owned())
+        .stack_size(STACK)
+        .spawn(work)
+        .map(drop)
 }
--- a/crates/sandtrack-control/src/evacuations.rs
+++ b/crates/sandtrack-control/src/evacuations.rs
@@ -17,11 +17,18 @@
 impl OrderNumbers {
     /// As far as a snapshot of format 1 tells them.
     pub fn of_format_1(last_change: u64) -> OrderNumbers {
-        OrderNumbers { by_zone: BTreeMap::new(), format_1: last_change }
+        OrderNumbers {
+            by_zone: BTreeMap::new(),
+            format_1: last_change,
+        }
     }
 
     fn last(&self, zone: &str) -> u64 {
-        self.by_zone.get(zone).copied().unwrap_or(0).max(self.format_1)
+        self.by_zone
+            .get(zone)
+            .copied()
+            .unwrap_or(0)
+            .max(self.format_1)
     }
 }
 
@@ -37,7 +44,11 @@
 impl Evacuations {
     /// As a snapshot holds them.
     pub fn restored(zones: Vec<String>, changed: u64, orders: OrderNumbers) -> Evacuations {
-        Evacuations { zones: zones.into_iter().collect(), changed, orders }
+        Evacuations {
+            zones: zones.into_iter().collect(),
+            changed,
+            orders,
+        }
     }
 
     /// The zones that are evacuated.
@@ -77,7 +88,13 @@
     ///
     /// # Errors
     /// It was overtaken.
-    pub fn set(&mut self, number: u64, zone: String, begin: bool, seen: u64) -> Result<(), Outcome> {
+    pub fn set(
+        &mut self,
+        number: u64,
+        zone: String,
+        begin: bool,
+        seen: u64,
+    ) -> Result<(), Outcome> {
         let last = self.orders.last(&zone);
         if seen < last && self.zones.contains(&zone) != begin {
             return Err(Outcome::Superseded { number: last });
@@ -88,7 +105,11 @@
     }
 
     fn change(&mut self, number: u64, zone: &str, begin: bool) -> bool {
-        let changed = if begin { self.zones.insert(zone.to_owned()) } else { self.zones.remove(zone) };
+        let changed = if begin {
+            self.zones.insert(zone.to_owned())
+        } else {
+            self.zones.remove(zone)
+        };
         if changed {
             self.changed = number;
         }
--- a/crates/sandtrack-control/src/journal.rs
+++ b/crates/sandtrack-control/src/journal.rs
@@ -14,7 +14,11 @@
 impl<E> Journal<E> {
     /// A journal that keeps so many events.
     pub fn new(kept: usize) -> Journal<E> {
-        Journal { first: 0, events: VecDeque::new(), kept }
+        Journal {
+            first: 0,
+            events: VecDeque::new(),
+            kept,
+        }
     }
 
     /// Adds an event; the oldest one goes where more are kept than the bound.
--- a/crates/sandtrack-control/src/knowledge.rs
+++ b/crates/sandtrack-control/src/knowledge.rs
@@ -34,8 +34,15 @@
         self.settings.zones.contains_key(zone)
             || self.settings.zone == zone
             || self.control_state.names_zone(zone)
-            || self.peers.all().any(|(_, _, hello)| hello.is_some_and(|hello| hello.zone == zone))
-            || self.membership.members().values().any(|member| member.info.zone == zone)
+            || self
+                .peers
+                .all()
+                .any(|(_, _, hello)| hello.is_some_and(|hello| hello.zone == zone))
+            || self
+                .membership
+                .members()
+                .values()
+                .any(|member| member.info.zone == zone)
             || self.upstreams.names_zone(zone)
     }
 }
--- a/crates/sandtrack-control/src/membership.rs
+++ b/crates/sandtrack-control/src/membership.rs
@@ -87,13 +87,18 @@
                     self.journal.append(info.node_name.clone());
                 }
             }
-            _ => self.set(Member { info: info.clone(), state }),
+            _ => self.set(Member {
+                info: info.clone(),
+                state,
+            }),
         }
     }
 
     /// An own session is over. Unless its proxy was told to stop, it is counted on for a while.
     pub fn gone(&mut self, now: Millis, name: &str, lost: Lost) {
-        let Some(mut member) = self.own.remove(name) else { return };
+        let Some(mut member) = self.own.remove(name) else {
+            return;
+        };
         if !member.state.leaving {
             let kept = match lost {
                 Lost::Silent => KEPT_MS,
@@ -108,11 +113,15 @@
 
     /// Own members as the others are told them: those with a session, and those that are counted on.
     fn told_to_others(&self) -> impl Iterator<Item = &Member> {
-        self.own.values().chain(self.lost.values().map(|(member, _)| member))
+        self.own
+            .values()
+            .chain(self.lost.values().map(|(member, _)| member))
     }
 
     fn told_by_name(&self, name: &str) -> Option<&Member> {
-        self.own.get(name).or_else(|| self.lost.get(name).map(|(member, _)| member))
+        self.own
+            .get(name)
+            .or_else(|| self.lost.get(name).map(|(member, _)| member))
     }
 
     /// Place of the newest event of own members.
@@ -124,13 +133,25 @@
     pub fn frame_since(&self, place: Option<u64>) -> PeerFrame {
         let Some(events) = place.and_then(|place| self.journal.since(place)) else {
             let present = self.told_to_others().cloned().collect();
-            return PeerFrame::Sessions { whole: true, present, gone: Vec::new() };
+            return PeerFrame::Sessions {
+                whole: true,
+                present,
+                gone: Vec::new(),
+            };
         };
         let names: BTreeSet<&String> = events.collect();
-        let (present, gone): (Vec<&String>, Vec<&String>) =
-            names.into_iter().partition(|name| self.told_by_name(name).is_some());
-        let present = present.into_iter().filter_map(|name| self.told_by_name(name).cloned()).collect();
-        PeerFrame::Sessions { whole: false, present, gone: gone.into_iter().cloned().collect() }
+        let (present, gone): (Vec<&String>, Vec<&String>) = names
+            .into_iter()
+            .partition(|name| self.told_by_name(name).is_some());
+        let present = present
+            .into_iter()
+            .filter_map(|name| self.told_by_name(name).cloned())
+            .collect();
+        PeerFrame::Sessions {
+            whole: false,
+            present,
+            gone: gone.into_iter().cloned().collect(),
+        }
     }
 
     /// Digest of the own members.
@@ -141,19 +162,33 @@
     /// Digest of those that another control node told.
     pub fn digest_of(&self, control_node: &str) -> Digest {
         let others = self.others.get(control_node);
-        digest(others.into_iter().flat_map(|others| others.members.values().map(|(member, _)| member)))
+        digest(
+            others
+                .into_iter()
+                .flat_map(|others| others.members.values().map(|(member, _)| member)),
+        )
     }
 
     /// Another control node tells its members, or what changed of them.
     pub fn told(
-        &mut self, now: Millis, control_node: &str, whole: bool, present: Vec<Member>, gone: &[String],
+        &mut self,
+        now: Millis,
+        control_node: &str,
+        whole: bool,
+        present: Vec<Member>,
+        gone: &[String],
     ) {
         let others = self.others.entry(control_node.to_owned()).or_default();
         others.lost = None;
         let before: Vec<(String, u64)> = names(others);
         if whole {
-            let kept: BTreeSet<&str> = present.iter().map(|member| member.info.node_name.as_str()).collect();
-            others.members.retain(|name, _| kept.contains(name.as_str()));
+            let kept: BTreeSet<&str> = present
+                .iter()
+                .map(|member| member.info.node_name.as_str())
+                .collect();
+            others
+                .members
+                .retain(|name, _| kept.contains(name.as_str()));
         }
         for name in gone {
             others.members.remove(name);
@@ -163,7 +198,9 @@
                 Some((known, since)) if known.info == member.info => *since,
                 _ => now,
             };
-            others.members.insert(member.info.node_name.clone(), (member, since));
+            others
+                .members
+                .insert(member.info.node_name.clone(), (member, since));
         }
         self.round += u64::from(names(others) != before);
     }
@@ -184,7 +221,8 @@
             self.round += 1;
         }
         let before = self.others.len();
-        self.others.retain(|_, others| others.lost.is_none_or(|lost| now - lost < KEPT_MS));
+        self.others
+            .retain(|_, others| others.lost.is_none_or(|lost| now - lost < KEPT_MS));
         self.round += u64::from(self.others.len() != before);
     }
 
@@ -210,10 +248,21 @@
                 }
             }
         }
-        let told = told.into_iter().map(|(name, (_, _, member))| (name, member));
+        let told = told
+            .into_iter()
+            .map(|(name, (_, _, member))| (name, member));
         // One that others tell of has come back there.
-        let lost = self.lost.iter().map(|(name, (member, _))| (name.as_str(), member));
-        lost.chain(told).chain(self.own.iter().map(|(name, member)| (name.as_str(), member))).collect()
+        let lost = self
+            .lost
+            .iter()
+            .map(|(name, (member, _))| (name.as_str(), member));
+        lost.chain(told)
+            .chain(
+                self.own
+                    .iter()
+                    .map(|(name, member)| (name.as_str(), member)),
+            )
+            .collect()
     }
 
     /// The proxies that clients may be sent to. What a silent control node told holds a little while; longer where nothing
@@ -221,7 +270,9 @@
     pub fn ready(&self, now: Millis) -> Vec<&ProxyInfo> {
         let ready = |within: Millis| -> Vec<&ProxyInfo> {
             let members = self.fold(|others| others.lost.is_none_or(|lost| now - lost < within));
-            let ready = members.into_values().filter(|member| member.state.ready && !member.state.leaving);
+            let ready = members
+                .into_values()
+                .filter(|member| member.state.ready && !member.state.leaving);
             ready.map(|member| &member.info).collect()
         };
         let shown = ready(SHOWN_MS);
@@ -238,7 +289,11 @@
 }
 
 fn names(others: &Others) -> Vec<(String, u64)> {
-    others.members.iter().map(|(name, (member, _))| (name.clone(), member.info.incarnation)).collect()
+    others
+        .members
+        .iter()
+        .map(|(name, (member, _))| (name.clone(), member.info.incarnation))
+        .collect()
 }
 
 fn digest<'a>(members: impl Iterator<Item = &'a Member>) -> Digest {
--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -138,7 +138,10 @@
         zones_borne: settings.zones_borne,
         seed: start.incarnation,
         // Nobody waits for longer: what is tried on after that could only come late.
-        timings: Timings { call: control::PATIENCE_MS, ..Timings::default() },
+        timings: Timings {
+            call: control::PATIENCE_MS,
+            ..Timings::default()
+        },
         ..replication::Settings::new(address, &[])
     }
 }
@@ -148,8 +151,12 @@
     pub fn new(settings: Settings, start: Start, now: Millis) -> (ControlNode, Vec<Effect>) {
         let me = links::hello(&settings, start.incarnation);
         let replica_settings = replica_settings(&settings, &me.address, &start);
-        let (replica, effects) =
-            Replica::new(replica_settings, start.recovered, ControlState::default(), now);
+        let (replica, effects) = Replica::new(
+            replica_settings,
+            start.recovered,
+            ControlState::default(),
+            now,
+        );
         let mut control_node = ControlNode {
             election: ReaderElection::new(&me.address, now),
             peers: Peers::new(me, now),
@@ -223,7 +230,13 @@
         let ready = self.membership.ready(now);
         let zones = self.settings.zones.len();
         let regions = self.settings.zones.values().collect::<BTreeSet<_>>().len();
-        directory::reply(&directory::choose(&place, &ready, zones, regions, self.resolutions))
+        directory::reply(&directory::choose(
+            &place,
+            &ready,
+            zones,
+            regions,
+            self.resolutions,
+        ))
     }
 
     /// Takes in what happened, and appends what is to be done.
@@ -242,8 +255,11 @@
         match input {
             Input::Tick => self.tick(now, out),
             Input::Call { call, message } => {
-                self.call_log.read(now, call, &message, self.calls.arrival(call));
-                self.advance_calls(now, out, |calls, known| Some(calls.call(now, call, &message, known)));
+                self.call_log
+                    .read(now, call, &message, self.calls.arrival(call));
+                self.advance_calls(now, out, |calls, known| {
+                    Some(calls.call(now, call, &message, known))
+                });
             }
             Input::LinkOpened { link } => self.link_opened(now, link, out),
             Input::LinkFrame { link, frame } => self.link_frame(now, link, frame, out),
--- a/crates/sandtrack-control/src/node/attachment.rs
+++ b/crates/sandtrack-control/src/node/attachment.rs
@@ -34,12 +34,19 @@
     /// was acknowledged in it is known here.
     pub fn may_feed_proxies(&self, now: Millis) -> bool {
         let me = &self.peers.me.address;
-        let is_confirmed = self.contact.is_confirmed(now, me, self.replica.testimony(), self.replica.view());
+        let is_confirmed =
+            self.contact
+                .is_confirmed(now, me, self.replica.testimony(), self.replica.view());
         self.is_attached(now) && is_confirmed && self.replica.holds_all(self.held_all_in)
     }
 
     /// Addresses of the voters of the view.
     pub(super) fn voters(&self) -> Vec<Address> {
-        self.replica.view().voters.iter().map(|member| member.address.clone()).collect()
+        self.replica
+            .view()
+            .voters
+            .iter()
+            .map(|member| member.address.clone())
+            .collect()
     }
 }
--- a/crates/sandtrack-control/src/node/figures.rs
+++ b/crates/sandtrack-control/src/node/figures.rs
@@ -21,27 +21,80 @@
         let linked = self.peers.all().filter(|(_, linked, _)| *linked).count() as u64;
         let ready = self.membership.ready(now).len() as u64;
         let gauges: [(&str, &str, u64); 14] = [
-            ("attached", "Whether it hears a majority and has caught up", u64::from(self.is_attached(now))),
-            ("caught_up", "Whether it knows all that is committed", u64::from(self.replica.is_caught_up())),
-            ("feeds_proxies", "Whether it may give configurations", u64::from(self.may_feed_proxies(now))),
-            ("leaving", "Whether it was told to stop", u64::from(self.leaving_since.is_some())),
+            (
+                "attached",
+                "Whether it hears a majority and has caught up",
+                u64::from(self.is_attached(now)),
+            ),
+            (
+                "caught_up",
+                "Whether it knows all that is committed",
+                u64::from(self.replica.is_caught_up()),
+            ),
+            (
+                "feeds_proxies",
+                "Whether it may give configurations",
+                u64::from(self.may_feed_proxies(now)),
+            ),
+            (
+                "leaving",
+                "Whether it was told to stop",
+                u64::from(self.leaving_since.is_some()),
+            ),
             ("view_epoch", "Epoch of the latest view known", view.epoch),
-            ("chain_length", "Members of the chain", view.chain.len() as u64),
+            (
+                "chain_length",
+                "Members of the chain",
+                view.chain.len() as u64,
+            ),
             (
                 "in_chain",
                 "Whether it is a member of it",
                 u64::from(view.chain.contains(self.replica.member())),
             ),
-            ("applied_number", "Number of the last change applied", self.replica.applied_number()),
-            ("configuration_version", "Version in force; 0: none", control_state.version()),
-            ("zones_evacuated", "Zones that get nothing", control_state.evacuated().count() as u64),
-            ("peers_linked", "Other control nodes that are linked", linked),
-            ("sessions", "Proxies with a session here", self.membership.own().len() as u64),
-            ("proxies_ready", "Proxies that the directory may name", ready),
-            ("up_seconds", "Since the start of the process", ((now - self.started) / 1000.0) as u64),
+            (
+                "applied_number",
+                "Number of the last change applied",
+                self.replica.applied_number(),
+            ),
+            (
+                "configuration_version",
+                "Version in force; 0: none",
+                control_state.version(),
+            ),
+            (
+                "zones_evacuated",
+                "Zones that get nothing",
+                control_state.evacuated().count() as u64,
+            ),
+            (
+                "peers_linked",
+                "Other control nodes that are linked",
+                linked,
+            ),
+            (
+                "sessions",
+                "Proxies with a session here",
+                self.membership.own().len() as u64,
+            ),
+            (
+                "proxies_ready",
+                "Proxies that the directory may name",
+                ready,
+            ),
+            (
+                "up_seconds",
+                "Since the start of the process",
+                ((now - self.started) / 1000.0) as u64,
+            ),
         ];
         for (name, help, value) in gauges {
-            text.single(&format!("sandtrack_control_{name}"), Kind::Gauge, help, value);
+            text.single(
+                &format!("sandtrack_control_{name}"),
+                Kind::Gauge,
+                help,
+                value,
+            );
         }
     }
 
@@ -50,14 +103,36 @@
         let help = "Whether it reads the platform's list";
         text.single("sandtrack_control_reads_list", Kind::Gauge, help, reads);
         let help = "Term of the reader of the list";
-        text.single("sandtrack_control_reader_term", Kind::Gauge, help, self.election.claim().term);
+        text.single(
+            "sandtrack_control_reader_term",
+            Kind::Gauge,
+            help,
+            self.election.claim().term,
+        );
         let help = "Whole readings of the list that it knows of";
-        text.single("sandtrack_control_list_round", Kind::Counter, help, self.upstreams.round());
+        text.single(
+            "sandtrack_control_list_round",
+            Kind::Counter,
+            help,
+            self.upstreams.round(),
+        );
         const UPSTREAMS: &str = "sandtrack_control_upstreams";
-        text.family(UPSTREAMS, Kind::Gauge, "Upstreams on the list by service and state");
+        text.family(
+            UPSTREAMS,
+            Kind::Gauge,
+            "Upstreams on the list by service and state",
+        );
         for (service, (listed, draining)) in self.upstreams.counts() {
-            text.figure(UPSTREAMS, &[("service", service), ("state", "listed")], listed);
-            text.figure(UPSTREAMS, &[("service", service), ("state", "draining")], draining);
+            text.figure(
+                UPSTREAMS,
+                &[("service", service), ("state", "listed")],
+                listed,
+            );
+            text.figure(
+                UPSTREAMS,
+                &[("service", service), ("state", "draining")],
+                draining,
+            );
         }
     }
 }
--- a/crates/sandtrack-control/src/node/leaving.rs
+++ b/crates/sandtrack-control/src/node/leaving.rs
@@ -24,7 +24,10 @@
 
     /// Ends the process if it was told to stop and may.
     pub(super) fn exit_if_left(&self, now: Millis, out: &mut Vec<Effect>) {
-        if self.leaving_since.is_some_and(|since| self.may_exit_after(now - since)) {
+        if self
+            .leaving_since
+            .is_some_and(|since| self.may_exit_after(now - since))
+        {
             out.push(Effect::Exit);
         }
     }
--- a/crates/sandtrack-control/src/node/links.rs
+++ b/crates/sandtrack-control/src/node/links.rs
@@ -43,7 +43,8 @@
     pub(super) fn update_wanted_peers(&mut self, now: Millis) {
         let seeds = seeds(&self.settings);
         let known = self.replica.peers();
-        self.peers.reach(now, seeds.iter().chain(&known).map(String::as_str));
+        self.peers
+            .reach(now, seeds.iter().chain(&known).map(String::as_str));
     }
 
     /// The socket of a link stands.
@@ -79,7 +80,13 @@
     }
 
     /// A frame came over a link. Nothing counts before the other end has said who it is.
-    pub(super) fn link_frame(&mut self, now: Millis, link: u64, frame: PeerFrame, out: &mut Vec<Effect>) {
+    pub(super) fn link_frame(
+        &mut self,
+        now: Millis,
+        link: u64,
+        frame: PeerFrame,
+        out: &mut Vec<Effect>,
+    ) {
         let peer = self.peers.heard(now, link);
         if let Some(peer) = &peer {
             self.contact.heard(now, peer, None);
@@ -99,11 +106,22 @@
         self.peer_heard(now, heard, out);
     }
 
-    fn peer_frame(&mut self, now: Millis, link: u64, peer: &str, frame: PeerFrame, out: &mut Vec<Effect>) {
+    fn peer_frame(
+        &mut self,
+        now: Millis,
+        link: u64,
+        peer: &str,
+        frame: PeerFrame,
+        out: &mut Vec<Effect>,
+    ) {
         match frame {
             PeerFrame::Hello(_) => {}
             PeerFrame::Replication(message) => self.replica_message(now, peer, message, out),
-            PeerFrame::Sessions { whole, present, gone } => {
+            PeerFrame::Sessions {
+                whole,
+                present,
+                gone,
+            } => {
                 self.membership.told(now, peer, whole, present, &gone);
             }
             PeerFrame::WantSessions => {
@@ -128,20 +146,49 @@
         }
     }
 
-    fn replica_message(&mut self, now: Millis, peer: &str, message: Message, out: &mut Vec<Effect>) {
-        let received = replication::Input::Received { from: peer.to_owned(), message };
+    fn replica_message(
+        &mut self,
+        now: Millis,
+        peer: &str,
+        message: Message,
+        out: &mut Vec<Effect>,
+    ) {
+        let received = replication::Input::Received {
+            from: peer.to_owned(),
+            message,
+        };
         self.step_replica(now, received, out);
-        self.contact.heard(now, peer, self.replica.testimony_of(peer));
+        self.contact
+            .heard(now, peer, self.replica.testimony_of(peer));
     }
 
     /// A peer says that it is there, and what it knows: whatever differs from what it told before is asked for.
-    fn heartbeat(&mut self, now: Millis, link: u64, peer: &str, heartbeat: Heartbeat, out: &mut Vec<Effect>) {
-        let Heartbeat { claim, silent, sessions, list_round, list, leaving, settled } = heartbeat;
+    fn heartbeat(
+        &mut self,
+        now: Millis,
+        link: u64,
+        peer: &str,
+        heartbeat: Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
+        let Heartbeat {
+            claim,
+            silent,
+            sessions,
+            list_round,
+            list,
+            leaving,
+            settled,
+        } = heartbeat;
         self.reader_claimed(now, peer, &claim);
         let reads_list = claim.holder == peer && *self.election.claim() == claim;
-        self.peers.report(peer, PeerReport { claim, silent }, leaving, settled);
+        self.peers
+            .report(peer, PeerReport { claim, silent }, leaving, settled);
         if sessions != self.membership.digest_of(peer) {
-            out.push(Effect::Link(LinkOrder::Send { link, frame: PeerFrame::WantSessions }));
+            out.push(Effect::Link(LinkOrder::Send {
+                link,
+                frame: PeerFrame::WantSessions,
+            }));
         }
         if !reads_list {
             return;
@@ -149,13 +196,18 @@
         if list == self.upstreams.digest() {
             self.upstreams.reading_ended(list_round);
         } else {
-            out.push(Effect::Link(LinkOrder::Send { link, frame: PeerFrame::WantList }));
+            out.push(Effect::Link(LinkOrder::Send {
+                link,
+                frame: PeerFrame::WantList,
+            }));
         }
     }
 
     /// Tells a peer what is new, and that this control node is there.
     pub(super) fn send_heartbeat(&mut self, now: Millis, peer: &str, out: &mut Vec<Effect>) {
-        let Some(link) = self.peers.link_to(peer) else { return };
+        let Some(link) = self.peers.link_to(peer) else {
+            return;
+        };
         self.announce_to(now, link, out);
         let heartbeat = Heartbeat {
             claim: self.election.claim().clone(),
@@ -166,7 +218,10 @@
             leaving: self.leaving_since.is_some(),
             settled: self.settled,
         };
-        out.push(Effect::Link(LinkOrder::Send { link, frame: PeerFrame::Heartbeat(heartbeat) }));
+        out.push(Effect::Link(LinkOrder::Send {
+            link,
+            frame: PeerFrame::Heartbeat(heartbeat),
+        }));
     }
 
     /// Sends a heartbeat to each peer.
@@ -178,7 +233,10 @@
 
     /// Tells all peers what is new, if anything is.
     pub(super) fn announce_news(&mut self, now: Millis, out: &mut Vec<Effect>) {
-        let ends = Announced { membership: self.membership.end(), list: self.upstreams.end() };
+        let ends = Announced {
+            membership: self.membership.end(),
+            list: self.upstreams.end(),
+        };
         if std::mem::replace(&mut self.announced, ends) != ends {
             self.announce_to_all(now, out);
         }
@@ -193,9 +251,14 @@
 
     /// Tells the other end of a link what changed of the sessions here, and of the list if it is read here.
     fn announce_to(&mut self, now: Millis, link: u64, out: &mut Vec<Effect>) {
-        let ends = Announced { membership: self.membership.end(), list: self.upstreams.end() };
+        let ends = Announced {
+            membership: self.membership.end(),
+            list: self.upstreams.end(),
+        };
         let tells_list = self.election.is_holder() && self.upstreams.round() > 0;
-        let Some((sessions, list)) = self.peers.told(link) else { return };
+        let Some((sessions, list)) = self.peers.told(link) else {
+            return;
+        };
         if *sessions != Some(ends.membership) {
             let frame = self.membership.frame_since(*sessions);
             *sessions = Some(ends.membership);
--- a/crates/sandtrack-control/src/node/list.rs
+++ b/crates/sandtrack-control/src/node/list.rs
@@ -11,7 +11,10 @@
         let was_holder = self.election.is_holder();
         self.election.heard_claim(now, peer, claim);
         if was_holder != self.election.is_holder() {
-            log::info!("the platform's list is read by {}", self.election.claim().holder);
+            log::info!(
+                "the platform's list is read by {}",
+                self.election.claim().holder
+            );
             self.reader.stop();
         }
     }
@@ -26,7 +29,10 @@
         let voters = self.voters();
         let live = self.peers.live(now, HOLDER_SILENT_MS);
         if self.election.take_over(now, &candidates, &live, &voters) {
-            log::info!("it reads the platform's list from now on, term {}", self.election.claim().term);
+            log::info!(
+                "it reads the platform's list from now on, term {}",
+                self.election.claim().term
+            );
         }
     }
 
@@ -35,7 +41,10 @@
         let candidates = self.reader_candidates();
         let live = self.peers.live(now, HOLDER_SILENT_MS);
         if self.election.hand_over(&candidates, &live) {
-            log::info!("the platform's list is read by {} from now on", self.election.claim().holder);
+            log::info!(
+                "the platform's list is read by {} from now on",
+                self.election.claim().holder
+            );
             self.reader.stop();
         }
     }
@@ -57,7 +66,12 @@
     }
 
     /// A call to the platform is over: its page is taken in if it is still read here.
-    pub(super) fn platform_answered(&mut self, now: Millis, call: reader::Call, out: &mut Vec<Effect>) {
+    pub(super) fn platform_answered(
+        &mut self,
+        now: Millis,
+        call: reader::Call,
+        out: &mut Vec<Effect>,
+    ) {
         let alone = !self.election.is_holder();
         if !self.election.is_reading(now) {
             self.reader.stop();
@@ -73,7 +87,10 @@
             return;
         }
         let alone = !self.election.is_holder();
-        if let Some(token) = self.reader.next_page(now, alone, self.settings.cloud_api.rate_per_s) {
+        if let Some(token) = self
+            .reader
+            .next_page(now, alone, self.settings.cloud_api.rate_per_s)
+        {
             out.push(Effect::Fetch { token });
         }
     }
--- a/crates/sandtrack-control/src/node/operators.rs
+++ b/crates/sandtrack-control/src/node/operators.rs
@@ -16,7 +16,9 @@
 impl ControlNode {
     /// Looks at the operators' calls with what is known here, and carries out what one of them needs next.
     pub(super) fn advance_calls(
-        &mut self, now: Millis, out: &mut Vec<Effect>,
+        &mut self,
+        now: Millis,
+        out: &mut Vec<Effect>,
         next: impl FnOnce(&mut OperatorCalls, &Knowledge<'_>) -> Option<Step>,
     ) {
         let known = Knowledge {
@@ -37,7 +39,9 @@
     fn reply(&mut self, now: Millis, call: u64, reply: Reply, out: &mut Vec<Effect>) {
         let reply = self.sent_on(now, call, reply);
         match self.call_log.answered(now, call, &reply) {
-            Some(told) if reply.code.is_some() => log::info!("{}; {}", told.line, self.standing(now)),
+            Some(told) if reply.code.is_some() => {
+                log::info!("{}; {}", told.line, self.standing(now))
+            }
             Some(told) if told.is_notable => log::info!("{}", told.line),
             Some(told) => log::debug!("{}", told.line),
             None => {}
@@ -51,10 +55,14 @@
     /// do better.
     fn sent_on(&self, now: Millis, call: u64, reply: Reply) -> Reply {
         let is_open = matches!(reply.code, Some(codes::UNSURE | codes::NOT_NOW));
-        let target = self.call_log.bare_order(now, call).filter(|_| is_open && self.is_attached(now));
-        match target
-            .and_then(|target| self.other_control(now).map(|address| format!("http://{address}{target}")))
-        {
+        let target = self
+            .call_log
+            .bare_order(now, call)
+            .filter(|_| is_open && self.is_attached(now));
+        match target.and_then(|target| {
+            self.other_control(now)
+                .map(|address| format!("http://{address}{target}"))
+        }) {
             Some(location) => reply.sent_on(location),
             None => reply,
         }
@@ -64,18 +72,21 @@
     fn other_control(&self, now: Millis) -> Option<String> {
         let chain = &self.replica.view().chain;
         let rank = |address: &str| chain.iter().position(|member| member.address == address);
-        let staying = self
-            .peers
-            .all()
-            .filter(|(address, stays, _)| *stays && self.peers.is_heard(now, address, SURELY_THERE_MS));
-        let (_, _, hello) = staying.min_by_key(|(address, _, _)| rank(address).unwrap_or(usize::MAX))?;
+        let staying = self.peers.all().filter(|(address, stays, _)| {
+            *stays && self.peers.is_heard(now, address, SURELY_THERE_MS)
+        });
+        let (_, _, hello) =
+            staying.min_by_key(|(address, _, _)| rank(address).unwrap_or(usize::MAX))?;
         hello.map(control_address)
     }
 
     /// What an answer to an operator rests on here.
     fn standing(&self, now: Millis) -> String {
         let view = self.replica.view();
-        let head = view.chain.first().map_or("none", |member| member.address.as_str());
+        let head = view
+            .chain
+            .first()
+            .map_or("none", |member| member.address.as_str());
         let heard = |address: &str| match address == self.peers.me.address {
             true => "itself",
             false if self.peers.is_heard(now, address, VOTER_PRESENT_MS) => "heard",
--- a/crates/sandtrack-control/src/node/proxies.rs
+++ b/crates/sandtrack-control/src/node/proxies.rs
@@ -12,10 +12,21 @@
 impl ControlNode {
     /// A frame came over a session. Nothing counts before the proxy has said who it is.
     pub(super) fn session_frame(
-        &mut self, now: Millis, session: u64, frame: ToControl, out: &mut Vec<Effect>,
+        &mut self,
+        now: Millis,
+        session: u64,
+        frame: ToControl,
+        out: &mut Vec<Effect>,
     ) {
         match (self.sessions.heard(now, session), frame) {
-            (_, ToControl::Hello { format, info, state }) => {
+            (
+                _,
+                ToControl::Hello {
+                    format,
+                    info,
+                    state,
+                },
+            ) => {
                 self.proxy_hello(session, format, info, state, out);
             }
             (Some(info), ToControl::State(state)) => self.membership.state(info, state),
@@ -26,11 +37,19 @@
     }
 
     fn proxy_hello(
-        &mut self, session: u64, format: u16, info: ProxyInfo, state: ProxyState, out: &mut Vec<Effect>,
+        &mut self,
+        session: u64,
+        format: u16,
+        info: ProxyInfo,
+        state: ProxyState,
+        out: &mut Vec<Effect>,
     ) {
         let mut orders = Vec::new();
         if format != frames::FORMAT || self.leaving_since.is_some() {
-            log::warn!("a session of format {format} from {} is ended", info.node_name);
+            log::warn!(
+                "a session of format {format} from {} is ended",
+                info.node_name
+            );
             orders.push(SessionOrder::Close { session });
             self.sessions.closed(session);
         } else {
@@ -82,13 +101,16 @@
         let peers = self.peers.all().filter(|(_, linked, _)| *linked);
         let others: Vec<&Hello> = peers.filter_map(|(_, _, hello)| hello).collect();
         let mut orders = Vec::new();
-        self.sessions.tell(now, &self.peers.me, &others, &news, &mut orders);
+        self.sessions
+            .tell(now, &self.peers.me, &others, &news, &mut orders);
         out.extend(orders.into_iter().map(Effect::Session));
     }
 
     /// Tells proxies and the other control nodes which long prompts were sent where.
     pub(super) fn pass_on_prompts(&mut self, now: Millis, out: &mut Vec<Effect>) {
-        let Some(passed) = self.prompts.take_due(now) else { return };
+        let Some(passed) = self.prompts.take_due(now) else {
+            return;
+        };
         if !passed.to_peers.is_empty() {
             for (link, _) in self.peers.linked() {
                 let frame = PeerFrame::PromptsSent(passed.to_peers.clone());
@@ -103,7 +125,8 @@
     /// Sends all proxies to other control nodes.
     pub(super) fn dismiss_proxies(&mut self, out: &mut Vec<Effect>) {
         let mut orders = Vec::new();
-        self.sessions.to_all(&ToProxy::Beat { attached: false }, &mut orders);
+        self.sessions
+            .to_all(&ToProxy::Beat { attached: false }, &mut orders);
         self.sessions.close_all(&mut orders);
         out.extend(orders.into_iter().map(Effect::Session));
     }
--- a/crates/sandtrack-control/src/node/replica.rs
+++ b/crates/sandtrack-control/src/node/replica.rs
@@ -15,12 +15,20 @@
 
 impl ControlNode {
     /// Hands an input to the replica and carries out what comes of it.
-    pub(super) fn step_replica(&mut self, now: Millis, input: replication::Input, out: &mut Vec<Effect>) {
+    pub(super) fn step_replica(
+        &mut self,
+        now: Millis,
+        input: replication::Input,
+        out: &mut Vec<Effect>,
+    ) {
         let mut effects = Vec::new();
         let refused = self.replica.snapshots_refused();
         self.replica.handle(now, input, &mut effects);
         if self.replica.snapshots_refused() > refused {
-            log::warn!("{} a snapshot was refused: it is fetched anew", codes::SNAPSHOT_REFUSED);
+            log::warn!(
+                "{} a snapshot was refused: it is fetched anew",
+                codes::SNAPSHOT_REFUSED
+            );
         }
         self.carry_out_replica_effects(now, effects, out);
     }
@@ -28,21 +36,35 @@
     /// Carries out the replica's effects in order. The answers to calls come last, as they lead to further inputs of the
     /// replica.
     pub(super) fn carry_out_replica_effects(
-        &mut self, now: Millis, effects: Vec<replication::Effect>, out: &mut Vec<Effect>,
+        &mut self,
+        now: Millis,
+        effects: Vec<replication::Effect>,
+        out: &mut Vec<Effect>,
     ) {
         let mut answers = Vec::new();
         for effect in effects {
             match effect {
-                replication::Effect::Send { to, message } => self.send_to_replica(&to, message, out),
-                replication::Effect::Write { ticket, records } => out.push(Effect::Write { ticket, records }),
+                replication::Effect::Send { to, message } => {
+                    self.send_to_replica(&to, message, out)
+                }
+                replication::Effect::Write { ticket, records } => {
+                    out.push(Effect::Write { ticket, records })
+                }
                 replication::Effect::Rewrite { ticket, records } => {
                     out.push(Effect::Rewrite { ticket, records });
                 }
-                replication::Effect::Applied { number, command, .. } => self.log_applied(number, &command),
+                replication::Effect::Applied {
+                    number, command, ..
+                } => self.log_applied(number, &command),
                 replication::Effect::Restored { number } => {
-                    log::info!("restored to number {number}: version {}", self.replica.machine().version());
+                    log::info!(
+                        "restored to number {number}: version {}",
+                        self.replica.machine().version()
+                    );
+                }
+                replication::Effect::Answer { call, result } => {
+                    answers.push(Answered { call, result })
                 }
-                replication::Effect::Answer { call, result } => answers.push(Answered { call, result }),
                 replication::Effect::ViewIs(view) => {
                     log_view(&view);
                     self.update_wanted_peers(now);
@@ -50,7 +72,9 @@
             }
         }
         for Answered { call, result } in answers {
-            self.advance_calls(now, out, |calls, known| calls.answer(now, call, result, known));
+            self.advance_calls(now, out, |calls, known| {
+                calls.answer(now, call, result, known)
+            });
         }
     }
 
@@ -72,6 +96,10 @@
 }
 
 fn log_view(view: &View) {
-    let chain: Vec<&str> = view.chain.iter().map(|member| member.address.as_str()).collect();
+    let chain: Vec<&str> = view
+        .chain
+        .iter()
+        .map(|member| member.address.as_str())
+        .collect();
     log::info!("view {}: chain {}", view.epoch, chain.join(" "));
 }
--- a/crates/sandtrack-control/src/node/status.rs
+++ b/crates/sandtrack-control/src/node/status.rs
@@ -49,7 +49,11 @@
     fn status_of_peers(&self) -> String {
         list(self.peers.all().map(|(address, linked, hello)| {
             let name = hello.map_or("", |hello| hello.node_name.as_str());
-            format!("{{\"address\":{},\"node\":{},\"linked\":{linked}}}", quote(address), quote(name))
+            format!(
+                "{{\"address\":{},\"node\":{},\"linked\":{linked}}}",
+                quote(address),
+                quote(name)
+            )
         }))
     }
 
@@ -72,8 +76,16 @@
     }
 
     fn status_of_services(&self) -> String {
-        list(self.upstreams.counts().into_iter().map(|(service, (count, draining))| {
-            format!("{{\"service\":{},\"upstreams\":{count},\"draining\":{draining}}}", quote(service))
-        }))
+        list(
+            self.upstreams
+                .counts()
+                .into_iter()
+                .map(|(service, (count, draining))| {
+                    format!(
+                        "{{\"service\":{},\"upstreams\":{count},\"draining\":{draining}}}",
+                        quote(service)
+                    )
+                }),
+        )
     }
 }
--- a/crates/sandtrack-control/src/node/time.rs
+++ b/crates/sandtrack-control/src/node/time.rs
@@ -13,9 +13,15 @@
     /// When it has to be given a tick, on the clock of `now`.
     pub fn next_due(&self) -> Millis {
         let calls = self.calls.next_due().into_iter();
-        let reader = self.reader.next_due().filter(|_| self.election.is_reading(self.last_input));
+        let reader = self
+            .reader
+            .next_due()
+            .filter(|_| self.election.is_reading(self.last_input));
         let prompts = self.prompts.next_due().into_iter();
-        let due = calls.chain(reader).chain(prompts).fold(self.last_input + TICK_MS, Millis::min);
+        let due = calls
+            .chain(reader)
+            .chain(prompts)
+            .fold(self.last_input + TICK_MS, Millis::min);
         due.min(self.replica.next_tick()).max(self.last_input)
     }
 
--- a/crates/sandtrack-control/src/operator_calls.rs
+++ b/crates/sandtrack-control/src/operator_calls.rs
@@ -80,7 +80,12 @@
 impl OperatorCalls {
     /// No calls, in a process that starts.
     pub fn new(now: Millis) -> OperatorCalls {
-        OperatorCalls { awake: Awake::new(now), next: 0, begun: BTreeMap::new(), pending: BTreeMap::new() }
+        OperatorCalls {
+            awake: Awake::new(now),
+            next: 0,
+            begun: BTreeMap::new(),
+            pending: BTreeMap::new(),
+        }
     }
 
     /// A number for a call that was read.
@@ -107,7 +112,10 @@
 
     /// When the next call has waited for long enough.
     pub fn next_due(&self) -> Option<Millis> {
-        self.pending.values().map(|pending| pending.until).reduce(Millis::min)
+        self.pending
+            .values()
+            .map(|pending| pending.until)
+            .reduce(Millis::min)
     }
 
     /// Before all else that happens. After a pause nobody waits any more for what was under way: no answer that comes now
@@ -117,7 +125,13 @@
             return Vec::new();
         }
         let pending = std::mem::take(&mut self.pending);
-        pending.into_keys().map(|call| Step::Reply { call, reply: control::unsure() }).collect()
+        pending
+            .into_keys()
+            .map(|call| Step::Reply {
+                call,
+                reply: control::unsure(),
+            })
+            .collect()
     }
 
     /// A call was read whole.
@@ -129,10 +143,16 @@
             Ok(order) => order,
         };
         if known.passes_callers_on() {
-            return Step::Reply { call, reply: control::refused(Refusal::NoMajority) };
+            return Step::Reply {
+                call,
+                reply: control::refused(Refusal::NoMajority),
+            };
         }
         if !self.awake.has_run_since(&arrival) {
-            return Step::Reply { call, reply: control::too_late() };
+            return Step::Reply {
+                call,
+                reply: control::too_late(),
+            };
         }
         let mut wait = |waits: Waits| {
             let patience = match waits {
@@ -140,7 +160,14 @@
                 Waits::Configuration | Waits::Repeat { .. } | Waits::Read => PATIENCE_MS,
             };
             let until = now + patience;
-            self.pending.insert(call, Pending { arrival, until, waits });
+            self.pending.insert(
+                call,
+                Pending {
+                    arrival,
+                    until,
+                    waits,
+                },
+            );
         };
         match order {
             Order::Status => Step::Status { call },
@@ -148,7 +175,10 @@
                 // Its body need not pass along the chain again, which may take longer than its caller waits.
                 Some(version) => {
                     wait(Waits::Repeat { version });
-                    Step::Read { call, question: Question::Contact }
+                    Step::Read {
+                        call,
+                        question: Question::Contact,
+                    }
                 }
                 None => {
                     wait(Waits::Configuration);
@@ -157,7 +187,10 @@
             },
             Order::Read => {
                 wait(Waits::Read);
-                Step::Read { call, question: Question::Configuration }
+                Step::Read {
+                    call,
+                    question: Question::Configuration,
+                }
             }
             Order::Evacuate { zone, begin } if known.names_zone(&zone) => {
                 wait(Waits::Evacuation);
@@ -167,24 +200,44 @@
             Order::Evacuate { zone, begin } => {
                 let seen = known.last_order(&zone);
                 wait(Waits::Zone { zone, begin, seen });
-                Step::Read { call, question: Question::Contact }
+                Step::Read {
+                    call,
+                    question: Question::Contact,
+                }
             }
         }
     }
 
     /// Submits the order under the stamp that it got when it was read, unless its caller may have sent it elsewhere by now.
-    fn order_evacuation(&mut self, now: Millis, call: u64, zone: String, begin: bool, seen: u64) -> Step {
+    fn order_evacuation(
+        &mut self,
+        now: Millis,
+        call: u64,
+        zone: String,
+        begin: bool,
+        seen: u64,
+    ) -> Step {
         let recent = |pending: &&Pending| self.awake.is_recent(now, &pending.arrival);
         if self.pending.get(&call).filter(recent).is_none() {
             self.pending.remove(&call);
-            return Step::Reply { call, reply: control::too_late() };
+            return Step::Reply {
+                call,
+                reply: control::too_late(),
+            };
+        }
+        Step::Submit {
+            call,
+            command: Command::SetEvacuation { zone, begin, seen },
         }
-        Step::Submit { call, command: Command::SetEvacuation { zone, begin, seen } }
     }
 
     /// What came of a call; nothing for one that was answered before.
     pub fn answer(
-        &mut self, now: Millis, call: u64, result: Result<Vec<u8>, Refusal>, known: &impl Known,
+        &mut self,
+        now: Millis,
+        call: u64,
+        result: Result<Vec<u8>, Refusal>,
+        known: &impl Known,
     ) -> Option<Step> {
         let waits = self.pending.get(&call)?.waits.clone();
         match waits {
@@ -208,7 +261,8 @@
             }
             Waits::Configuration => Some(self.end(call, control::outcome(outcome(result)))),
             Waits::Read => {
-                let reply = control::answer(result.map(|bytes| borsh::from_slice(&bytes).ok().flatten()));
+                let reply =
+                    control::answer(result.map(|bytes| borsh::from_slice(&bytes).ok().flatten()));
                 Some(self.end(call, reply))
             }
         }
@@ -223,7 +277,9 @@
     pub fn late(&mut self, now: Millis) -> Vec<Step> {
         let late = |(call, pending): (&u64, &Pending)| (now >= pending.until).then_some(*call);
         let late: Vec<u64> = self.pending.iter().filter_map(late).collect();
-        late.into_iter().map(|call| self.end(call, control::unsure())).collect()
+        late.into_iter()
+            .map(|call| self.end(call, control::unsure()))
+            .collect()
     }
 }
 
--- a/crates/sandtrack-control/src/operators.rs
+++ b/crates/sandtrack-control/src/operators.rs
@@ -28,7 +28,9 @@
 /// Accepts operators' connections for as long as the task lives. `look_again` tells that the process was held up: whether the
 /// queue is empty is then looked at anew, so that what comes later is not taken for what waited.
 pub async fn listen(
-    listener: Async<TcpListener>, clock: Clock, look_again: async_channel::Receiver<()>,
+    listener: Async<TcpListener>,
+    clock: Clock,
+    look_again: async_channel::Receiver<()>,
     mut opened: impl FnMut(Async<TcpStream>, Arrival),
 ) {
     // What waits already has waited for an unknown time.
@@ -39,7 +41,13 @@
             Ok((stream, _)) => match Async::new(stream) {
                 Ok(stream) => {
                     prepare(&stream);
-                    opened(stream, Arrival { queued_since, accepted: before });
+                    opened(
+                        stream,
+                        Arrival {
+                            queued_since,
+                            accepted: before,
+                        },
+                    );
                     future::yield_now().await;
                 }
                 Err(error) => log::debug!("a connection can't be served: {error}"),
@@ -61,7 +69,10 @@
 /// Takes one call off an operator's connection, and answers it. A call whose caller has left is not made: it will have been
 /// sent elsewhere; `left` is told of it.
 pub async fn serve_call<F: Future<Output = Option<Reply>>>(
-    stream: &Async<TcpStream>, clock: Clock, memory: &ByteBudget, submit: impl FnOnce(Message) -> F,
+    stream: &Async<TcpStream>,
+    clock: Clock,
+    memory: &ByteBudget,
+    submit: impl FnOnce(Message) -> F,
     left: impl FnOnce(),
 ) {
     let mut input = Ring::new(http::READ_RING);
@@ -72,7 +83,11 @@
         None => return,
         Some(Err(unread)) => unread.reply(),
         Some(Ok(message)) if has_left(stream) => {
-            log::info!("{} {} is not made: its caller has left", message.head.method, message.head.target);
+            log::info!(
+                "{} {} is not made: its caller has left",
+                message.head.method,
+                message.head.target
+            );
             return left();
         }
         Some(Ok(message)) => {
@@ -91,13 +106,18 @@
 }
 
 /// Takes one call after another off a connection and answers each at once.
-pub async fn serve_calls(stream: &Async<TcpStream>, memory: &ByteBudget, answer: impl Fn(&Message) -> Reply) {
+pub async fn serve_calls(
+    stream: &Async<TcpStream>,
+    memory: &ByteBudget,
+    answer: impl Fn(&Message) -> Reply,
+) {
     let mut input = Ring::new(http::READ_RING);
     let mut output = Ring::new(2 * BODY_MAX);
     let mut parser = http::Parser::new(Side::Request);
     loop {
         let mut held = memory.message();
-        let (reply, close) = match read_patiently(stream, &mut input, &mut parser, &mut held).await {
+        let (reply, close) = match read_patiently(stream, &mut input, &mut parser, &mut held).await
+        {
             None => return,
             Some(Err(unread)) => (unread.reply(), true),
             Some(Ok(message)) => (answer(&message), !message.head.keep_alive),
@@ -117,7 +137,10 @@
 
 /// One call, as `read_call`; `None` as well where none came whole for a long time: nothing happens then.
 async fn read_patiently(
-    stream: &Async<TcpStream>, input: &mut Ring, parser: &mut http::Parser, held: &mut Held,
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    parser: &mut http::Parser,
+    held: &mut Held,
 ) -> Option<Result<Message, Unread>> {
     let idle = async {
         Timer::after(IDLE).await;
@@ -149,7 +172,10 @@
 
 /// One call, whole; `None` where the connection ended before. What it takes is counted in `held`.
 async fn read_call(
-    stream: &Async<TcpStream>, input: &mut Ring, parser: &mut http::Parser, held: &mut Held,
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    parser: &mut http::Parser,
+    held: &mut Held,
 ) -> Option<Result<Message, Unread>> {
     let (mut head, mut body): (Option<Head>, Vec<u8>) = (None, Vec::new());
     loop {
@@ -158,7 +184,9 @@
             Ok(Some(Part::Head(mut read))) => {
                 if http::take_expectation(&mut read) && input.is_empty() {
                     let mut output = Ring::new(CONTINUE.len());
-                    if !output.push(CONTINUE) || !write_within(stream, &mut output, WRITE_PATIENCE).await {
+                    if !output.push(CONTINUE)
+                        || !write_within(stream, &mut output, WRITE_PATIENCE).await
+                    {
                         return None;
                     }
                 }
--- a/crates/sandtrack-control/src/peer_frames.rs
+++ b/crates/sandtrack-control/src/peer_frames.rs
@@ -38,7 +38,11 @@
     /// From replica to replica.
     Replication(Message),
     /// The proxies that have a session with the sender, or what changed of them.
-    Sessions { whole: bool, present: Vec<Member>, gone: Vec<String> },
+    Sessions {
+        whole: bool,
+        present: Vec<Member>,
+        gone: Vec<String>,
+    },
     /// What was told of sessions does not add up: all of them are wanted.
     WantSessions,
     /// The platform's list as it was read, or what changed of it; remaining times are as of this frame.
@@ -93,7 +97,9 @@
 }
 
 /// Who reads the platform's list: the higher claim holds.
-#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
+)]
 pub struct Claim {
     /// Rises with each change of the holder.
     pub term: u64,
@@ -113,13 +119,24 @@
 impl Member {
     /// What others are told at once when it changes: not how many requests it has in hand.
     pub(crate) fn marks(&self) -> (&ProxyInfo, bool, bool, u64) {
-        (&self.info, self.state.ready, self.state.leaving, self.state.version)
+        (
+            &self.info,
+            self.state.ready,
+            self.state.leaving,
+            self.state.version,
+        )
     }
 
     pub(crate) fn digest(&self) -> u64 {
         let mut sum = Fnv(0xcbf2_9ce4_8422_2325);
         self.info.node_name.hash(&mut sum);
-        (self.info.incarnation, self.state.ready, self.state.leaving, self.state.version).hash(&mut sum);
+        (
+            self.info.incarnation,
+            self.state.ready,
+            self.state.leaving,
+            self.state.version,
+        )
+            .hash(&mut sum);
         sum.finish()
     }
 }
--- a/crates/sandtrack-control/src/peers.rs
+++ b/crates/sandtrack-control/src/peers.rs
@@ -71,16 +71,32 @@
 
 impl Peers {
     pub fn new(me: Hello, now: Millis) -> Peers {
-        Peers { me, links: BTreeMap::new(), known: BTreeMap::new(), next_link: 0, next_beat: now }
+        Peers {
+            me,
+            links: BTreeMap::new(),
+            known: BTreeMap::new(),
+            next_link: 0,
+            next_beat: now,
+        }
     }
 
     /// Others are known of by these addresses; they and those that were heard lately are the ones to reach.
     pub fn reach<'a>(&mut self, now: Millis, addresses: impl Iterator<Item = &'a str>) {
-        let named: BTreeSet<&str> = addresses.filter(|address| *address != self.me.address).collect();
+        let named: BTreeSet<&str> = addresses
+            .filter(|address| *address != self.me.address)
+            .collect();
         for address in &named {
             if !self.known.contains_key(*address) {
-                let wait = if self.me.address.as_str() < *address { 0.0 } else { AGAIN_SECOND_MS };
-                let known = Known { dial_at: now + wait, heard: now, ..Known::default() };
+                let wait = if self.me.address.as_str() < *address {
+                    0.0
+                } else {
+                    AGAIN_SECOND_MS
+                };
+                let known = Known {
+                    dial_at: now + wait,
+                    heard: now,
+                    ..Known::default()
+                };
                 self.known.insert((*address).to_owned(), known);
             }
         }
@@ -97,8 +113,16 @@
 
     fn link(&mut self, dialed: Option<Address>, now: Millis) -> u64 {
         self.next_link += 1;
-        self.links
-            .insert(self.next_link, Link { dialed, peer: None, heard: now, sessions: None, list: None });
+        self.links.insert(
+            self.next_link,
+            Link {
+                dialed,
+                peer: None,
+                heard: now,
+                sessions: None,
+                list: None,
+            },
+        );
         self.next_link
     }
 
@@ -107,7 +131,10 @@
         match self.links.get_mut(&link) {
             Some(known) => {
                 known.heard = now;
-                orders.push(LinkOrder::Send { link, frame: PeerFrame::Hello(self.me.clone()) });
+                orders.push(LinkOrder::Send {
+                    link,
+                    frame: PeerFrame::Hello(self.me.clone()),
+                });
             }
             None => orders.push(LinkOrder::Close { link }),
         }
@@ -127,23 +154,40 @@
     /// The other end says who it is. Of two links of a pair the one is kept that the lower address opened, and of two
     /// lives of a process the later one.
     pub fn hello(
-        &mut self, now: Millis, link: u64, hello: Hello, orders: &mut Vec<LinkOrder>,
+        &mut self,
+        now: Millis,
+        link: u64,
+        hello: Hello,
+        orders: &mut Vec<LinkOrder>,
     ) -> Option<Heard> {
         let address = hello.address.clone();
         let dialed_here = self.links.get(&link)?.dialed.is_some();
         if hello.format != FORMAT || address == self.me.address {
             let code = codes::PEER_FORMAT.0;
-            log::warn!("E{code} a link with {address} of format {} is ended", hello.format);
+            log::warn!(
+                "E{code} a link with {address} of format {} is ended",
+                hello.format
+            );
             self.drop_link(now, link, orders);
             return None;
         }
         let (me, wanted) = (&self.me.address, &address);
-        let preferred = if dialed_here { me < wanted } else { wanted < me };
+        let preferred = if dialed_here {
+            me < wanted
+        } else {
+            wanted < me
+        };
         let known = self.known.entry(address.clone()).or_default();
-        let same_life = known.hello.as_ref().is_some_and(|before| before.incarnation == hello.incarnation);
+        let same_life = known
+            .hello
+            .as_ref()
+            .is_some_and(|before| before.incarnation == hello.incarnation);
         let rival = known.link.filter(|rival| *rival != link);
         if let Some(rival) = rival {
-            let rival_dialed_here = self.links.get(&rival).is_some_and(|rival| rival.dialed.is_some());
+            let rival_dialed_here = self
+                .links
+                .get(&rival)
+                .is_some_and(|rival| rival.dialed.is_some());
             // The same end opened both: the newer one stands, as the other end has given up the older.
             if same_life && !preferred && rival_dialed_here != dialed_here {
                 self.drop_link(now, link, orders);
@@ -167,15 +211,29 @@
     /// The socket of a link is gone.
     pub fn closed(&mut self, now: Millis, link: u64) -> Option<Heard> {
         let gone = self.links.remove(&link)?;
-        let wait = |me: &str, other: &str| if me < other { AGAIN_MS } else { AGAIN_SECOND_MS };
-        if let Some(known) = gone.dialed.as_ref().and_then(|dialed| self.known.get_mut(dialed)) {
+        let wait = |me: &str, other: &str| {
+            if me < other {
+                AGAIN_MS
+            } else {
+                AGAIN_SECOND_MS
+            }
+        };
+        if let Some(known) = gone
+            .dialed
+            .as_ref()
+            .and_then(|dialed| self.known.get_mut(dialed))
+        {
             if known.dialing == Some(link) {
                 known.dialing = None;
-                known.dial_at = now + wait(&self.me.address, gone.dialed.as_deref().unwrap_or_default());
+                known.dial_at =
+                    now + wait(&self.me.address, gone.dialed.as_deref().unwrap_or_default());
             }
         }
         let peer = gone.peer?;
-        let known = self.known.get_mut(&peer).filter(|known| known.link == Some(link))?;
+        let known = self
+            .known
+            .get_mut(&peer)
+            .filter(|known| known.link == Some(link))?;
         known.link = None;
         known.dial_at = now + wait(&self.me.address, &peer);
         Some(Heard::Lost(peer))
@@ -195,7 +253,9 @@
 
     /// Whether one that is linked knows how many proxies there are.
     pub fn is_any_settled(&self) -> bool {
-        self.known.values().any(|known| known.link.is_some() && known.settled)
+        self.known
+            .values()
+            .any(|known| known.link.is_some() && known.settled)
     }
 
     /// This process did not run for a while: what the others said meanwhile is still to be read.
@@ -205,12 +265,23 @@
 
     /// Closes silent links and opens missing ones; yes where a beat is due.
     pub fn tick(&mut self, now: Millis, orders: &mut Vec<LinkOrder>) -> (Vec<Heard>, bool) {
-        let silent = self.links.iter().filter(|(_, link)| now - link.heard > SILENCE_MS);
+        let silent = self
+            .links
+            .iter()
+            .filter(|(_, link)| now - link.heard > SILENCE_MS);
         let silent: Vec<u64> = silent.map(|(link, _)| *link).collect();
-        let lost = silent.into_iter().filter_map(|link| self.drop_link(now, link, orders)).collect();
-        let free = |known: &Known| known.link.is_none() && known.dialing.is_none() && now >= known.dial_at;
-        let wanted: Vec<Address> =
-            self.known.iter().filter(|(_, known)| free(known)).map(|(address, _)| address.clone()).collect();
+        let lost = silent
+            .into_iter()
+            .filter_map(|link| self.drop_link(now, link, orders))
+            .collect();
+        let free =
+            |known: &Known| known.link.is_none() && known.dialing.is_none() && now >= known.dial_at;
+        let wanted: Vec<Address> = self
+            .known
+            .iter()
+            .filter(|(_, known)| free(known))
+            .map(|(address, _)| address.clone())
+            .collect();
         for address in wanted {
             let link = self.link(Some(address.clone()), now);
             if let Some(known) = self.known.get_mut(&address) {
@@ -242,27 +313,35 @@
 
     /// How far the other end of a link was told sessions, and the list.
     pub fn told(&mut self, link: u64) -> Option<(&mut Option<u64>, &mut Option<u64>)> {
-        self.links.get_mut(&link).map(|link| (&mut link.sessions, &mut link.list))
+        self.links
+            .get_mut(&link)
+            .map(|link| (&mut link.sessions, &mut link.list))
     }
 
     /// What those said last that were heard within so many ms and are not leaving.
     pub fn live(&self, now: Millis, within: Millis) -> BTreeMap<Address, PeerReport> {
-        let live = self
-            .known
-            .iter()
-            .filter(|(_, known)| known.link.is_some() && !known.leaving && now - known.heard <= within);
-        live.map(|(address, known)| (address.clone(), known.report.clone())).collect()
+        let live = self.known.iter().filter(|(_, known)| {
+            known.link.is_some() && !known.leaving && now - known.heard <= within
+        });
+        live.map(|(address, known)| (address.clone(), known.report.clone()))
+            .collect()
     }
 
     /// Whether one was heard within so many ms.
     pub fn is_heard(&self, now: Millis, peer: &str, within: Millis) -> bool {
-        self.known.get(peer).is_some_and(|known| known.link.is_some() && now - known.heard <= within)
+        self.known
+            .get(peer)
+            .is_some_and(|known| known.link.is_some() && now - known.heard <= within)
     }
 
     /// All that are known of: whether linked, not leaving, and what they said of themselves.
     pub fn all(&self) -> impl Iterator<Item = (&str, bool, Option<&Hello>)> {
         self.known.iter().map(|(address, known)| {
-            (address.as_str(), known.link.is_some() && !known.leaving, known.hello.as_ref())
+            (
+                address.as_str(),
+                known.link.is_some() && !known.leaving,
+                known.hello.as_ref(),
+            )
         })
     }
 }
--- a/crates/sandtrack-control/src/platform.rs
+++ b/crates/sandtrack-control/src/platform.rs
@@ -28,7 +28,9 @@
 pub async fn run(wanted: async_channel::Receiver<Fetch>, told: impl Fn(Call)) {
     let mut kept: Option<(String, Async<TcpStream>)> = None;
     while let Ok(fetch) = wanted.recv().await {
-        let reused = kept.as_ref().is_some_and(|(address, _)| *address == fetch.address);
+        let reused = kept
+            .as_ref()
+            .is_some_and(|(address, _)| *address == fetch.address);
         if !reused {
             kept = None;
         }
@@ -45,7 +47,9 @@
     }
 }
 
-async fn within(call: impl std::future::Future<Output = Result<Call, String>>) -> Result<Call, String> {
+async fn within(
+    call: impl std::future::Future<Output = Result<Call, String>>,
+) -> Result<Call, String> {
     let late = async {
         Timer::after(PATIENCE).await;
         Err("no answer in time".to_owned())
@@ -53,12 +57,16 @@
     future::or(call, late).await
 }
 
-async fn call(kept: &mut Option<(String, Async<TcpStream>)>, fetch: &Fetch) -> Result<Call, String> {
+async fn call(
+    kept: &mut Option<(String, Async<TcpStream>)>,
+    fetch: &Fetch,
+) -> Result<Call, String> {
     let (_, stream) = match kept.take() {
         Some(kept) => kept,
         None => {
-            let stream =
-                socket::connect(&fetch.address, PATIENCE).await.map_err(|error| error.to_string())?;
+            let stream = socket::connect(&fetch.address, PATIENCE)
+                .await
+                .map_err(|error| error.to_string())?;
             (fetch.address.clone(), stream)
         }
     };
@@ -72,17 +80,24 @@
     if !output.push(&request) {
         return Err("the token is too long".to_owned());
     }
-    write_all(&stream, &mut output).await.map_err(|error| error.to_string())?;
+    write_all(&stream, &mut output)
+        .await
+        .map_err(|error| error.to_string())?;
     let mut input = Ring::new(http::READ_RING);
     let mut parser = Parser::new(Side::Response);
     let (mut head, mut body) = (None, Vec::new());
     loop {
-        match parser.next(&mut input).map_err(|bad| format!("not an answer: {bad:?}"))? {
+        match parser
+            .next(&mut input)
+            .map_err(|bad| format!("not an answer: {bad:?}"))?
+        {
             Some(Part::Head(read)) => head = Some(read),
             Some(Part::Data(data)) => body.extend(data),
             Some(Part::End) => break,
             None => {
-                let count = read_into(&stream, &mut input).await.map_err(|error| error.to_string())?;
+                let count = read_into(&stream, &mut input)
+                    .await
+                    .map_err(|error| error.to_string())?;
                 if count == 0 && !parser.ended(&input) {
                     return Err("closed before the answer was whole".to_owned());
                 }
--- a/crates/sandtrack-control/src/program.rs
+++ b/crates/sandtrack-control/src/program.rs
@@ -73,7 +73,9 @@
 
 /// Runs a control node until it is told to end.
 async fn serve(
-    settings: Settings, mut signals: Signals, executor: Rc<LocalExecutor<'_>>,
+    settings: Settings,
+    mut signals: Signals,
+    executor: Rc<LocalExecutor<'_>>,
 ) -> Result<(), Fault> {
     let (inputs, received) = async_channel::unbounded();
     let (wal, recovered) = match &settings.data_directory {
@@ -87,7 +89,11 @@
     let clock = Clock::start();
     let incarnation = RandomState::new().build_hasher().finish();
     let disk = wal.map(|wal| start_disk(wal, inputs.clone())).transpose()?;
-    let start = Start { incarnation, recovered, disk: disk.is_some() };
+    let start = Start {
+        incarnation,
+        recovered,
+        disk: disk.is_some(),
+    };
     let platform = settings.cloud_api.address.clone();
     let calls_memory = ByteBudget::new(settings.memory_part(CALLS));
     log::info!(
@@ -113,7 +119,9 @@
     spawn_platform(&runtime, fetched);
     let (held_up, look_again) = async_channel::bounded(1);
     listeners.spawn(&runtime, look_again);
-    executor.spawn(settings_file::watch(runtime.inputs.clone())).detach();
+    executor
+        .spawn(settings_file::watch(runtime.inputs.clone()))
+        .detach();
     let _ = perform(&runtime, effects);
     run(&runtime, &received, &mut signals, &held_up).await;
     Ok(())
@@ -124,7 +132,8 @@
 /// # Errors
 /// Where there is no thread to be had.
 fn start_disk(
-    wal: sandtrack_wal::Wal, inputs: async_channel::Sender<Input>,
+    wal: sandtrack_wal::Wal,
+    inputs: async_channel::Sender<Input>,
 ) -> Result<async_channel::Sender<disk::Order>, Fault> {
     let (orders, ordered) = async_channel::unbounded();
     disk::start(wal, ordered, move |done| {
@@ -155,7 +164,9 @@
 /// The loop: hands over what comes, and has the effects carried out, until the process is to end. `held_up` is told each
 /// time that the process did not run for a while.
 async fn run(
-    runtime: &Rc<Runtime<'_>>, received: &async_channel::Receiver<Input>, signals: &mut Signals,
+    runtime: &Rc<Runtime<'_>>,
+    received: &async_channel::Receiver<Input>,
+    signals: &mut Signals,
     held_up: &async_channel::Sender<()>,
 ) {
     let mut awake_since = runtime.control_node.borrow().awake_since();
@@ -176,7 +187,9 @@
 
 /// Waits for a signal, an input or the next tick. Nothing where a signal leads to none.
 async fn next_input(
-    runtime: &Runtime<'_>, received: &async_channel::Receiver<Input>, signals: &mut Signals,
+    runtime: &Runtime<'_>,
+    received: &async_channel::Receiver<Input>,
+    signals: &mut Signals,
 ) -> Option<Input> {
     let due = runtime.clock.at(runtime.control_node.borrow().next_due());
     let signal = async {
@@ -196,7 +209,9 @@
 
 /// Hands over an input and all that wait behind it, and a tick where one is due by then.
 fn handle_all(
-    runtime: &Runtime<'_>, received: &async_channel::Receiver<Input>, mut next: Option<Input>,
+    runtime: &Runtime<'_>,
+    received: &async_channel::Receiver<Input>,
+    mut next: Option<Input>,
 ) -> Vec<Effect> {
     let mut effects = Vec::new();
     let mut control_node = runtime.control_node.borrow_mut();
--- a/crates/sandtrack-control/src/program/command_line.rs
+++ b/crates/sandtrack-control/src/program/command_line.rs
@@ -34,8 +34,10 @@
         .descr("Reads the settings file and says what is wrong with it")
         .command("check");
     let verb = construct!([run, check]).fallback(Verb::Run);
-    construct!(CommandLine { log_level, verb }).to_options().descr(
-        "The control plane: configuration, membership, the list of upstreams, the directory. \
+    construct!(CommandLine { log_level, verb })
+        .to_options()
+        .descr(
+            "The control plane: configuration, membership, the list of upstreams, the directory. \
          The path of the settings file is in SANDTRACK_BOOT.",
-    )
+        )
 }
--- a/crates/sandtrack-control/src/program/effects.rs
+++ b/crates/sandtrack-control/src/program/effects.rs
@@ -77,7 +77,10 @@
         LinkOrder::Dial { link, address } => dial(runtime, link, address),
         LinkOrder::Send { link, frame } => {
             let mut links = runtime.links.borrow_mut();
-            if links.get(&link).is_some_and(|way| !way.send(frames::frame(&frame).into())) {
+            if links
+                .get(&link)
+                .is_some_and(|way| !way.send(frames::frame(&frame).into()))
+            {
                 log::warn!("a link takes nothing: it is given up");
                 links.remove(&link);
             }
--- a/crates/sandtrack-control/src/program/fault.rs
+++ b/crates/sandtrack-control/src/program/fault.rs
@@ -9,7 +9,10 @@
     #[error("{0}")]
     Settings(#[from] SettingsError),
     #[error("{} {address} can't be listened on: {why}", codes::LISTEN)]
-    Listen { address: String, why: std::io::Error },
+    Listen {
+        address: String,
+        why: std::io::Error,
+    },
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("{} {why}", codes::WAL_FOREIGN)]
--- a/crates/sandtrack-control/src/program/listeners.rs
+++ b/crates/sandtrack-control/src/program/listeners.rs
@@ -61,7 +61,10 @@
 }
 
 fn bind(address: &str) -> Result<Async<TcpListener>, Fault> {
-    let wrong = |why| Fault::Listen { address: address.to_owned(), why };
+    let wrong = |why| Fault::Listen {
+        address: address.to_owned(),
+        why,
+    };
     let parsed: SocketAddr = address
         .parse()
         .map_err(|error| wrong(std::io::Error::new(std::io::ErrorKind::InvalidInput, error)))?;
@@ -76,7 +79,9 @@
 fn metrics_listener(settings: &Settings) -> Option<Async<TcpListener>> {
     let address = metrics::address(settings, metrics::CONTROL_PORT);
     let listener = text_server::listen(&address);
-    listener.inspect_err(|error| log::warn!("no figures at {address}: {error}")).ok()
+    listener
+        .inspect_err(|error| log::warn!("no figures at {address}: {error}"))
+        .ok()
 }
 
 fn spawn_metrics(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
@@ -96,18 +101,26 @@
 }
 
 fn spawn_control(
-    runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>, look_again: async_channel::Receiver<()>,
+    runtime: &Rc<Runtime<'_>>,
+    listener: Async<TcpListener>,
+    look_again: async_channel::Receiver<()>,
 ) {
     let here = runtime.clone();
-    let accept = operators::listen(listener, runtime.clock, look_again, move |stream, arrival| {
-        let runtime = here.clone();
-        let run = async move {
-            let submit = |message| submit(&runtime, arrival, message);
-            let left = || runtime.control_node.borrow_mut().caller_left();
-            operators::serve_call(&stream, runtime.clock, &runtime.calls_memory, submit, left).await;
-        };
-        here.executor.spawn(run).detach();
-    });
+    let accept = operators::listen(
+        listener,
+        runtime.clock,
+        look_again,
+        move |stream, arrival| {
+            let runtime = here.clone();
+            let run = async move {
+                let submit = |message| submit(&runtime, arrival, message);
+                let left = || runtime.control_node.borrow_mut().caller_left();
+                operators::serve_call(&stream, runtime.clock, &runtime.calls_memory, submit, left)
+                    .await;
+            };
+            here.executor.spawn(run).detach();
+        },
+    );
     runtime.executor.spawn(accept).detach();
 }
 
@@ -126,7 +139,10 @@
         let runtime = here.clone();
         let run = async move {
             let answer = |message: &Message| {
-                runtime.control_node.borrow_mut().resolve(runtime.clock.now(), &message.head)
+                runtime
+                    .control_node
+                    .borrow_mut()
+                    .resolve(runtime.clock.now(), &message.head)
             };
             operators::serve_calls(&stream, &runtime.calls_memory, answer).await;
         };
@@ -138,7 +154,10 @@
 fn spawn_peers(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
     let accept = socket::listen(listener, move |stream| {
-        let link = here.control_node.borrow_mut().link_accepted(here.clock.now());
+        let link = here
+            .control_node
+            .borrow_mut()
+            .link_accepted(here.clock.now());
         let (way, outgoing) = socket::way();
         here.links.borrow_mut().insert(link, way);
         let runtime = here.clone();
@@ -150,7 +169,10 @@
 
 /// Carries the frames of a link with another control node until it ends.
 pub(super) async fn run_link(
-    runtime: &Runtime<'_>, link: u64, stream: &Async<TcpStream>, outgoing: &socket::Outgoing,
+    runtime: &Runtime<'_>,
+    link: u64,
+    stream: &Async<TcpStream>,
+    outgoing: &socket::Outgoing,
 ) {
     runtime.tell(Input::LinkOpened { link });
     let told = |frame: PeerFrame| runtime.tell(Input::LinkFrame { link, frame });
@@ -162,7 +184,10 @@
 fn spawn_sessions(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
     let accept = socket::listen(listener, move |stream| {
-        let session = here.control_node.borrow_mut().session_accepted(here.clock.now());
+        let session = here
+            .control_node
+            .borrow_mut()
+            .session_accepted(here.clock.now());
         let (way, outgoing) = socket::way();
         here.sessions.borrow_mut().insert(session, way);
         let runtime = here.clone();
@@ -174,7 +199,10 @@
 
 /// Carries the frames of a proxy's session until it ends.
 async fn run_session(
-    runtime: &Runtime<'_>, session: u64, stream: &Async<TcpStream>, outgoing: &socket::Outgoing,
+    runtime: &Runtime<'_>,
+    session: u64,
+    stream: &Async<TcpStream>,
+    outgoing: &socket::Outgoing,
 ) {
     let told = |frame: ToControl| runtime.tell(Input::SessionFrame { session, frame });
     socket::carry(stream, outgoing, told).await;
--- a/crates/sandtrack-control/src/program/settings_file.rs
+++ b/crates/sandtrack-control/src/program/settings_file.rs
@@ -18,8 +18,8 @@
 /// # Errors
 /// Where they can't be read, or what a control node serves is not among them.
 pub(super) fn read() -> Result<Settings, SettingsError> {
-    let path =
-        std::env::var_os(BOOT).ok_or_else(|| SettingsError::Unreadable(format!("no path in {BOOT}")))?;
+    let path = std::env::var_os(BOOT)
+        .ok_or_else(|| SettingsError::Unreadable(format!("no path in {BOOT}")))?;
     let settings = Settings::read(&PathBuf::from(path))?;
     for served in SERVED {
         if !settings.listen.contains_key(served) {
--- a/crates/sandtrack-control/src/prompt_relay.rs
+++ b/crates/sandtrack-control/src/prompt_relay.rs
@@ -33,7 +33,8 @@
 impl PromptRelay {
     /// A proxy tells what it sent.
     pub fn from_session(&mut self, session: u64, sent: Vec<PromptSent>) {
-        self.own.extend(sent.into_iter().map(|sent| (session, sent)));
+        self.own
+            .extend(sent.into_iter().map(|sent| (session, sent)));
     }
 
     /// Another control node tells what its proxies sent.
@@ -50,21 +51,33 @@
     pub fn take_due(&mut self, now: Millis) -> Option<Passed> {
         self.next_due().filter(|due| now >= *due)?;
         self.next = now + EVERY_MS;
-        self.own.sort_unstable_by_key(|(_, sent)| std::cmp::Reverse(sent.tokens));
+        self.own
+            .sort_unstable_by_key(|(_, sent)| std::cmp::Reverse(sent.tokens));
         self.own.truncate(AT_ONCE_MOST);
-        let others = std::mem::take(&mut self.others).into_iter().map(|sent| (None, sent));
+        let others = std::mem::take(&mut self.others)
+            .into_iter()
+            .map(|sent| (None, sent));
         let own: Vec<(u64, PromptSent)> = std::mem::take(&mut self.own);
-        let mut all: Vec<(Option<u64>, PromptSent)> =
-            own.iter().map(|(session, sent)| (Some(*session), *sent)).chain(others).collect();
+        let mut all: Vec<(Option<u64>, PromptSent)> = own
+            .iter()
+            .map(|(session, sent)| (Some(*session), *sent))
+            .chain(others)
+            .collect();
         all.sort_by_key(|(_, sent)| std::cmp::Reverse(sent.tokens));
         all.truncate(AT_ONCE_MOST);
         let except = |session: u64| -> Vec<PromptSent> {
-            all.iter().filter(|(of, _)| *of != Some(session)).map(|(_, sent)| *sent).collect()
+            all.iter()
+                .filter(|(of, _)| *of != Some(session))
+                .map(|(_, sent)| *sent)
+                .collect()
         };
         let told: Vec<u64> = all.iter().filter_map(|(session, _)| *session).collect();
         Some(Passed {
             to_peers: own.iter().map(|(_, sent)| *sent).collect(),
-            to_session: told.into_iter().map(|session| (session, except(session))).collect(),
+            to_session: told
+                .into_iter()
+                .map(|session| (session, except(session)))
+                .collect(),
             to_sessions: all.iter().map(|(_, sent)| *sent).collect(),
         })
     }
--- a/crates/sandtrack-control/src/reader.rs
+++ b/crates/sandtrack-control/src/reader.rs
@@ -54,10 +54,15 @@
         let instances = value.get_array("instances").ok_or("no `instances`")?;
         let next_token = match value.get("next_token") {
             Some(token) if token.as_str().is_some() => token.as_str().map(str::to_owned),
-            Some(token) if token.as_u64().is_some() => token.as_u64().map(|token| token.to_string()),
+            Some(token) if token.as_u64().is_some() => {
+                token.as_u64().map(|token| token.to_string())
+            }
             _ => None,
         };
-        Ok(Page { entries: instances.iter().filter_map(entry).collect(), next_token })
+        Ok(Page {
+            entries: instances.iter().filter_map(entry).collect(),
+            next_token,
+        })
     }
 }
 
@@ -67,7 +72,11 @@
         let number = value.get(field).and_then(ValueAsScalar::cast_f64)?;
         Some(number.clamp(0.0, f64::from(u32::MAX)) as u32)
     };
-    let models = value.get_array("models").map(|models| models.iter()).into_iter().flatten();
+    let models = value
+        .get_array("models")
+        .map(|models| models.iter())
+        .into_iter()
+        .flatten();
     Some(UpstreamEntry {
         identifier: text("identifier")?,
         service: text("service")?,
@@ -108,12 +117,20 @@
     /// One that reads often enough for draining to be heeded everywhere within `drain_ms`.
     #[must_use]
     pub fn within(drain_ms: Millis) -> Reader {
-        Reader { every: (drain_ms * EVERY_SHARE).min(EVERY_MOST_MS), ..Reader::default() }
+        Reader {
+            every: (drain_ms * EVERY_SHARE).min(EVERY_MOST_MS),
+            ..Reader::default()
+        }
     }
 
     /// The next page to call for, if one is due: its token, none for the first. `alone`: it reads for itself, beside the
     /// holder; `rate_per_s`: calls that the platform takes from all together.
-    pub fn next_page(&mut self, now: Millis, alone: bool, rate_per_s: f64) -> Option<Option<String>> {
+    pub fn next_page(
+        &mut self,
+        now: Millis,
+        alone: bool,
+        rate_per_s: f64,
+    ) -> Option<Option<String>> {
         if self.calling.is_some() || now < self.next_call {
             return None;
         }
@@ -147,9 +164,19 @@
     }
 
     /// A call is over. Yes where a whole reading ended with it.
-    pub fn answered(&mut self, now: Millis, alone: bool, call: Call, upstreams: &mut Upstreams) -> bool {
-        let Some(called) = self.calling.take() else { return false };
-        let Some(began) = self.began else { return false };
+    pub fn answered(
+        &mut self,
+        now: Millis,
+        alone: bool,
+        call: Call,
+        upstreams: &mut Upstreams,
+    ) -> bool {
+        let Some(called) = self.calling.take() else {
+            return false;
+        };
+        let Some(began) = self.began else {
+            return false;
+        };
         let page = match call {
             Call::Page(page) if now - called <= STALE_MS => page,
             Call::Page(_) => {
@@ -177,11 +204,16 @@
         if self.token.is_some() {
             return false;
         }
-        let missing: BTreeSet<String> =
-            upstreams.identifiers().filter(|known| !self.seen.contains(*known)).map(str::to_owned).collect();
+        let missing: BTreeSet<String> = upstreams
+            .identifiers()
+            .filter(|known| !self.seen.contains(*known))
+            .map(str::to_owned)
+            .collect();
         // With several pages, one that moved from a page to the one before it was in neither: it is gone only when it is
         // missing once more.
-        let gone = missing.iter().filter(|missing| self.pages == 1 || self.missed.contains(*missing));
+        let gone = missing
+            .iter()
+            .filter(|missing| self.pages == 1 || self.missed.contains(*missing));
         gone.for_each(|gone| upstreams.remove(gone));
         self.missed = missing;
         upstreams.reading_ended(upstreams.round() + 1);
--- a/crates/sandtrack-control/src/reader_election.rs
+++ b/crates/sandtrack-control/src/reader_election.rs
@@ -33,7 +33,11 @@
 impl ReaderElection {
     /// Nobody reads yet, as far as is known.
     pub fn new(me: &str, now: Millis) -> ReaderElection {
-        ReaderElection { me: me.to_owned(), claim: Claim::default(), heard: now }
+        ReaderElection {
+            me: me.to_owned(),
+            claim: Claim::default(),
+            heard: now,
+        }
     }
 
     /// The highest claim that is known here.
@@ -76,9 +80,11 @@
     }
 
     fn hold(&mut self, claim: Claim) {
-        check(Invariant::ReaderTermRises, claim.term >= self.claim.term, || {
-            format!("term {} behind {}", claim.term, self.claim.term)
-        });
+        check(
+            Invariant::ReaderTermRises,
+            claim.term >= self.claim.term,
+            || format!("term {} behind {}", claim.term, self.claim.term),
+        );
         self.claim = claim;
     }
 
@@ -93,13 +99,18 @@
     /// Claims the role where it is this one's turn: `order` is who may, in turn; `live` what those heard of said last;
     /// `voters` whose majority it needs.
     pub fn take_over(
-        &mut self, now: Millis, order: &[Address], live: &BTreeMap<Address, PeerReport>, voters: &[Address],
+        &mut self,
+        now: Millis,
+        order: &[Address],
+        live: &BTreeMap<Address, PeerReport>,
+        voters: &[Address],
     ) -> bool {
         let begins = self.claim.term == 0 && order.first() == Some(&self.me);
         if !self.is_silent(now) && !begins {
             return false;
         }
-        if self.is_holder() || self.successor(order, |one| live.contains_key(one)) != Some(&self.me) {
+        if self.is_holder() || self.successor(order, |one| live.contains_key(one)) != Some(&self.me)
+        {
             return false;
         }
         // Where there never was a holder, nobody can miss it: a majority that knows of none is enough. A process that starts
@@ -115,24 +126,40 @@
         if 2 * agreed <= voters.len() {
             return false;
         }
-        self.hold(Claim { term: self.claim.term + 1, holder: self.me.clone() });
+        self.hold(Claim {
+            term: self.claim.term + 1,
+            holder: self.me.clone(),
+        });
         true
     }
 
     /// The next after the holder that is there; it may be this one.
-    fn successor<'a>(&self, order: &'a [Address], is_live: impl Fn(&str) -> bool) -> Option<&'a Address> {
-        let after = order.iter().position(|one| *one == self.claim.holder).map_or(0, |at| at + 1);
+    fn successor<'a>(
+        &self,
+        order: &'a [Address],
+        is_live: impl Fn(&str) -> bool,
+    ) -> Option<&'a Address> {
+        let after = order
+            .iter()
+            .position(|one| *one == self.claim.holder)
+            .map_or(0, |at| at + 1);
         let turn = order.iter().cycle().skip(after).take(order.len());
-        turn.into_iter().find(|one| **one != self.claim.holder && (**one == self.me || is_live(one)))
+        turn.into_iter()
+            .find(|one| **one != self.claim.holder && (**one == self.me || is_live(one)))
     }
 
     /// Names the successor of one that leaves; yes where there is one.
     pub fn hand_over(&mut self, order: &[Address], live: &BTreeMap<Address, PeerReport>) -> bool {
-        let next =
-            self.successor(order, |one| live.contains_key(one)).filter(|next| **next != self.me).cloned();
+        let next = self
+            .successor(order, |one| live.contains_key(one))
+            .filter(|next| **next != self.me)
+            .cloned();
         match next {
             Some(holder) if self.is_holder() => {
-                self.hold(Claim { term: self.claim.term + 1, holder });
+                self.hold(Claim {
+                    term: self.claim.term + 1,
+                    holder,
+                });
                 true
             }
             _ => false,
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -116,15 +116,21 @@
     /// Brings it up to the committed state. Frames that others get as well are made once: `whole`, `changes` (by the
     /// number that they lead from) and `evacuated`.
     fn tell_state(
-        &mut self, control_state: &ControlState, whole: &mut Option<(u64, Bytes)>,
-        changes: &mut BTreeMap<u64, Option<Bytes>>, evacuated: &mut Option<Bytes>,
+        &mut self,
+        control_state: &ControlState,
+        whole: &mut Option<(u64, Bytes)>,
+        changes: &mut BTreeMap<u64, Option<Bytes>>,
+        evacuated: &mut Option<Bytes>,
         send: &mut impl FnMut(Bytes),
     ) {
         let configuration = control_state.configuration_number();
         if configuration > 0 && self.configuration != Some(configuration) {
-            let changed = self
-                .configuration
-                .and_then(|from| changes.entry(from).or_insert_with(|| steps(control_state, from)).clone());
+            let changed = self.configuration.and_then(|from| {
+                changes
+                    .entry(from)
+                    .or_insert_with(|| steps(control_state, from))
+                    .clone()
+            });
             if let Some(bytes) = changed.or_else(|| whole_of(whole, control_state)) {
                 send(bytes);
             }
@@ -136,7 +142,10 @@
             self.evacuation = Some(evacuation);
             let frame = evacuated.get_or_insert_with(|| {
                 let zones = control_state.evacuated().map(str::to_owned).collect();
-                bytes(&ToProxy::Evacuated { number: evacuation, zones })
+                bytes(&ToProxy::Evacuated {
+                    number: evacuation,
+                    zones,
+                })
             });
             send(frame.clone());
         }
@@ -147,7 +156,13 @@
     /// A number for a session whose socket was accepted.
     pub fn accepted(&mut self, now: Millis) -> u64 {
         self.next_session += 1;
-        self.sessions.insert(self.next_session, Session { heard: now, ..Session::default() });
+        self.sessions.insert(
+            self.next_session,
+            Session {
+                heard: now,
+                ..Session::default()
+            },
+        );
         self.next_session
     }
 
@@ -193,11 +208,18 @@
 
     /// This process did not run for a while: what proxies said meanwhile is still to be read.
     pub fn woke(&mut self, now: Millis) {
-        self.sessions.values_mut().for_each(|session| session.heard = now);
+        self.sessions
+            .values_mut()
+            .for_each(|session| session.heard = now);
     }
 
     /// Ends silent sessions, and beats on the others.
-    pub fn tick(&mut self, now: Millis, attached: bool, orders: &mut Vec<SessionOrder>) -> Vec<ProxyInfo> {
+    pub fn tick(
+        &mut self,
+        now: Millis,
+        attached: bool,
+        orders: &mut Vec<SessionOrder>,
+    ) -> Vec<ProxyInfo> {
         let silence = frames::SILENCE_MS as Millis;
         let silent: Vec<u64> = self
             .sessions
@@ -222,7 +244,10 @@
         let bytes = bytes(frame);
         for (session, known) in &self.sessions {
             if known.welcomed {
-                orders.push(SessionOrder::Send { session: *session, bytes: bytes.clone() });
+                orders.push(SessionOrder::Send {
+                    session: *session,
+                    bytes: bytes.clone(),
+                });
             }
         }
     }
@@ -237,13 +262,20 @@
                 Some(sent) => bytes(&ToProxy::PromptsSent(sent.clone())),
                 None => to_others.clone(),
             };
-            orders.push(SessionOrder::Send { session: *session, bytes });
+            orders.push(SessionOrder::Send {
+                session: *session,
+                bytes,
+            });
         }
     }
 
     /// Closes all: they go elsewhere.
     pub fn close_all(&mut self, orders: &mut Vec<SessionOrder>) {
-        orders.extend(self.sessions.keys().map(|session| SessionOrder::Close { session: *session }));
+        orders.extend(
+            self.sessions
+                .keys()
+                .map(|session| SessionOrder::Close { session: *session }),
+        );
         self.sessions.clear();
         self.names.clear();
     }
@@ -267,7 +299,11 @@
 
     /// Brings each session up to what is committed and known.
     pub fn tell(
-        &mut self, now: Millis, me: &Hello, others: &[&Hello], news: &News<'_>,
+        &mut self,
+        now: Millis,
+        me: &Hello,
+        others: &[&Hello],
+        news: &News<'_>,
         orders: &mut Vec<SessionOrder>,
     ) {
         let newest = ToldUpTo::of(news);
@@ -282,13 +318,26 @@
         }
         let mut lists: BTreeMap<Option<u64>, Bytes> = BTreeMap::new();
         let mut changes: BTreeMap<u64, Option<Bytes>> = BTreeMap::new();
-        let Sessions { sessions, whole, held_back, .. } = self;
+        let Sessions {
+            sessions,
+            whole,
+            held_back,
+            ..
+        } = self;
         let mut evacuated: Option<Bytes> = None;
         for number in &pending {
-            let Some(session) = sessions.get_mut(number).filter(|session| session.info.is_some()) else {
+            let Some(session) = sessions
+                .get_mut(number)
+                .filter(|session| session.info.is_some())
+            else {
                 continue;
             };
-            let mut send = |bytes: Bytes| orders.push(SessionOrder::Send { session: *number, bytes });
+            let mut send = |bytes: Bytes| {
+                orders.push(SessionOrder::Send {
+                    session: *number,
+                    bytes,
+                })
+            };
             if !session.welcomed {
                 session.welcomed = true;
                 send(bytes(&ToProxy::Welcome {
@@ -298,15 +347,30 @@
                 }));
             }
             if news.may_feed {
-                session.tell_state(news.control_state, whole, &mut changes, &mut evacuated, &mut send);
+                session.tell_state(
+                    news.control_state,
+                    whole,
+                    &mut changes,
+                    &mut evacuated,
+                    &mut send,
+                );
             } else if session.lacks(news.control_state) {
                 held_back.insert(*number);
             }
             if news.upstreams.round() > 0 && session.list != Some(news.upstreams.end()) {
                 let frame = lists.entry(session.list).or_insert_with(|| {
-                    let Excerpt { whole, round, entries, gone } =
-                        news.upstreams.excerpt_since(now, session.list);
-                    bytes(&ToProxy::Upstreams { whole, round, entries, gone })
+                    let Excerpt {
+                        whole,
+                        round,
+                        entries,
+                        gone,
+                    } = news.upstreams.excerpt_since(now, session.list);
+                    bytes(&ToProxy::Upstreams {
+                        whole,
+                        round,
+                        entries,
+                        gone,
+                    })
                 });
                 send(frame.clone());
                 session.list = Some(news.upstreams.end());
@@ -320,22 +384,42 @@
 
     /// Tells who is there to those for whom that has changed.
     fn census(
-        &mut self, now: Millis, me: &Hello, others: &[&Hello], news: &News<'_>,
+        &mut self,
+        now: Millis,
+        me: &Hello,
+        others: &[&Hello],
+        news: &News<'_>,
         orders: &mut Vec<SessionOrder>,
     ) {
         let members = news.membership.members();
-        let ranks: BTreeMap<&str, u32> =
-            members.keys().enumerate().map(|(rank, name)| (*name, rank as u32)).collect();
+        let ranks: BTreeMap<&str, u32> = members
+            .keys()
+            .enumerate()
+            .map(|(rank, name)| (*name, rank as u32))
+            .collect();
         let count = members.len() as u32;
         // Cut off from the others, it does not hear of members that are there all the same: their shares stay theirs.
-        self.proxies = if news.attached { count } else { self.proxies.max(count) };
+        self.proxies = if news.attached {
+            count
+        } else {
+            self.proxies.max(count)
+        };
         for (number, session) in &mut self.sessions {
-            let Some(info) = session.info.as_ref() else { continue };
+            let Some(info) = session.info.as_ref() else {
+                continue;
+            };
             let rank = ranks.get(info.node_name.as_str()).copied().unwrap_or(0);
             let control_nodes = nearest(info, rank, me, others);
-            let frame = ToProxy::Census { control_nodes, proxies: self.proxies, rank };
+            let frame = ToProxy::Census {
+                control_nodes,
+                proxies: self.proxies,
+                rank,
+            };
             if session.census.as_ref() != Some(&frame) {
-                orders.push(SessionOrder::Send { session: *number, bytes: bytes(&frame) });
+                orders.push(SessionOrder::Send {
+                    session: *number,
+                    bytes: bytes(&frame),
+                });
                 session.census = Some(frame);
             }
         }
@@ -360,7 +444,13 @@
 
 fn steps(control_state: &ControlState, from: u64) -> Option<Bytes> {
     let frames = control_state.changes_since(from)?;
-    Some(frames.iter().flat_map(frames::frame).collect::<Vec<u8>>().into())
+    Some(
+        frames
+            .iter()
+            .flat_map(frames::frame)
+            .collect::<Vec<u8>>()
+            .into(),
+    )
 }
 
 fn whole_of(kept: &mut Option<(u64, Bytes)>, control_state: &ControlState) -> Option<Bytes> {
--- a/crates/sandtrack-control/src/socket.rs
+++ b/crates/sandtrack-control/src/socket.rs
@@ -48,7 +48,14 @@
 pub fn way() -> (Way, Outgoing) {
     let (sender, receiver) = async_channel::unbounded();
     let waiting = Rc::new(Cell::new(0));
-    (Way { sender, waiting: waiting.clone(), largest: Cell::new(0) }, Outgoing { receiver, waiting })
+    (
+        Way {
+            sender,
+            waiting: waiting.clone(),
+            largest: Cell::new(0),
+        },
+        Outgoing { receiver, waiting },
+    )
 }
 
 impl Way {
@@ -82,7 +89,11 @@
 }
 
 /// Carries frames both ways until an end closes; each that comes is told.
-pub async fn carry<T: BorshDeserialize>(stream: &Async<TcpStream>, outgoing: &Outgoing, told: impl FnMut(T)) {
+pub async fn carry<T: BorshDeserialize>(
+    stream: &Async<TcpStream>,
+    outgoing: &Outgoing,
+    told: impl FnMut(T),
+) {
     let read = async {
         match read_frames(stream, told).await {
             Ok(()) => {}
@@ -105,19 +116,24 @@
             let count = stream.write_with(|mut socket| socket.write(rest)).await?;
             rest = &rest[count..];
         }
-        outgoing.waiting.set(outgoing.waiting.get().saturating_sub(bytes.len()));
+        outgoing
+            .waiting
+            .set(outgoing.waiting.get().saturating_sub(bytes.len()));
     }
     stream.get_ref().shutdown(std::net::Shutdown::Write)
 }
 
 async fn read_frames<T: BorshDeserialize>(
-    stream: &Async<TcpStream>, mut told: impl FnMut(T),
+    stream: &Async<TcpStream>,
+    mut told: impl FnMut(T),
 ) -> io::Result<()> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
         let start = bytes.len();
         bytes.resize(start + PIECE, 0);
-        let count = stream.read_with(|mut socket| socket.read(&mut bytes[start..])).await;
+        let count = stream
+            .read_with(|mut socket| socket.read(&mut bytes[start..]))
+            .await;
         bytes.truncate(start + count.as_ref().map_or(0, |count| *count));
         if count? == 0 {
             return Ok(());
@@ -139,8 +155,9 @@
 
 /// Connects, unless it is given up first.
 pub async fn connect(address: &str, patience: Duration) -> io::Result<Async<TcpStream>> {
-    let address: std::net::SocketAddr =
-        address.parse().map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
+    let address: std::net::SocketAddr = address
+        .parse()
+        .map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
     let connect = async {
         let stream = Async::<TcpStream>::connect(address).await?;
         prepare(&stream);
--- a/crates/sandtrack-control/src/taken.rs
+++ b/crates/sandtrack-control/src/taken.rs
@@ -25,8 +25,9 @@
         let mut sums = [0xcbf2_9ce4_8422_2325_u64, 0x6c62_272e_07bb_0142];
         for byte in std::iter::once(&kind(form)).chain(&head).chain(body) {
             for (at, sum) in sums.iter_mut().enumerate() {
-                *sum =
-                    (*sum ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(at as u32 * 5);
+                *sum = (*sum ^ u64::from(*byte))
+                    .wrapping_mul(0x0000_0100_0000_01b3)
+                    .rotate_left(at as u32 * 5);
             }
         }
         Digest::Fnv(sums)
@@ -72,14 +73,23 @@
 impl Taken {
     /// The version that an order made, if it is one of those remembered. An order is looked for under both formats.
     pub fn version_of(&self, form: Form, based_on: u64, body: &[u8]) -> Option<u64> {
-        let (new, old) = (Digest::sha256(form, based_on, body), Digest::fnv(form, based_on, body));
-        let known = self.records.iter().find(|(_, digest)| *digest == new || *digest == old);
+        let (new, old) = (
+            Digest::sha256(form, based_on, body),
+            Digest::fnv(form, based_on, body),
+        );
+        let known = self
+            .records
+            .iter()
+            .find(|(_, digest)| *digest == new || *digest == old);
         known.map(|(version, _)| *version)
     }
 
     /// Whether an order on this version, not among those remembered, may have been taken all the same.
     pub fn may_have_forgotten(&self, based_on: u64) -> bool {
-        let oldest = self.records.front().filter(|_| self.records.len() == TAKEN_KEPT);
+        let oldest = self
+            .records
+            .front()
+            .filter(|_| self.records.len() == TAKEN_KEPT);
         oldest.is_some_and(|(version, _)| based_on < *version)
     }
 
@@ -94,7 +104,10 @@
     /// Those of format 1, for a snapshot.
     pub fn fnv_records(&self) -> Vec<FnvRecord> {
         let record = |(version, digest): &(u64, Digest)| match digest {
-            Digest::Fnv(digest) => Some(FnvRecord { version: *version, digest: *digest }),
+            Digest::Fnv(digest) => Some(FnvRecord {
+                version: *version,
+                digest: *digest,
+            }),
             Digest::Sha256(_) => None,
         };
         self.records.iter().filter_map(record).collect()
@@ -103,7 +116,10 @@
     /// Those of format 2, for a snapshot.
     pub fn sha256_records(&self) -> Vec<Sha256Record> {
         let record = |(version, digest): &(u64, Digest)| match digest {
-            Digest::Sha256(digest) => Some(Sha256Record { version: *version, digest: *digest }),
+            Digest::Sha256(digest) => Some(Sha256Record {
+                version: *version,
+                digest: *digest,
+            }),
             Digest::Fnv(_) => None,
         };
         self.records.iter().filter_map(record).collect()
@@ -111,10 +127,16 @@
 
     /// The records of a snapshot.
     pub fn restored(fnv: Vec<FnvRecord>, sha256: Vec<Sha256Record>) -> Taken {
-        let old = fnv.into_iter().map(|record| (record.version, Digest::Fnv(record.digest)));
-        let new = sha256.into_iter().map(|record| (record.version, Digest::Sha256(record.digest)));
+        let old = fnv
+            .into_iter()
+            .map(|record| (record.version, Digest::Fnv(record.digest)));
+        let new = sha256
+            .into_iter()
+            .map(|record| (record.version, Digest::Sha256(record.digest)));
         let mut records: Vec<(u64, Digest)> = old.chain(new).collect();
         records.sort_by_key(|(version, _)| *version);
-        Taken { records: records.into() }
+        Taken {
+            records: records.into(),
+        }
     }
 }
--- a/crates/sandtrack-control/src/upstreams.rs
+++ b/crates/sandtrack-control/src/upstreams.rs
@@ -24,7 +24,15 @@
     fn new(entry: UpstreamEntry, at: Millis) -> Kept {
         let cold_until = at + f64::from(entry.cold_remaining_ms);
         let ends = entry.time_left_ms.map(|left| at + f64::from(left));
-        Kept { entry: UpstreamEntry { cold_remaining_ms: 0, time_left_ms: None, ..entry }, cold_until, ends }
+        Kept {
+            entry: UpstreamEntry {
+                cold_remaining_ms: 0,
+                time_left_ms: None,
+                ..entry
+            },
+            cold_until,
+            ends,
+        }
     }
 
     /// As it is at this moment.
@@ -38,7 +46,9 @@
     }
 
     fn is_like(&self, other: &Kept, now: Millis) -> bool {
-        let same = |one: Millis, other: Millis| (one - other).abs() < SAME_MS || one <= now && other <= now;
+        let same = |one: Millis, other: Millis| {
+            (one - other).abs() < SAME_MS || one <= now && other <= now
+        };
         let ends = match (self.ends, other.ends) {
             (None, None) => true,
             (Some(one), Some(other)) => same(one, other),
@@ -50,7 +60,13 @@
     fn digest(&self) -> u64 {
         let mut sum = Fnv(0xcbf2_9ce4_8422_2325);
         let entry = &self.entry;
-        (&entry.identifier, &entry.service, &entry.address, &entry.zone).hash(&mut sum);
+        (
+            &entry.identifier,
+            &entry.service,
+            &entry.address,
+            &entry.zone,
+        )
+            .hash(&mut sum);
         (entry.slots, entry.draining, self.ends.is_some()).hash(&mut sum);
         sum.finish()
     }
@@ -70,7 +86,12 @@
 
 impl Default for Upstreams {
     fn default() -> Upstreams {
-        Upstreams { table: BTreeMap::new(), journal: Journal::new(EVENTS_KEPT), round: 0, sum: 0 }
+        Upstreams {
+            table: BTreeMap::new(),
+            journal: Journal::new(EVENTS_KEPT),
+            round: 0,
+            sum: 0,
+        }
     }
 }
 
@@ -78,11 +99,17 @@
     /// The list shows an upstream; its remaining times count from `at`.
     pub fn set(&mut self, at: Millis, entry: UpstreamEntry) {
         let kept = Kept::new(entry, at);
-        if !self.table.get(&kept.entry.identifier).is_some_and(|known| known.is_like(&kept, at)) {
+        if !self
+            .table
+            .get(&kept.entry.identifier)
+            .is_some_and(|known| known.is_like(&kept, at))
+        {
             self.journal.append(kept.entry.identifier.clone());
             self.sum = self.sum.wrapping_add(kept.digest());
             let before = self.table.insert(kept.entry.identifier.clone(), kept);
-            self.sum = self.sum.wrapping_sub(before.map_or(0, |before| before.digest()));
+            self.sum = self
+                .sum
+                .wrapping_sub(before.map_or(0, |before| before.digest()));
         }
     }
 
@@ -102,14 +129,27 @@
     /// Another control node passes on what it read.
     pub fn apply(&mut self, now: Millis, excerpt: Excerpt) {
         if excerpt.whole {
-            let kept: BTreeSet<&str> =
-                excerpt.entries.iter().map(|entry| entry.identifier.as_str()).collect();
-            let lost: Vec<String> =
-                self.table.keys().filter(|known| !kept.contains(known.as_str())).cloned().collect();
+            let kept: BTreeSet<&str> = excerpt
+                .entries
+                .iter()
+                .map(|entry| entry.identifier.as_str())
+                .collect();
+            let lost: Vec<String> = self
+                .table
+                .keys()
+                .filter(|known| !kept.contains(known.as_str()))
+                .cloned()
+                .collect();
             lost.iter().for_each(|identifier| self.remove(identifier));
         }
-        excerpt.gone.iter().for_each(|identifier| self.remove(identifier));
-        excerpt.entries.into_iter().for_each(|entry| self.set(now, entry));
+        excerpt
+            .gone
+            .iter()
+            .for_each(|identifier| self.remove(identifier));
+        excerpt
+            .entries
+            .into_iter()
+            .for_each(|entry| self.set(now, entry));
         self.round = self.round.max(excerpt.round);
     }
 
@@ -122,9 +162,19 @@
     pub fn excerpt_since(&self, now: Millis, place: Option<u64>) -> Excerpt {
         let Some(events) = place.and_then(|place| self.journal.since(place)) else {
             let entries = self.table.values().map(|kept| kept.now(now)).collect();
-            return Excerpt { whole: true, round: self.round, entries, gone: Vec::new() };
+            return Excerpt {
+                whole: true,
+                round: self.round,
+                entries,
+                gone: Vec::new(),
+            };
+        };
+        let mut excerpt = Excerpt {
+            whole: false,
+            round: self.round,
+            entries: Vec::new(),
+            gone: Vec::new(),
         };
-        let mut excerpt = Excerpt { whole: false, round: self.round, entries: Vec::new(), gone: Vec::new() };
         for identifier in events.collect::<BTreeSet<&String>>() {
             match self.table.get(identifier) {
                 Some(kept) => excerpt.entries.push(kept.now(now)),
@@ -141,7 +191,10 @@
 
     /// What peers compare with theirs.
     pub fn digest(&self) -> Digest {
-        Digest { count: self.table.len() as u32, sum: self.sum }
+        Digest {
+            count: self.table.len() as u32,
+            sum: self.sum,
+        }
     }
 
     /// Identifiers of all of them.
--- a/crates/sandtrack-control/tests/bound_voters.rs
+++ b/crates/sandtrack-control/tests/bound_voters.rs
@@ -21,11 +21,18 @@
     cluster.run(1500.0);
     cluster.insist(&[HEAD], REPLACE, 0, &good(7));
     cluster.kill(VOTER, true);
-    assert!(cluster.run_until_epoch(HEAD, 2, 2000.0), "a view without it, before another may have its vote");
+    assert!(
+        cluster.run_until_epoch(HEAD, 2, 2000.0),
+        "a view without it, before another may have its vote"
+    );
     cluster.run(300.0);
     cluster.boot(VOTER, false);
     cluster.run(2000.0);
-    assert_eq!(cluster.epochs.get(&HEAD), Some(&2), "it is no more than a voter");
+    assert_eq!(
+        cluster.epochs.get(&HEAD),
+        Some(&2),
+        "it is no more than a voter"
+    );
     cluster
 }
 
@@ -37,8 +44,15 @@
         cluster.cut(one, other, true);
     }
     cluster.lost_words.push((HEAD, VOTER, "new view 3"));
-    assert!(cluster.run_until_epoch(HEAD, 3, 3000.0), "view 3 is decided");
-    assert_eq!(cluster.epochs.get(&VOTER), Some(&2), "by a voter that does not hear so");
+    assert!(
+        cluster.run_until_epoch(HEAD, 3, 3000.0),
+        "view 3 is decided"
+    );
+    assert_eq!(
+        cluster.epochs.get(&VOTER),
+        Some(&2),
+        "by a voter that does not hear so"
+    );
     cluster.cut(HEAD, VOTER, true);
     cluster
 }
@@ -49,7 +63,11 @@
         ToProxy::Configuration { version, .. } | ToProxy::Changes { version, .. } => Some(*version),
         _ => None,
     };
-    cluster.proxies[name].frames.iter().filter_map(version).collect()
+    cluster.proxies[name]
+        .frames
+        .iter()
+        .filter_map(version)
+        .collect()
 }
 
 /// After version 9 was acknowledged by the chain of the later view, proxies start one after the other at the member that
@@ -63,7 +81,11 @@
         cluster.connect(&name, "asahi-hall", "kamikawa", LEFT_OUT);
         cluster.run(100.0);
         let after = cluster.now - decided;
-        assert_eq!(told(cluster, &name), [0; 0], "{case}: {after} ms after view 3 was decided");
+        assert_eq!(
+            told(cluster, &name),
+            [0; 0],
+            "{case}: {after} ms after view 3 was decided"
+        );
     }
 }
 
@@ -93,7 +115,10 @@
         cluster.run(1000.0);
         for call in calls {
             let answer = cluster.answer(call);
-            assert!(!answer.is_some_and(|(_, reply)| is_definite(reply)), "{answer:?}");
+            assert!(
+                !answer.is_some_and(|(_, reply)| is_definite(reply)),
+                "{answer:?}"
+            );
         }
     }
 }
@@ -101,7 +126,10 @@
 #[test]
 fn a_member_left_out_of_a_view_that_it_knows_tells_nothing_before_it_has_caught_up() {
     let mut cluster = accepted_by_a_voter_that_is_cut_off();
-    nothing_old_is_told(&mut cluster, "both bring view 3 to its end, and hear nobody of its chain");
+    nothing_old_is_told(
+        &mut cluster,
+        "both bring view 3 to its end, and hear nobody of its chain",
+    );
 }
 
 /// A voter that accepted the later view, and lost its disk since, is another member: what it forgot counts for nothing.
@@ -145,7 +173,10 @@
 fn accepted_by_one(offset: f64) -> Cluster {
     let mut cluster = about_to_propose(offset);
     cluster.lost_words.push((HEAD, VOTER, "accept "));
-    assert!(cluster.run_until_said(LEFT_OUT, HEAD, "accepted", 3000.0), "one voter accepts");
+    assert!(
+        cluster.run_until_said(LEFT_OUT, HEAD, "accepted", 3000.0),
+        "one voter accepts"
+    );
     for other in [LEFT_OUT, VOTER] {
         cluster.cut(HEAD, other, true);
     }
@@ -179,7 +210,9 @@
         }
         400.0 + longest_pause(&mut cluster, 4000.0)
     });
-    println!("its proposer is lost: {lost_for_good} ms; it is cut off for 400 ms: {cut_for_a_moment} ms");
+    println!(
+        "its proposer is lost: {lost_for_good} ms; it is cut off for 400 ms: {cut_for_a_moment} ms"
+    );
     assert!(lost_for_good <= 2000.0, "{lost_for_good} ms");
     assert!(cut_for_a_moment <= 2000.0, "{cut_for_a_moment} ms");
 }
--- a/crates/sandtrack-control/tests/call_log.rs
+++ b/crates/sandtrack-control/tests/call_log.rs
@@ -14,7 +14,10 @@
         keep_alive: true,
         chunks: true,
     };
-    Message { head, body: Vec::new() }
+    Message {
+        head,
+        body: Vec::new(),
+    }
 }
 
 #[test]
@@ -27,15 +30,28 @@
         E308 the call may have waited for too long in this process: it was not carried out after 2 ms";
     assert_eq!(told.line, expected);
     assert!(told.is_notable);
-    assert_eq!(log.answered(1503.0, 4, &too_late()), None, "a call is told once");
+    assert_eq!(
+        log.answered(1503.0, 4, &too_late()),
+        None,
+        "a call is told once"
+    );
 }
 
 #[test]
 fn a_read_that_is_answered_is_no_news_and_all_are_counted() {
     let mut log = CallLog::default();
     log.read(0.0, 1, &call("GET", "/v1/configuration/read"), None);
-    assert!(!log.answered(3.0, 1, &Reply::success("{}".to_owned())).expect("told").is_notable);
-    log.read(5.0, 2, &call("POST", "/v1/evacuation/kita-hall/begin"), None);
+    assert!(
+        !log.answered(3.0, 1, &Reply::success("{}".to_owned()))
+            .expect("told")
+            .is_notable
+    );
+    log.read(
+        5.0,
+        2,
+        &call("POST", "/v1/evacuation/kita-hall/begin"),
+        None,
+    );
     log.caller_left();
     let mut text = MetricsText::default();
     log.tell(&mut text);
--- a/crates/sandtrack-control/tests/cluster.rs
+++ b/crates/sandtrack-control/tests/cluster.rs
@@ -28,7 +28,10 @@
 }
 
 fn forget_frames(cluster: &mut Cluster) {
-    cluster.proxies.values_mut().for_each(|proxy| proxy.frames.clear());
+    cluster
+        .proxies
+        .values_mut()
+        .for_each(|proxy| proxy.frames.clear());
 }
 
 #[test]
@@ -85,25 +88,43 @@
     cluster.cut(2, 3, true);
     let call = cluster.call(1, "POST", REPLACE, 7, &good(9));
     cluster.run(880.0);
-    let (after, reply) = cluster.answer(call).expect("an honest answer before its caller moves on");
+    let (after, reply) = cluster
+        .answer(call)
+        .expect("an honest answer before its caller moves on");
     assert!(after <= 900.0 && reply.status == 503, "{after} {reply:?}");
     for proxy in cluster.proxies.values() {
         let only_who_is_there = |frame: &ToProxy| matches!(frame, ToProxy::Census { .. });
-        assert!(proxy.frames.iter().all(only_who_is_there), "{:?}", proxy.frames);
+        assert!(
+            proxy.frames.iter().all(only_who_is_there),
+            "{:?}",
+            proxy.frames
+        );
     }
     cluster.run(2000.0);
-    assert!(cluster.proxies.values().all(|proxy| proxy.attached == Some(false)));
+    assert!(cluster
+        .proxies
+        .values()
+        .all(|proxy| proxy.attached == Some(false)));
     for (one, other) in [(1, 2), (1, 3), (2, 3)] {
         cluster.cut(one, other, false);
     }
     cluster.run(5000.0);
     let again = cluster.call(2, "POST", REPLACE, 7, &good(9));
     cluster.run(1000.0);
-    assert_eq!(cluster.status(again), Some(200), "the same once more is taken");
+    assert_eq!(
+        cluster.status(again),
+        Some(200),
+        "the same once more is taken"
+    );
     let read = cluster.call(3, "GET", READ, 0, "");
     cluster.run(1000.0);
-    assert!(cluster.answer(read).is_some_and(|(_, reply)| reply.body.contains("\"version_number\":9")));
-    assert!(cluster.proxies.values().all(|proxy| proxy.attached == Some(true)));
+    assert!(cluster
+        .answer(read)
+        .is_some_and(|(_, reply)| reply.body.contains("\"version_number\":9")));
+    assert!(cluster
+        .proxies
+        .values()
+        .all(|proxy| proxy.attached == Some(true)));
 }
 
 #[test]
@@ -118,13 +139,21 @@
         .filter_map(|call| cluster.answer(*call))
         .map(|(_, reply)| reply.status)
         .collect();
-    assert!(statuses == [200, 412] || statuses == [412, 200], "{statuses:?}");
+    assert!(
+        statuses == [200, 412] || statuses == [412, 200],
+        "{statuses:?}"
+    );
     let won = if statuses[0] == 200 { 8 } else { 10 };
     for house in 1..=3 {
         assert_eq!(cluster.control_node(house).control_state().version(), won);
     }
     for proxy in cluster.proxies.values() {
-        assert_eq!(proxy.frames.len(), 1, "each proxy hears of the winner alone: {:?}", proxy.frames);
+        assert_eq!(
+            proxy.frames.len(),
+            1,
+            "each proxy hears of the winner alone: {:?}",
+            proxy.frames
+        );
     }
 }
 
@@ -179,13 +208,24 @@
     let session = 1;
     cluster.control_node(1).handle(
         now,
-        Input::SessionFrame { session, frame: ToControl::WantConfiguration },
+        Input::SessionFrame {
+            session,
+            frame: ToControl::WantConfiguration,
+        },
         &mut effects,
     );
     assert_eq!(effects.len(), 1, "{effects:?}");
-    let Effect::Session(SessionOrder::Send { bytes, .. }) = &effects[0] else { panic!("{effects:?}") };
-    let frame = frames::take::<ToProxy>(bytes).expect("a frame").expect("whole").0;
-    assert!(matches!(frame, ToProxy::Configuration { version: 7, .. }), "{frame:?}");
+    let Effect::Session(SessionOrder::Send { bytes, .. }) = &effects[0] else {
+        panic!("{effects:?}")
+    };
+    let frame = frames::take::<ToProxy>(bytes)
+        .expect("a frame")
+        .expect("whole")
+        .0;
+    assert!(
+        matches!(frame, ToProxy::Configuration { version: 7, .. }),
+        "{frame:?}"
+    );
 }
 
 #[test]
@@ -200,7 +240,10 @@
     cluster.list = Some(vec![upstream("i-2", true)]);
     cluster.run(2500.0);
     cluster.note_proxies();
-    assert!(cluster.fetches_since(2, at) > 0 && cluster.fetches_since(3, at) == 0, "the next one reads");
+    assert!(
+        cluster.fetches_since(2, at) > 0 && cluster.fetches_since(3, at) == 0,
+        "the next one reads"
+    );
     cluster.say("a change without it");
     let call = cluster.call(3, "POST", REPLACE, 7, &good(9));
     cluster.run(900.0);
@@ -210,8 +253,9 @@
     cluster.say("it is back");
     cluster.boot(1, false);
     cluster.run(3000.0);
-    let versions: Vec<u64> =
-        (1..=3).map(|house| cluster.control_node(house).control_state().version()).collect();
+    let versions: Vec<u64> = (1..=3)
+        .map(|house| cluster.control_node(house).control_state().version())
+        .collect();
     cluster.note(&format!("versions {versions:?}"));
     cluster.note_directory(1, "odori-hall");
     cluster.say("all are killed at once, and come back with their disks");
@@ -222,7 +266,11 @@
     for house in 1..=3 {
         cluster.boot(house, false);
     }
-    let names = [("c-odori", "odori-hall"), ("c-asahi", "asahi-hall"), ("c-kita", "kita-hall")];
+    let names = [
+        ("c-odori", "odori-hall"),
+        ("c-asahi", "asahi-hall"),
+        ("c-kita", "kita-hall"),
+    ];
     for (at, (name, zone)) in names.into_iter().enumerate() {
         cluster.connect(name, zone, "ishikari", at + 1);
     }
@@ -230,7 +278,9 @@
     cluster.note_proxies();
     let call = cluster.call(2, "GET", READ, 0, "");
     cluster.run(900.0);
-    assert!(cluster.answer(call).is_some_and(|(_, reply)| reply.body.contains("\"version_number\":9")));
+    assert!(cluster
+        .answer(call)
+        .is_some_and(|(_, reply)| reply.body.contains("\"version_number\":9")));
     approve("cluster-kill", &cluster.transcript.clone());
 }
 
@@ -244,13 +294,25 @@
     cluster.terminate(1);
     cluster.run(500.0);
     assert!(cluster.has_exited(1), "at once, as nothing holds it");
-    assert_eq!(cluster.status(call), Some(200), "calls under way are finished");
+    assert_eq!(
+        cluster.status(call),
+        Some(200),
+        "calls under way are finished"
+    );
     let next = cluster.call(2, "POST", REPLACE, 9, &good(12));
     cluster.run(300.0);
-    assert_eq!(cluster.status(next), Some(200), "the others go on without it");
+    assert_eq!(
+        cluster.status(next),
+        Some(200),
+        "the others go on without it"
+    );
     cluster.run(700.0);
     let proxy = &cluster.proxies["c-odori"];
-    assert_eq!(proxy.attached, Some(false), "its proxy goes elsewhere at once");
+    assert_eq!(
+        proxy.attached,
+        Some(false),
+        "its proxy goes elsewhere at once"
+    );
     assert!(
         cluster.fetches_since(1, now + 450.0) == 0 && cluster.fetches_since(2, now) >= 2,
         "the duty went to the next"
@@ -272,7 +334,10 @@
     let call = cluster.call(1, "POST", "/v1/evacuation/kita-hall/begin", 0, "");
     cluster.run(2000.0);
     assert_eq!(cluster.status(call), Some(503));
-    assert!(cluster.fetches_since(1, at) > 0, "it reads the list for itself");
+    assert!(
+        cluster.fetches_since(1, at) > 0,
+        "it reads the list for itself"
+    );
     let call = cluster.call(2, "POST", REPLACE, 7, &good(9));
     cluster.run(900.0);
     cluster.note_answer("replace at 2", call);
@@ -307,10 +372,18 @@
         panic!("no answer");
     }
     cluster.run(3000.0);
-    assert_eq!(cluster.fetches_since(1, at), 0, "the duty is another's by now");
+    assert_eq!(
+        cluster.fetches_since(1, at),
+        0,
+        "the duty is another's by now"
+    );
     assert_eq!(cluster.control_node(1).control_state().version(), 9);
     let counts = cluster.control_node(1).upstreams().counts();
-    assert_eq!(counts.get("print"), Some(&(1, 1)), "what was read before the freeze is not in force");
+    assert_eq!(
+        counts.get("print"),
+        Some(&(1, 1)),
+        "what was read before the freeze is not in force"
+    );
 }
 
 #[test]
@@ -339,7 +412,15 @@
     cluster.list = Some(vec![upstream("i-2", false)]);
     let at = cluster.now;
     cluster.run(1300.0);
-    let gone: Vec<usize> = cluster.proxies.values().map(|proxy| proxy.frames.len()).collect();
-    assert_eq!(gone, [1, 1, 1], "one report to each proxy when it is back, and none before");
+    let gone: Vec<usize> = cluster
+        .proxies
+        .values()
+        .map(|proxy| proxy.frames.len())
+        .collect();
+    assert_eq!(
+        gone,
+        [1, 1, 1],
+        "one report to each proxy when it is back, and none before"
+    );
     assert!((1..=3).all(|house| cluster.fetches_since(house, at) < 6));
 }
--- a/crates/sandtrack-control/tests/common/cluster.rs
+++ b/crates/sandtrack-control/tests/common/cluster.rs
@@ -129,7 +129,11 @@
         settings.first_start = first_start;
         let before = self.houses.remove(&number);
         let (life, wal) = before.map_or((1, Vec::new()), |before| (before.life + 1, before.wal));
-        let start = Start { incarnation: number as u64 * 1000 + life, recovered: wal.clone(), disk: true };
+        let start = Start {
+            incarnation: number as u64 * 1000 + life,
+            recovered: wal.clone(),
+            disk: true,
+        };
         let (control_node, effects) = ControlNode::new(settings, start, self.now);
         let house = House {
             control_node: Some(control_node),
@@ -156,7 +160,10 @@
             self.ends.remove(&other);
             if !quiet {
                 let life = self.life(other.0);
-                self.later(WAY, Event::Input(other.0, life, Input::LinkClosed { link: other.1 }));
+                self.later(
+                    WAY,
+                    Event::Input(other.0, life, Input::LinkClosed { link: other.1 }),
+                );
             }
         }
         let names: Vec<String> = self
@@ -216,8 +223,18 @@
 
     /// The evacuated zones as each control node that runs knows them.
     pub fn evacuated(&self) -> Vec<Vec<String>> {
-        let nodes = self.houses.values().filter_map(|house| house.control_node.as_ref());
-        nodes.map(|node| node.control_state().evacuated().map(str::to_owned).collect()).collect()
+        let nodes = self
+            .houses
+            .values()
+            .filter_map(|house| house.control_node.as_ref());
+        nodes
+            .map(|node| {
+                node.control_state()
+                    .evacuated()
+                    .map(str::to_owned)
+                    .collect()
+            })
+            .collect()
     }
 
     /// An order that is sent again until it is acknowledged, as operators do; to the given control nodes in turn.
@@ -240,7 +257,9 @@
     }
 
     pub fn is_up(&self, number: usize) -> bool {
-        self.houses.get(&number).is_some_and(|house| house.control_node.is_some())
+        self.houses
+            .get(&number)
+            .is_some_and(|house| house.control_node.is_some())
     }
 
     pub fn has_exited(&self, number: usize) -> bool {
@@ -249,11 +268,16 @@
 
     /// When a control node called the platform since `at`, in count.
     pub fn fetches_since(&self, number: usize, at: f64) -> usize {
-        self.houses.get(&number).map_or(0, |house| house.fetches.iter().filter(|made| **made >= at).count())
+        self.houses.get(&number).map_or(0, |house| {
+            house.fetches.iter().filter(|made| **made >= at).count()
+        })
     }
 
     pub fn control_node(&mut self, number: usize) -> &mut ControlNode {
-        let house = self.houses.get_mut(&number).and_then(|house| house.control_node.as_mut());
+        let house = self
+            .houses
+            .get_mut(&number)
+            .and_then(|house| house.control_node.as_mut());
         house.expect("a control node that runs")
     }
 
@@ -263,13 +287,18 @@
 
     fn later(&mut self, ms: f64, event: Event) {
         self.order += 1;
-        self.events.insert((((self.now + ms) * 1000.0) as u64, self.order), event);
+        self.events
+            .insert((((self.now + ms) * 1000.0) as u64, self.order), event);
     }
 
     fn input(&mut self, number: usize, input: Input) {
         let now = self.now;
-        let Some(house) = self.houses.get_mut(&number) else { return };
-        let Some(control_node) = house.control_node.as_mut() else { return };
+        let Some(house) = self.houses.get_mut(&number) else {
+            return;
+        };
+        let Some(control_node) = house.control_node.as_mut() else {
+            return;
+        };
         let mut effects = Vec::new();
         control_node.handle(now, input, &mut effects);
         self.perform(number, effects);
@@ -287,7 +316,9 @@
                 Effect::Link(order) => self.link_order(number, order),
                 Effect::Session(SessionOrder::Send { session, bytes }) => {
                     let mut at = 0;
-                    while let Some((frame, length)) = frames::take::<ToProxy>(&bytes[at..]).expect("frames") {
+                    while let Some((frame, length)) =
+                        frames::take::<ToProxy>(&bytes[at..]).expect("frames")
+                    {
                         at += length;
                         if let Some(name) = self.proxy_of(number, session) {
                             self.later(WAY, Event::ToProxy(name, session, Some(frame)));
@@ -316,7 +347,10 @@
                         house.fetches.push(self.now);
                     }
                     let call = match &self.list {
-                        Some(list) => Call::Page(Page { entries: list.clone(), next_token: None }),
+                        Some(list) => Call::Page(Page {
+                            entries: list.clone(),
+                            next_token: None,
+                        }),
                         None => Call::Failed("down".to_owned()),
                     };
                     self.later(PLATFORM, Event::Input(number, life, Input::Called(call)));
@@ -335,11 +369,22 @@
         let life = self.life(number);
         match order {
             LinkOrder::Dial { link, address } => {
-                let to: usize = address.split('.').nth(1).and_then(|part| part.parse().ok()).unwrap_or(0);
+                let to: usize = address
+                    .split('.')
+                    .nth(1)
+                    .and_then(|part| part.parse().ok())
+                    .unwrap_or(0);
                 if self.cut.contains(&(number, to)) {
                     // Nothing is heard of it; the dialing end gives up by itself.
                 } else if self.is_up(to) {
-                    self.later(2.0 * WAY, Event::Accept { from: number, link, to });
+                    self.later(
+                        2.0 * WAY,
+                        Event::Accept {
+                            from: number,
+                            link,
+                            to,
+                        },
+                    );
                 } else {
                     self.later(WAY, Event::Input(number, life, Input::LinkClosed { link }));
                 }
@@ -360,11 +405,15 @@
                     if !self.cut.contains(&(number, to)) {
                         // As it goes over the wire.
                         let bytes = frames::frame(&frame);
-                        let (frame, _) =
-                            frames::take::<PeerFrame>(&bytes).expect("a frame").expect("a whole frame");
+                        let (frame, _) = frames::take::<PeerFrame>(&bytes)
+                            .expect("a frame")
+                            .expect("a whole frame");
                         let life = self.life(to);
                         let ms = WAY + self.slow.get(&(number, to)).copied().unwrap_or(0.0);
-                        self.later(ms, Event::Input(to, life, Input::LinkFrame { link: end, frame }));
+                        self.later(
+                            ms,
+                            Event::Input(to, life, Input::LinkFrame { link: end, frame }),
+                        );
                     }
                 }
             }
@@ -382,14 +431,18 @@
 
     /// A message begins with the epoch of its sender.
     fn note_epoch(&mut self, number: usize, said: &str) {
-        let named = said.strip_prefix('e').and_then(|rest| rest.split(' ').next());
+        let named = said
+            .strip_prefix('e')
+            .and_then(|rest| rest.split(' ').next());
         if let Some(epoch) = named.and_then(|epoch| epoch.parse().ok()) {
             self.epochs.insert(number, epoch);
         }
     }
 
     fn is_lost(&self, from: usize, to: usize, said: &str) -> bool {
-        self.lost_words.iter().any(|lost| (lost.0, lost.1) == (from, to) && said.contains(lost.2))
+        self.lost_words
+            .iter()
+            .any(|lost| (lost.0, lost.1) == (from, to) && said.contains(lost.2))
     }
 
     /// Runs until the replica of a house names an epoch, for at most `ms`; whether it does.
@@ -404,7 +457,9 @@
     /// Runs until a replica says these words to another, for at most `ms`; whether it does.
     pub fn run_until_said(&mut self, from: usize, to: usize, words: &str, ms: f64) -> bool {
         let until = self.now + ms;
-        let is_it = |said: &(usize, usize, String)| (said.0, said.1) == (from, to) && said.2.contains(words);
+        let is_it = |said: &(usize, usize, String)| {
+            (said.0, said.1) == (from, to) && said.2.contains(words)
+        };
         while self.now < until && !self.said.iter().any(is_it) {
             self.run(1.0);
         }
@@ -414,7 +469,10 @@
     fn proxy_of(&self, house: usize, session: u64) -> Option<String> {
         let life = self.life(house);
         let mine = |proxy: &&Proxy| proxy.house == house && proxy.session == Some((life, session));
-        self.proxies.values().find(mine).map(|proxy| proxy.info.node_name.clone())
+        self.proxies
+            .values()
+            .find(mine)
+            .map(|proxy| proxy.info.node_name.clone())
     }
 
     /// A proxy opens a session with a control node; it may have had another before, which then ends.
@@ -430,7 +488,10 @@
             region: region.to_owned(),
             front: format!("{name}:8161"),
         };
-        let state = ProxyState { ready: true, ..ProxyState::default() };
+        let state = ProxyState {
+            ready: true,
+            ..ProxyState::default()
+        };
         let before = self.proxies.remove(name);
         let state = before.map_or(state, |before| before.state);
         let proxy = Proxy {
@@ -443,16 +504,25 @@
             attached: None,
         };
         self.proxies.insert(name.to_owned(), proxy);
-        let hello = ToControl::Hello { format: frames::FORMAT, info, state };
+        let hello = ToControl::Hello {
+            format: frames::FORMAT,
+            info,
+            state,
+        };
         self.later(WAY, Event::Proxy(name.to_owned(), Some(hello)));
     }
 
     /// The proxy ends its session.
     pub fn disconnect(&mut self, name: &str) {
-        let Some(proxy) = self.proxies.get_mut(name) else { return };
+        let Some(proxy) = self.proxies.get_mut(name) else {
+            return;
+        };
         if let Some((life, session)) = proxy.session.take() {
             let house = proxy.house;
-            self.later(WAY, Event::Input(house, life, Input::SessionClosed { session }));
+            self.later(
+                WAY,
+                Event::Input(house, life, Input::SessionClosed { session }),
+            );
         }
     }
 
@@ -461,12 +531,22 @@
         if let Some(proxy) = self.proxies.get_mut(name) {
             change(&mut proxy.state);
             let state = proxy.state.clone();
-            self.later(0.0, Event::Proxy(name.to_owned(), Some(ToControl::State(state))));
+            self.later(
+                0.0,
+                Event::Proxy(name.to_owned(), Some(ToControl::State(state))),
+            );
         }
     }
 
     /// A caller's call to a control node; its number, for the answer.
-    pub fn call(&mut self, house: usize, method: &str, target: &str, based_on: u64, body: &str) -> u64 {
+    pub fn call(
+        &mut self,
+        house: usize,
+        method: &str,
+        target: &str,
+        based_on: u64,
+        body: &str,
+    ) -> u64 {
         self.next_call += 1;
         let number = self.next_call;
         self.answers.insert(number, (self.now, None));
@@ -477,7 +557,10 @@
             let arrival = Arrival::at(self.now);
             let call = self.control_node(house).call_begun(arrival);
             self.calls.insert((house, life, call), number);
-            self.later(WAY, Event::Input(house, life, Input::Call { call, message }));
+            self.later(
+                WAY,
+                Event::Input(house, life, Input::Call { call, message }),
+            );
         }
         number
     }
@@ -497,7 +580,9 @@
     pub fn resolve(&mut self, house: usize, zone: &str) -> String {
         let now = self.now;
         let target = format!("/v1/resolution?name=x&zone={zone}&region=ishikari");
-        let reply = self.control_node(house).resolve(now, &message("GET", &target, &[], "").head);
+        let reply = self
+            .control_node(house)
+            .resolve(now, &message("GET", &target, &[], "").head);
         format!("{} {}", reply.status, reply.body)
     }
 
@@ -525,7 +610,9 @@
                 })
                 .map(|(number, _)| *number)
                 .collect();
-            ready.into_iter().for_each(|number| self.input(number, Input::Tick));
+            ready
+                .into_iter()
+                .for_each(|number| self.input(number, Input::Tick));
             while let Some(entry) = self.events.first_entry() {
                 if entry.key().0 as f64 / 1000.0 > self.now {
                     break;
@@ -557,11 +644,18 @@
                 self.ends.insert((to, end), (from, link));
                 let lives = (self.life(from), self.life(to));
                 self.later(0.0, Event::Input(from, lives.0, Input::LinkOpened { link }));
-                self.later(0.0, Event::Input(to, lives.1, Input::LinkOpened { link: end }));
+                self.later(
+                    0.0,
+                    Event::Input(to, lives.1, Input::LinkOpened { link: end }),
+                );
             }
             Event::Proxy(name, frame) => {
-                let Some(proxy) = self.proxies.get(&name) else { return };
-                let Some((life, session)) = proxy.session else { return };
+                let Some(proxy) = self.proxies.get(&name) else {
+                    return;
+                };
+                let Some((life, session)) = proxy.session else {
+                    return;
+                };
                 let house = proxy.house;
                 let input = match frame {
                     Some(frame) => Input::SessionFrame { session, frame },
@@ -570,15 +664,17 @@
                 self.later(0.0, Event::Input(house, life, input));
             }
             Event::ToProxy(name, session, frame) => {
-                let Some(proxy) = self.proxies.get_mut(&name) else { return };
+                let Some(proxy) = self.proxies.get_mut(&name) else {
+                    return;
+                };
                 if proxy.session.is_none_or(|(_, mine)| mine != session) {
                     return;
                 }
                 match frame {
                     Some(ToProxy::Beat { attached }) => proxy.attached = Some(attached),
                     Some(frame) => {
-                        if let ToProxy::Configuration { version, .. } | ToProxy::Changes { version, .. } =
-                            &frame
+                        if let ToProxy::Configuration { version, .. }
+                        | ToProxy::Changes { version, .. } = &frame
                         {
                             proxy.state.version = *version;
                         }
@@ -625,8 +721,11 @@
     pub fn note_answer(&mut self, what: &str, call: u64) {
         let line = match self.answer(call) {
             Some((after, reply)) => {
-                let late =
-                    if after > 1000.0 { format!(" after {after:.0} ms: too late") } else { String::new() };
+                let late = if after > 1000.0 {
+                    format!(" after {after:.0} ms: too late")
+                } else {
+                    String::new()
+                };
                 format!("{what} -> {} {}{late}", reply.status, reply.body)
             }
             None => format!("{what} -> silence"),
@@ -643,13 +742,30 @@
 /// A frame in words.
 fn told(frame: &ToProxy) -> String {
     match frame {
-        ToProxy::Welcome { control_node, attached, .. } => {
+        ToProxy::Welcome {
+            control_node,
+            attached,
+            ..
+        } => {
             format!("Welcome of {control_node}, attached {attached}")
         }
-        ToProxy::Configuration { number, version, document } => {
-            format!("Configuration {number}, version {version}: {} bytes", document.len())
+        ToProxy::Configuration {
+            number,
+            version,
+            document,
+        } => {
+            format!(
+                "Configuration {number}, version {version}: {} bytes",
+                document.len()
+            )
         }
-        ToProxy::Changes { from_number, number, version, items, fields } => {
+        ToProxy::Changes {
+            from_number,
+            number,
+            version,
+            items,
+            fields,
+        } => {
             let items: Vec<String> = items
                 .iter()
                 .map(|item| {
@@ -661,16 +777,34 @@
             format!("Changes {from_number} to {number}, version {version}: {items:?} {fields:?}")
         }
         ToProxy::Evacuated { number, zones } => format!("Evacuated {number}: {zones:?}"),
-        ToProxy::Upstreams { whole, entries, gone, .. } => {
+        ToProxy::Upstreams {
+            whole,
+            entries,
+            gone,
+            ..
+        } => {
             let entries: Vec<String> = entries
                 .iter()
-                .map(|entry| format!("{}{}", entry.identifier, if entry.draining { " draining" } else { "" }))
+                .map(|entry| {
+                    format!(
+                        "{}{}",
+                        entry.identifier,
+                        if entry.draining { " draining" } else { "" }
+                    )
+                })
                 .collect();
             let whole = if *whole { "whole: " } else { "" };
             format!("Upstreams {whole}{entries:?}, gone {gone:?}")
         }
-        ToProxy::Census { control_nodes, proxies, rank } => {
-            format!("Census: {proxies} proxies, rank {rank}, control nodes {}", control_nodes.join(" "))
+        ToProxy::Census {
+            control_nodes,
+            proxies,
+            rank,
+        } => {
+            format!(
+                "Census: {proxies} proxies, rank {rank}, control nodes {}",
+                control_nodes.join(" ")
+            )
         }
         ToProxy::Beat { attached } => format!("Beat {attached}"),
         ToProxy::PromptsSent(sent) => format!("PromptsSent {sent:?}"),
--- a/crates/sandtrack-control/tests/common/mod.rs
+++ b/crates/sandtrack-control/tests/common/mod.rs
@@ -13,7 +13,9 @@
 /// # Panics
 /// Where they differ.
 pub fn approve(name: &str, transcript: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/transcripts").join(format!("{name}.txt"));
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/transcripts")
+        .join(format!("{name}.txt"));
     if std::env::var_os("APPROVE").is_some() {
         std::fs::write(&path, transcript).expect("the transcript can be written");
         return;
@@ -22,7 +24,11 @@
     for (at, (was, is)) in approved.lines().zip(transcript.lines()).enumerate() {
         assert_eq!(was, is, "{name}, line {}", at + 1);
     }
-    assert_eq!(approved.lines().count(), transcript.lines().count(), "{name}: lines");
+    assert_eq!(
+        approved.lines().count(),
+        transcript.lines().count(),
+        "{name}: lines"
+    );
 }
 
 /// The settings of the control node in the machine `number` (1, 2, ...), each in a zone of its own.
@@ -43,8 +49,11 @@
 }
 
 pub fn route(name: &str, prefix: &str, more: &str) -> String {
-    let basis = r#""kind":"read_only","timeout_ms":8000,"target_latency_ms":500,"priority":0,"attempts":2"#;
-    format!(r#"{{"name":"{name}","host":"ficu95.example","path_prefix":"{prefix}",{basis},{more}}}"#)
+    let basis =
+        r#""kind":"read_only","timeout_ms":8000,"target_latency_ms":500,"priority":0,"attempts":2"#;
+    format!(
+        r#"{{"name":"{name}","host":"ficu95.example","path_prefix":"{prefix}",{basis},{more}}}"#
+    )
 }
 
 pub const SERVICES: &str = r#"[{"name":"print","health_path":"/health","connection_limit":130,"cold_start_s":0.0,"cold_rate_s":0.0},{"name":"lm","health_path":"/health","connection_limit":390,"cold_start_s":3.0,"cold_rate_s":45.0,"engine":{"slots":64,"cache_capacity_tokens":319818,"stride":6}}]"#;
@@ -61,7 +70,10 @@
 
 /// A good configuration of one route.
 pub fn good(version: u64) -> String {
-    configuration(version, &[route("r-print", "/print/", r#""service":"print""#)])
+    configuration(
+        version,
+        &[route("r-print", "/print/", r#""service":"print""#)],
+    )
 }
 
 /// A call as it comes off a connection.
@@ -83,6 +95,9 @@
 /// 503 does not.
 pub fn is_definite(reply: &sandtrack_control::control::Reply) -> bool {
     let is_sent_on = reply.status == 307
-        && reply.location.as_ref().is_some_and(|location| location.contains("/v1/evacuation/"));
+        && reply
+            .location
+            .as_ref()
+            .is_some_and(|location| location.contains("/v1/evacuation/"));
     reply.status != 503 && !is_sent_on
 }
--- a/crates/sandtrack-control/tests/contact.rs
+++ b/crates/sandtrack-control/tests/contact.rs
@@ -8,7 +8,10 @@
 const LATER_INCARNATION: u64 = 6;
 
 fn view(epoch: u64, voters: &[&str]) -> View {
-    let member = |address: &&str| Member { address: (*address).to_owned(), incarnation: INCARNATION };
+    let member = |address: &&str| Member {
+        address: (*address).to_owned(),
+        incarnation: INCARNATION,
+    };
     let voters: Vec<Member> = voters.iter().map(member).collect();
     let zones = vec![String::new(); voters.len()];
     View {
@@ -22,7 +25,10 @@
 }
 
 fn bound_to(bound: u64) -> Testimony {
-    Testimony { incarnation: INCARNATION, bound }
+    Testimony {
+        incarnation: INCARNATION,
+        bound,
+    }
 }
 
 fn says(bound: u64) -> Option<Testimony> {
@@ -41,7 +47,10 @@
     assert!(confirmed(&contact, 1000.0 + LEASE_MS, 1));
     assert!(!confirmed(&contact, 1001.0 + LEASE_MS, 1));
     contact.heard(2000.0, "b", None);
-    assert!(confirmed(&contact, 2100.0, 1), "a beat renews what its replica said");
+    assert!(
+        confirmed(&contact, 2100.0, 1),
+        "a beat renews what its replica said"
+    );
 }
 
 #[test]
@@ -56,9 +65,15 @@
     let mut contact = Contact::default();
     contact.heard(1000.0, "b", says(2));
     assert!(!confirmed(&contact, 1001.0, 1));
-    assert!(confirmed(&contact, 1001.0, 2), "once that view is known here");
+    assert!(
+        confirmed(&contact, 1001.0, 2),
+        "once that view is known here"
+    );
     contact.heard(1002.0, "c", says(1));
-    assert!(confirmed(&contact, 1003.0, 2), "one that is behind confirms too");
+    assert!(
+        confirmed(&contact, 1003.0, 2),
+        "one that is behind confirms too"
+    );
 }
 
 #[test]
@@ -77,7 +92,10 @@
     assert!(!confirmed(&contact, 1500.0, 1));
     contact.heard(1501.0, "b", says(1));
     contact.heard(1502.0, "c", says(1));
-    assert!(!confirmed(&contact, 1502.0, 1), "that may have been said before");
+    assert!(
+        !confirmed(&contact, 1502.0, 1),
+        "that may have been said before"
+    );
     assert!(!confirmed(&contact, 1900.0, 1));
     contact.heard(1900.0, "c", says(1));
     assert!(confirmed(&contact, 1900.0, 1));
@@ -90,7 +108,10 @@
         contact.heard(1000.0, stranger, says(1));
     }
     assert!(!confirmed(&contact, 1001.0, 1));
-    assert!(!contact.is_confirmed(1001.0, ME, bound_to(0), &view(0, &[])), "a view that nobody knows");
+    assert!(
+        !contact.is_confirmed(1001.0, ME, bound_to(0), &view(0, &[])),
+        "a view that nobody knows"
+    );
 }
 
 /// What it accepted may have been decided, whether it heard so or not.
@@ -113,17 +134,36 @@
     contact.heard(1000.0, "b", says(1));
     let view = view(1, &["a", "b", "c"]);
     assert!(contact.is_confirmed(1001.0, ME, bound_to(1), &view));
-    assert!(!contact.is_confirmed(1001.0, ME, bound_to(2), &view), "it accepted a later view");
-    let stranger = Testimony { incarnation: LATER_INCARNATION, bound: 1 };
-    assert!(!contact.is_confirmed(1001.0, ME, stranger, &view), "its disk is not that of the voter");
+    assert!(
+        !contact.is_confirmed(1001.0, ME, bound_to(2), &view),
+        "it accepted a later view"
+    );
+    let stranger = Testimony {
+        incarnation: LATER_INCARNATION,
+        bound: 1,
+    };
+    assert!(
+        !contact.is_confirmed(1001.0, ME, stranger, &view),
+        "its disk is not that of the voter"
+    );
     contact.heard(1002.0, "c", says(1));
-    assert!(contact.is_confirmed(1003.0, ME, bound_to(2), &view), "the others are a majority");
+    assert!(
+        contact.is_confirmed(1003.0, ME, bound_to(2), &view),
+        "the others are a majority"
+    );
 }
 
 /// What it accepted before is forgotten with its disk.
 #[test]
 fn one_that_came_back_with_another_disk_is_no_voter() {
     let mut contact = Contact::default();
-    contact.heard(1000.0, "b", Some(Testimony { incarnation: LATER_INCARNATION, bound: 0 }));
+    contact.heard(
+        1000.0,
+        "b",
+        Some(Testimony {
+            incarnation: LATER_INCARNATION,
+            bound: 0,
+        }),
+    );
     assert!(!confirmed(&contact, 1001.0, 1));
 }
--- a/crates/sandtrack-control/tests/cut_off.rs
+++ b/crates/sandtrack-control/tests/cut_off.rs
@@ -21,7 +21,9 @@
 
 /// The version that an answer of 412 names.
 fn current_told(cluster: &Cluster, call: u64) -> Option<u64> {
-    let (_, reply) = cluster.answer(call).filter(|(_, reply)| reply.status == 412)?;
+    let (_, reply) = cluster
+        .answer(call)
+        .filter(|(_, reply)| reply.status == 412)?;
     let after = reply.body.split("current ").nth(1)?;
     after.split('"').next()?.parse().ok()
 }
@@ -61,7 +63,11 @@
             version = current;
         } else {
             // What is not acknowledged in time may be taken later; the operator sends it again.
-            assert!(at < REPAIRED_MS, "{case}: after {at} ms {other} answers {:?}", cluster.answer(there));
+            assert!(
+                at < REPAIRED_MS,
+                "{case}: after {at} ms {other} answers {:?}",
+                cluster.answer(there)
+            );
         }
         if at > 0.0 {
             cluster.run(900.0 - CALL_EVERY_MS);
@@ -80,7 +86,12 @@
     let order = cluster.call(one, "POST", REPLACE, version, &good(version + 1));
     cluster.run(500.0);
     let newest = format!("\"version_number\":{version}");
-    assert!(cluster.answer(read).is_some_and(|(_, reply)| reply.body.contains(&newest)), "{case}");
+    assert!(
+        cluster
+            .answer(read)
+            .is_some_and(|(_, reply)| reply.body.contains(&newest)),
+        "{case}"
+    );
     assert_eq!(cluster.status(order), Some(200), "{case}: afterwards");
 }
 
--- a/crates/sandtrack-control/tests/definite_answers.rs
+++ b/crates/sandtrack-control/tests/definite_answers.rs
@@ -29,10 +29,22 @@
     let update = r#"{"version_number":5,"remove_names":{"routes":["r-none"]}}"#;
     vec![
         ("no such zone", cluster.call(house, "POST", NOWHERE, 0, "")),
-        ("another version is current", cluster.call(house, "POST", REPLACE, 3, &good(9))),
-        ("a version not above", cluster.call(house, "POST", REPLACE, 7, &good(5))),
-        ("an update not above", cluster.call(house, "POST", UPDATE, 7, update)),
-        ("nothing known is taken away", cluster.call(house, "POST", UPDATE, 6, update)),
+        (
+            "another version is current",
+            cluster.call(house, "POST", REPLACE, 3, &good(9)),
+        ),
+        (
+            "a version not above",
+            cluster.call(house, "POST", REPLACE, 7, &good(5)),
+        ),
+        (
+            "an update not above",
+            cluster.call(house, "POST", UPDATE, 7, update),
+        ),
+        (
+            "nothing known is taken away",
+            cluster.call(house, "POST", UPDATE, 6, update),
+        ),
     ]
 }
 
@@ -60,7 +72,10 @@
     for house in 1..=4 {
         let calls = refused_by_state(&mut cluster, house);
         cluster.run(300.0);
-        let statuses: Vec<u16> = calls.iter().map(|(_, call)| answer(&cluster, *call).0).collect();
+        let statuses: Vec<u16> = calls
+            .iter()
+            .map(|(_, call)| answer(&cluster, *call).0)
+            .collect();
         assert_eq!(statuses, [404, 412, 400, 400, 412], "at {house}");
     }
 }
@@ -69,7 +84,9 @@
 fn without_a_majority_only_malformed_calls_get_a_definite_answer() {
     for alone in 1..=4 {
         let mut cluster = settled();
-        (1..=4).filter(|house| *house != alone).for_each(|house| cluster.cut(alone, house, true));
+        (1..=4)
+            .filter(|house| *house != alone)
+            .for_each(|house| cluster.cut(alone, house, true));
         for after in [0.0, 500.0, 3000.0] {
             cluster.run(after);
             let calls = refused_by_state(&mut cluster, alone);
@@ -77,7 +94,11 @@
             let read = cluster.call(alone, "GET", READ, 0, "");
             cluster.run(1000.0);
             for (what, call) in calls.into_iter().chain([("read", read)]) {
-                assert_eq!(answer(&cluster, call).0, 503, "{alone} after {after}: {what}");
+                assert_eq!(
+                    answer(&cluster, call).0,
+                    503,
+                    "{alone} after {after}: {what}"
+                );
             }
             for (status, call) in malformed {
                 assert_eq!(answer(&cluster, call).0, status, "{alone} after {after}");
@@ -145,49 +166,86 @@
 /// Whatever is cut or stands still: an answer to a read is not older than what was acknowledged before it was asked for.
 #[test]
 fn a_read_is_never_older_than_what_was_acknowledged_before_it() {
-    let pairs: Vec<(usize, usize)> =
-        (1..=3).flat_map(|from| (1..=3).map(move |to| (from, to))).filter(|(from, to)| from != to).collect();
+    let pairs: Vec<(usize, usize)> = (1..=3)
+        .flat_map(|from| (1..=3).map(move |to| (from, to)))
+        .filter(|(from, to)| from != to)
+        .collect();
     let mut troubles: Vec<Vec<(usize, usize)>> = pairs.iter().map(|pair| vec![*pair]).collect();
     for one in 1..=3 {
-        troubles.push(pairs.iter().copied().filter(|(from, _)| *from == one).collect());
+        troubles.push(
+            pairs
+                .iter()
+                .copied()
+                .filter(|(from, _)| *from == one)
+                .collect(),
+        );
         troubles.push(pairs.iter().copied().filter(|(_, to)| *to == one).collect());
-        troubles.push(pairs.iter().copied().filter(|(from, to)| *from == one || *to == one).collect());
+        troubles.push(
+            pairs
+                .iter()
+                .copied()
+                .filter(|(from, to)| *from == one || *to == one)
+                .collect(),
+        );
     }
     let mut answered = 0;
     for (at, trouble) in troubles.iter().enumerate() {
         for frozen in [None, Some(at % 3 + 1)] {
             let mut cluster = settled();
-            trouble.iter().for_each(|(from, to)| cluster.cut_one_way(*from, *to, true));
-            frozen.into_iter().for_each(|house| cluster.freeze(house, true));
+            trouble
+                .iter()
+                .for_each(|(from, to)| cluster.cut_one_way(*from, *to, true));
+            frozen
+                .into_iter()
+                .for_each(|house| cluster.freeze(house, true));
             let (mut acknowledged, mut reads) = (7, Vec::new());
             for version in 8..14 {
                 let orders: Vec<u64> = (1..=3)
                     .map(|house| cluster.call(house, "POST", REPLACE, acknowledged, &good(version)))
                     .collect();
                 for _ in 0..9 {
-                    reads
-                        .extend((1..=4).map(|house| (acknowledged, cluster.call(house, "GET", READ, 0, ""))));
+                    reads.extend(
+                        (1..=4)
+                            .map(|house| (acknowledged, cluster.call(house, "GET", READ, 0, ""))),
+                    );
                     cluster.run(110.0);
-                    let taken =
-                        |call: &u64| cluster.answer(*call).is_some_and(|(_, reply)| reply.status == 200);
+                    let taken = |call: &u64| {
+                        cluster
+                            .answer(*call)
+                            .is_some_and(|(_, reply)| reply.status == 200)
+                    };
                     if orders.iter().any(taken) {
                         acknowledged = version;
                     }
                 }
                 if version == 11 {
-                    frozen.into_iter().for_each(|house| cluster.freeze(house, false));
-                    trouble.iter().for_each(|(from, to)| cluster.cut_one_way(*from, *to, false));
+                    frozen
+                        .into_iter()
+                        .for_each(|house| cluster.freeze(house, false));
+                    trouble
+                        .iter()
+                        .for_each(|(from, to)| cluster.cut_one_way(*from, *to, false));
                 }
             }
             cluster.run(1500.0);
             for (floor, read) in reads {
-                let Some((_, reply)) = cluster.answer(read).filter(|(_, reply)| reply.status == 200) else {
+                let Some((_, reply)) = cluster
+                    .answer(read)
+                    .filter(|(_, reply)| reply.status == 200)
+                else {
                     continue;
                 };
                 answered += 1;
-                let old =
-                    (7..floor).any(|version| reply.body.contains(&format!("\"version_number\":{version},")));
-                assert!(!old, "{trouble:?}, {frozen:?} frozen: older than {floor}: {}", reply.body);
+                let old = (7..floor).any(|version| {
+                    reply
+                        .body
+                        .contains(&format!("\"version_number\":{version},"))
+                });
+                assert!(
+                    !old,
+                    "{trouble:?}, {frozen:?} frozen: older than {floor}: {}",
+                    reply.body
+                );
             }
         }
     }
--- a/crates/sandtrack-control/tests/detached.rs
+++ b/crates/sandtrack-control/tests/detached.rs
@@ -37,12 +37,17 @@
         ToProxy::Configuration { version, .. } | ToProxy::Changes { version, .. } => Some(*version),
         _ => None,
     };
-    let evacuated = frames.iter().any(|frame| matches!(frame, ToProxy::Evacuated { .. }));
+    let evacuated = frames
+        .iter()
+        .any(|frame| matches!(frame, ToProxy::Evacuated { .. }));
     (frames.iter().filter_map(version).collect(), evacuated)
 }
 
 fn listed(cluster: &Cluster, name: &str) -> bool {
-    cluster.proxies[name].frames.iter().any(|frame| matches!(frame, ToProxy::Upstreams { .. }))
+    cluster.proxies[name]
+        .frames
+        .iter()
+        .any(|frame| matches!(frame, ToProxy::Upstreams { .. }))
 }
 
 #[test]
@@ -54,11 +59,22 @@
     cluster.run(3000.0);
     cluster.connect("c-new", "odori-hall", "ishikari", 1);
     cluster.run(4000.0);
-    assert_eq!(told(&cluster, "c-new"), (vec![], false), "nothing old, nothing at all");
-    assert!(listed(&cluster, "c-new"), "the list of upstreams it is told");
+    assert_eq!(
+        told(&cluster, "c-new"),
+        (vec![], false),
+        "nothing old, nothing at all"
+    );
+    assert!(
+        listed(&cluster, "c-new"),
+        "the list of upstreams it is told"
+    );
     isolate(&mut cluster, 1, false);
     cluster.run(2500.0);
-    assert_eq!(told(&cluster, "c-new"), (vec![9], true), "the newest, at once when it is known");
+    assert_eq!(
+        told(&cluster, "c-new"),
+        (vec![9], true),
+        "the newest, at once when it is known"
+    );
 }
 
 #[test]
@@ -82,7 +98,11 @@
         cluster.run(after);
         cluster.connect("c-new", "odori-hall", "ishikari", 1);
         cluster.run(3000.0);
-        assert_eq!(told(&cluster, "c-new"), (vec![9], true), "session {after} ms after the start");
+        assert_eq!(
+            told(&cluster, "c-new"),
+            (vec![9], true),
+            "session {after} ms after the start"
+        );
     }
 }
 
@@ -97,7 +117,11 @@
         cluster.run(after);
         cluster.connect("c-new", "odori-hall", "ishikari", 1);
         cluster.run(3000.0);
-        assert_eq!(told(&cluster, "c-new"), (vec![9], true), "session {after} ms after it woke");
+        assert_eq!(
+            told(&cluster, "c-new"),
+            (vec![9], true),
+            "session {after} ms after it woke"
+        );
     }
 }
 
@@ -124,8 +148,14 @@
     isolate(&mut cluster, 1, true);
     cluster.run(6000.0);
     let answer = cluster.resolve(1, "odori-hall");
-    assert!(answer.starts_with("200") && answer.contains("c-odori:8161"), "{answer}");
-    assert!(!answer.contains("c-asahi"), "of those elsewhere nothing is known any more: {answer}");
+    assert!(
+        answer.starts_with("200") && answer.contains("c-odori:8161"),
+        "{answer}"
+    );
+    assert!(
+        !answer.contains("c-asahi"),
+        "of those elsewhere nothing is known any more: {answer}"
+    );
 }
 
 /// Shares of what holds over all proxies stay as small as they were: one that is cut off, or was frozen, never shares out
@@ -138,18 +168,27 @@
         cluster.connect("c-asahi", "asahi-hall", "kamikawa", 2);
         cluster.connect("c-kita", "kita-hall", "ishikari", 3);
         cluster.run(3000.0);
-        cluster.proxies.values_mut().for_each(|proxy| proxy.frames.clear());
+        cluster
+            .proxies
+            .values_mut()
+            .for_each(|proxy| proxy.frames.clear());
         isolate(&mut cluster, 1, true);
         cluster.freeze(1, frozen);
         cluster.run(5000.0);
         cluster.freeze(1, false);
         cluster.run(5000.0);
-        let counts = cluster.proxies["c-odori"].frames.iter().filter_map(|frame| match frame {
-            ToProxy::Census { proxies, .. } => Some(*proxies),
-            _ => None,
-        });
+        let counts = cluster.proxies["c-odori"]
+            .frames
+            .iter()
+            .filter_map(|frame| match frame {
+                ToProxy::Census { proxies, .. } => Some(*proxies),
+                _ => None,
+            });
         let counts: Vec<u32> = counts.collect();
-        assert!(counts.iter().all(|count| *count == 3), "frozen {frozen}: {counts:?}");
+        assert!(
+            counts.iter().all(|count| *count == 3),
+            "frozen {frozen}: {counts:?}"
+        );
     }
 }
 
@@ -157,7 +196,9 @@
 #[test]
 fn the_list_of_a_holder_that_was_frozen_is_not_taken() {
     let mut cluster = settled();
-    let holder = (1..=3).max_by_key(|house| cluster.fetches_since(*house, 0.0)).expect("one that reads");
+    let holder = (1..=3)
+        .max_by_key(|house| cluster.fetches_since(*house, 0.0))
+        .expect("one that reads");
     cluster.freeze(holder, true);
     cluster.run(3000.0);
     cluster.list = Some(vec![upstream("i-1", true)]);
@@ -168,8 +209,16 @@
         cluster.run(50.0);
         for house in (1..=3).filter(|house| *house != holder) {
             let counts = cluster.control_node(house).upstreams().counts();
-            assert_eq!(counts.get("print"), Some(&(1, 1)), "the draining one stays draining at {house}");
+            assert_eq!(
+                counts.get("print"),
+                Some(&(1, 1)),
+                "the draining one stays draining at {house}"
+            );
         }
     }
-    assert_eq!(cluster.fetches_since(holder, at), 0, "and it calls the platform no more");
+    assert_eq!(
+        cluster.fetches_since(holder, at),
+        0,
+        "and it calls the platform no more"
+    );
 }
--- a/crates/sandtrack-control/tests/directory.rs
+++ b/crates/sandtrack-control/tests/directory.rs
@@ -17,16 +17,38 @@
 }
 
 fn member(name: &str, zone: &str, state: ProxyState) -> Member {
-    Member { info: proxy(name, zone, "ishikari"), state }
+    Member {
+        info: proxy(name, zone, "ishikari"),
+        state,
+    }
 }
 
-const READY: ProxyState = ProxyState { ready: true, leaving: false, version: 7, open: 0 };
-const LEAVING: ProxyState = ProxyState { ready: true, leaving: true, version: 7, open: 0 };
-const STARTING: ProxyState = ProxyState { ready: false, leaving: false, version: 0, open: 0 };
+const READY: ProxyState = ProxyState {
+    ready: true,
+    leaving: false,
+    version: 7,
+    open: 0,
+};
+const LEAVING: ProxyState = ProxyState {
+    ready: true,
+    leaving: true,
+    version: 7,
+    open: 0,
+};
+const STARTING: ProxyState = ProxyState {
+    ready: false,
+    leaving: false,
+    version: 0,
+    open: 0,
+};
 
 #[test]
 fn clients_are_sent_to_their_zone_while_enough_of_it_is_there() {
-    let zones = [("odori", "ishikari"), ("kita", "ishikari"), ("asahi", "kamikawa")];
+    let zones = [
+        ("odori", "ishikari"),
+        ("kita", "ishikari"),
+        ("asahi", "kamikawa"),
+    ];
     let all: Vec<ProxyInfo> = zones
         .iter()
         .flat_map(|(zone, region)| {
@@ -36,9 +58,14 @@
         .collect();
     let mut transcript = String::new();
     let mut ask = |what: &str, gone: &[&str], zone: &str, region: &str| {
-        let ready: Vec<&ProxyInfo> =
-            all.iter().filter(|info| !gone.iter().any(|gone| info.node_name.starts_with(gone))).collect();
-        let place = Place { zone: zone.to_owned(), region: region.to_owned() };
+        let ready: Vec<&ProxyInfo> = all
+            .iter()
+            .filter(|info| !gone.iter().any(|gone| info.node_name.starts_with(gone)))
+            .collect();
+        let place = Place {
+            zone: zone.to_owned(),
+            region: region.to_owned(),
+        };
         let reply = reply(&choose(&place, &ready, 3, 2, 1));
         transcript.push_str(&format!(
             "# {what}\n{zone}, {region}, without {gone:?}\n-> {} {}\n\n",
@@ -46,14 +73,24 @@
         ));
     };
     ask("its own zone", &[], "odori", "ishikari");
-    ask("half of the zone is left", &["odori-1", "odori-2"], "odori", "ishikari");
+    ask(
+        "half of the zone is left",
+        &["odori-1", "odori-2"],
+        "odori",
+        "ishikari",
+    );
     ask(
         "too little of the zone is left: its region",
         &["odori-1", "odori-2", "odori-3"],
         "odori",
         "ishikari",
     );
-    ask("the zone is lost: its region", &["odori"], "odori", "ishikari");
+    ask(
+        "the zone is lost: its region",
+        &["odori"],
+        "odori",
+        "ishikari",
+    );
     ask("the region is lost: all", &["asahi"], "asahi", "kamikawa");
     ask(
         "too little of the region is left: all",
@@ -61,10 +98,17 @@
         "odori",
         "ishikari",
     );
-    ask("an unknown zone of a known region", &[], "minami", "ishikari");
+    ask(
+        "an unknown zone of a known region",
+        &[],
+        "minami",
+        "ishikari",
+    );
     ask("a place that is not known", &[], "", "");
-    let but_one =
-        ["odori", "kita", "asahi-2", "asahi-3", "asahi-4", "asahi-5", "asahi-6", "asahi-7", "asahi-8"];
+    let but_one = [
+        "odori", "kita", "asahi-2", "asahi-3", "asahi-4", "asahi-5", "asahi-6", "asahi-7",
+        "asahi-8",
+    ];
     ask("the last one", &but_one, "odori", "ishikari");
     ask("nobody", &["odori", "kita", "asahi"], "odori", "ishikari");
     approve("directory-choices", &transcript);
@@ -72,29 +116,48 @@
 
 #[test]
 fn where_there_are_many_each_answer_begins_elsewhere() {
-    let all: Vec<ProxyInfo> = (0..100).map(|at| proxy(&format!("c{at:03}"), "odori", "ishikari")).collect();
+    let all: Vec<ProxyInfo> = (0..100)
+        .map(|at| proxy(&format!("c{at:03}"), "odori", "ishikari"))
+        .collect();
     let ready: Vec<&ProxyInfo> = all.iter().collect();
-    let place = Place { zone: "odori".to_owned(), region: "ishikari".to_owned() };
+    let place = Place {
+        zone: "odori".to_owned(),
+        region: "ishikari".to_owned(),
+    };
     let mut told = std::collections::BTreeMap::new();
     for turn in 0..100 {
         let chosen = choose(&place, &ready, 1, 1, turn);
         assert_eq!(chosen.len(), 64);
-        chosen.into_iter().for_each(|address| *told.entry(address.to_owned()).or_insert(0) += 1);
+        chosen
+            .into_iter()
+            .for_each(|address| *told.entry(address.to_owned()).or_insert(0) += 1);
     }
     assert_eq!(told.len(), 100);
-    assert!(told.values().all(|count| (60..=68).contains(count)), "all about as often: {told:?}");
+    assert!(
+        told.values().all(|count| (60..=68).contains(count)),
+        "all about as often: {told:?}"
+    );
 }
 
 #[test]
 fn a_call_names_its_place_or_is_answered_all_the_same() {
     let decoded = |target: &str| decode(&message("GET", target, &[], "").head);
-    let place =
-        decoded("/v1/resolution?name=ficu95.example&region=ishikari&zone=odori%2Dhall").expect("a place");
-    assert_eq!(place, Place { zone: "odori-hall".to_owned(), region: "ishikari".to_owned() });
+    let place = decoded("/v1/resolution?name=ficu95.example&region=ishikari&zone=odori%2Dhall")
+        .expect("a place");
+    assert_eq!(
+        place,
+        Place {
+            zone: "odori-hall".to_owned(),
+            region: "ishikari".to_owned()
+        }
+    );
     assert_eq!(decoded("/v1/resolution"), Ok(Place::default()));
     assert_eq!(
         decoded("/v1/resolution?zone=%zz&region&name="),
-        Ok(Place { zone: "%zz".to_owned(), region: String::new() })
+        Ok(Place {
+            zone: "%zz".to_owned(),
+            region: String::new()
+        })
     );
     assert_eq!(decoded("/v1/other").expect_err("no such path").status, 404);
     let post = decode(&message("POST", "/v1/resolution", &[], "").head);
@@ -109,16 +172,37 @@
     }
     membership.set(member("d", "odori", STARTING));
     let ready = |membership: &Membership, now: f64| -> String {
-        membership.ready(now).iter().map(|info| info.node_name.as_str()).collect::<Vec<_>>().join(" ")
+        membership
+            .ready(now)
+            .iter()
+            .map(|info| info.node_name.as_str())
+            .collect::<Vec<_>>()
+            .join(" ")
     };
     assert_eq!(ready(&membership, 0.0), "a b c");
     membership.set(member("a", "odori", LEAVING));
     assert_eq!(ready(&membership, 0.0), "b c");
     membership.gone(0.0, "b", Lost::Broken);
     assert_eq!(ready(&membership, 0.0), "c");
-    membership.told(0.0, "other", true, vec![member("e", "kita", READY), member("a", "odori", READY)], &[]);
-    assert_eq!(ready(&membership, 0.0), "c e", "its own session says more than another's report");
-    membership.told(10.0, "other", false, vec![member("e", "kita", LEAVING)], &[]);
+    membership.told(
+        0.0,
+        "other",
+        true,
+        vec![member("e", "kita", READY), member("a", "odori", READY)],
+        &[],
+    );
+    assert_eq!(
+        ready(&membership, 0.0),
+        "c e",
+        "its own session says more than another's report"
+    );
+    membership.told(
+        10.0,
+        "other",
+        false,
+        vec![member("e", "kita", LEAVING)],
+        &[],
+    );
     assert_eq!(ready(&membership, 10.0), "c");
 }
 
@@ -129,15 +213,27 @@
     membership.told(0.0, "other", true, vec![member("b", "kita", READY)], &[]);
     membership.lost(1000.0, "other");
     let names = |membership: &Membership, now: f64| {
-        let ready: Vec<String> = membership.ready(now).iter().map(|info| info.node_name.clone()).collect();
+        let ready: Vec<String> = membership
+            .ready(now)
+            .iter()
+            .map(|info| info.node_name.clone())
+            .collect();
         (ready.join(" "), membership.members().len())
     };
     assert_eq!(names(&membership, 2000.0), ("a b".to_owned(), 2));
-    assert_eq!(names(&membership, 3000.0), ("a".to_owned(), 2), "still a member, but nobody is sent to it");
+    assert_eq!(
+        names(&membership, 3000.0),
+        ("a".to_owned(), 2),
+        "still a member, but nobody is sent to it"
+    );
     // It was told to stop, and ends: it is counted no more.
     membership.set(member("a", "odori", LEAVING));
     membership.gone(3000.0, "a", Lost::Broken);
-    assert_eq!(names(&membership, 3000.0), ("b".to_owned(), 1), "better than nobody");
+    assert_eq!(
+        names(&membership, 3000.0),
+        ("b".to_owned(), 1),
+        "better than nobody"
+    );
     membership.tick(5000.0);
     assert_eq!(
         names(&membership, 5000.0),
@@ -155,9 +251,18 @@
     let mut membership = Membership::default();
     membership.told(0.0, "one", true, vec![member("a", "odori", READY)], &[]);
     membership.lost(100.0, "one");
-    membership.told(400.0, "two", true, vec![member("a", "odori", STARTING)], &[]);
+    membership.told(
+        400.0,
+        "two",
+        true,
+        vec![member("a", "odori", STARTING)],
+        &[],
+    );
     assert_eq!(membership.members().len(), 1);
-    assert!(membership.ready(500.0).is_empty(), "the later report counts");
+    assert!(
+        membership.ready(500.0).is_empty(),
+        "the later report counts"
+    );
     membership.told(600.0, "one", true, vec![], &[]);
     assert_eq!(membership.members().len(), 1);
 }
@@ -166,7 +271,12 @@
 fn what_is_told_of_sessions_adds_up() {
     let (mut here, mut there) = (Membership::default(), Membership::default());
     let pass = |here: &Membership, there: &mut Membership, place: Option<u64>| {
-        let PeerFrame::Sessions { whole, present, gone } = here.frame_since(place) else {
+        let PeerFrame::Sessions {
+            whole,
+            present,
+            gone,
+        } = here.frame_since(place)
+        else {
             panic!("no sessions")
         };
         there.told(0.0, "here", whole, present, &gone);
@@ -186,11 +296,19 @@
     here.gone(0.0, "c", Lost::Broken);
     place = pass(&here, &mut there, place);
     let ready = |membership: &Membership| membership.ready(0.0).len();
-    assert_eq!(there.members().keys().collect::<Vec<_>>(), [&"a", &"b"], "one that broke off is counted on");
+    assert_eq!(
+        there.members().keys().collect::<Vec<_>>(),
+        [&"a", &"b"],
+        "one that broke off is counted on"
+    );
     assert_eq!((ready(&there), ready(&here)), (1, 1), "and named by nobody");
     here.tick(2500.0);
     place = pass(&here, &mut there, place);
-    assert_eq!(there.members().keys().collect::<Vec<_>>(), [&"b"], "for a while");
+    assert_eq!(
+        there.members().keys().collect::<Vec<_>>(),
+        [&"b"],
+        "for a while"
+    );
     here.gone(3000.0, "b", Lost::Silent);
     here.tick(32_999.0);
     place = pass(&here, &mut there, place);
--- a/crates/sandtrack-control/tests/disk.rs
+++ b/crates/sandtrack-control/tests/disk.rs
@@ -15,7 +15,12 @@
         other => tell.send(other).expect("the test waits"),
     })
     .expect("a thread");
-    orders.try_send(Order::Append { ticket: 1, records: vec![b"record".to_vec()] }).expect("an order");
+    orders
+        .try_send(Order::Append {
+            ticket: 1,
+            records: vec![b"record".to_vec()],
+        })
+        .expect("an order");
     let told = told.recv_timeout(Duration::from_secs(20));
     let _ = std::fs::remove_dir_all(&folder);
     assert_eq!(told, Ok(Done::Unknown), "the process has to start anew");
--- a/crates/sandtrack-control/tests/formats.rs
+++ b/crates/sandtrack-control/tests/formats.rs
@@ -16,7 +16,10 @@
     let mut state = ControlState::default();
     for (number, command) in (1..).zip(&commands) {
         let outcome = borsh::from_slice(&state.apply(number, command)).expect("an outcome");
-        assert!(matches!(outcome, Outcome::Taken { .. }), "{number}: {outcome:?}");
+        assert!(
+            matches!(outcome, Outcome::Taken { .. }),
+            "{number}: {outcome:?}"
+        );
     }
     state
 }
@@ -36,24 +39,42 @@
 fn a_log_and_a_snapshot_of_format_1_give_the_same_state() {
     let states = [replayed(), restored()];
     for state in &states {
-        assert_eq!((state.version(), state.configuration_number(), state.evacuation_number()), (9, 2, 5));
+        assert_eq!(
+            (
+                state.version(),
+                state.configuration_number(),
+                state.evacuation_number()
+            ),
+            (9, 2, 5)
+        );
         assert_eq!(state.evacuated().collect::<Vec<_>>(), ["kita-hall"]);
     }
     assert_eq!(states[0].snapshot(), states[1].snapshot());
     // A snapshot is what it was, and what format 2 adds stands behind it.
-    assert!(states[0].snapshot().starts_with(SNAPSHOT) && states[0].snapshot().len() > SNAPSHOT.len());
+    assert!(
+        states[0].snapshot().starts_with(SNAPSHOT) && states[0].snapshot().len() > SNAPSHOT.len()
+    );
 }
 
 #[test]
 fn orders_of_format_1_are_known_again() {
-    let configure =
-        |form, based_on, body: &str| Command::Configure { form, based_on, body: body.as_bytes().to_vec() };
+    let configure = |form, based_on, body: &str| Command::Configure {
+        form,
+        based_on,
+        body: body.as_bytes().to_vec(),
+    };
     for mut state in [replayed(), restored()] {
         let before = state.snapshot();
         let first = configure(Form::Replace, 0, &good(7));
         assert_eq!(apply(&mut state, 6, &first), Outcome::Taken { version: 7 });
-        assert_eq!(apply(&mut state, 7, &configure(Form::Update, 7, UPDATE)), Outcome::Taken { version: 9 });
-        let old = Command::Update { based_on: 7, body: UPDATE.as_bytes().to_vec() };
+        assert_eq!(
+            apply(&mut state, 7, &configure(Form::Update, 7, UPDATE)),
+            Outcome::Taken { version: 9 }
+        );
+        let old = Command::Update {
+            based_on: 7,
+            body: UPDATE.as_bytes().to_vec(),
+        };
         assert_eq!(apply(&mut state, 8, &old), Outcome::Taken { version: 9 });
         assert_eq!(state.snapshot(), before, "repeats change nothing");
         let other = configure(Form::Replace, 0, &good(8));
@@ -65,7 +86,11 @@
 fn both_formats_go_on_together() {
     let mut states = [replayed(), restored()];
     for state in &mut states {
-        let next = Command::Configure { form: Form::Replace, based_on: 9, body: good(11).into_bytes() };
+        let next = Command::Configure {
+            form: Form::Replace,
+            based_on: 9,
+            body: good(11).into_bytes(),
+        };
         assert_eq!(apply(state, 6, &next), Outcome::Taken { version: 11 });
         // An order of format 1 counts for all zones, as its snapshot does not tell them apart.
         for (number, seen, outcome) in [
@@ -73,17 +98,36 @@
             (8, 5, Outcome::Taken { version: 11 }),
             (9, 8, Outcome::Taken { version: 11 }),
         ] {
-            let command = Command::SetEvacuation { zone: "odori-hall".to_owned(), begin: true, seen };
+            let command = Command::SetEvacuation {
+                zone: "odori-hall".to_owned(),
+                begin: true,
+                seen,
+            };
             assert_eq!(apply(state, number, &command), outcome, "{number}");
         }
-        let late = Command::Replace { based_on: 11, body: good(12).into_bytes() };
+        let late = Command::Replace {
+            based_on: 11,
+            body: good(12).into_bytes(),
+        };
         assert_eq!(apply(state, 10, &late), Outcome::Taken { version: 12 });
-        assert_eq!(apply(state, 11, &next), Outcome::Taken { version: 11 }, "known again");
+        assert_eq!(
+            apply(state, 11, &next),
+            Outcome::Taken { version: 11 },
+            "known again"
+        );
         let mut again = ControlState::default();
         assert!(again.restore(&state.snapshot()));
         assert_eq!(again.snapshot(), state.snapshot());
-        assert_eq!(apply(&mut again, 12, &late), Outcome::Taken { version: 12 }, "known again");
-        assert_eq!(apply(&mut again, 13, &next), Outcome::Taken { version: 11 }, "known again");
+        assert_eq!(
+            apply(&mut again, 12, &late),
+            Outcome::Taken { version: 12 },
+            "known again"
+        );
+        assert_eq!(
+            apply(&mut again, 13, &next),
+            Outcome::Taken { version: 11 },
+            "known again"
+        );
     }
     assert_eq!(states[0].snapshot(), states[1].snapshot());
 }
@@ -94,7 +138,11 @@
     for length in 0..whole.len() {
         let mut state = restored();
         // Cut where format 1 ends, it is one of format 1.
-        assert_eq!(state.restore(&whole[..length]), length == SNAPSHOT.len(), "{length}");
+        assert_eq!(
+            state.restore(&whole[..length]),
+            length == SNAPSHOT.len(),
+            "{length}"
+        );
         assert_eq!(state.version(), 9);
     }
     let mut newer = whole.clone();
--- a/crates/sandtrack-control/tests/guards.rs
+++ b/crates/sandtrack-control/tests/guards.rs
@@ -6,7 +6,9 @@
 use sandtrack_control::arrivals::Arrival;
 use sandtrack_control::control_state::{Command, ControlState, Form, Outcome};
 use sandtrack_control::operator_calls::{Known, OperatorCalls, Step};
-use sandtrack_control::reader::{Call, Claim, Page, PeerReport, Reader, ReaderElection, HOLDER_SILENT_MS};
+use sandtrack_control::reader::{
+    Call, Claim, Page, PeerReport, Reader, ReaderElection, HOLDER_SILENT_MS,
+};
 use sandtrack_control::upstreams::Upstreams;
 use sandtrack_protocol::frames::ToProxy;
 use sandtrack_replication::StateMachine;
@@ -17,7 +19,11 @@
         ToProxy::Census { proxies, .. } => Some(*proxies),
         _ => None,
     };
-    cluster.proxies[name].frames.iter().filter_map(count).collect()
+    cluster.proxies[name]
+        .frames
+        .iter()
+        .filter_map(count)
+        .collect()
 }
 
 /// Right after the start of all, a control node would take the first proxies that come for all that there are.
@@ -34,7 +40,10 @@
 }
 
 fn claim(term: u64, holder: &str) -> Claim {
-    Claim { term, holder: holder.to_owned() }
+    Claim {
+        term,
+        holder: holder.to_owned(),
+    }
 }
 
 /// Whether `b` takes the duty of `a`, which fell silent, when `c` says this.
@@ -48,13 +57,38 @@
 
 #[test]
 fn a_duty_passes_only_with_those_who_miss_the_same_holder() {
-    assert!(takes_over(PeerReport { claim: claim(1, "a"), silent: true }));
-    assert!(!takes_over(PeerReport { claim: claim(1, "a"), silent: false }), "it hears the holder");
-    assert!(!takes_over(PeerReport { claim: claim(2, "c"), silent: true }), "it knows another holder");
+    assert!(takes_over(PeerReport {
+        claim: claim(1, "a"),
+        silent: true
+    }));
+    assert!(
+        !takes_over(PeerReport {
+            claim: claim(1, "a"),
+            silent: false
+        }),
+        "it hears the holder"
+    );
+    assert!(
+        !takes_over(PeerReport {
+            claim: claim(2, "c"),
+            silent: true
+        }),
+        "it knows another holder"
+    );
 }
 
-fn configure(state: &mut ControlState, number: u64, form: Form, based_on: u64, body: &str) -> Outcome {
-    let command = Command::Configure { form, based_on, body: body.as_bytes().to_vec() };
+fn configure(
+    state: &mut ControlState,
+    number: u64,
+    form: Form,
+    based_on: u64,
+    body: &str,
+) -> Outcome {
+    let command = Command::Configure {
+        form,
+        based_on,
+        body: body.as_bytes().to_vec(),
+    };
     let outcome = state.apply(number, &borsh::to_vec(&command).expect("a command"));
     borsh::from_slice(&outcome).expect("an outcome")
 }
@@ -64,10 +98,22 @@
 fn an_order_is_known_again_by_its_kind_and_its_base_too() {
     let mut state = ControlState::default();
     let body = good(7);
-    assert_eq!(configure(&mut state, 1, Form::Replace, 0, &body), Outcome::Taken { version: 7 });
-    assert_eq!(configure(&mut state, 2, Form::Replace, 0, &body), Outcome::Taken { version: 7 });
-    assert_eq!(configure(&mut state, 3, Form::Replace, 5, &body), Outcome::Other { current: 7 });
-    assert!(!matches!(configure(&mut state, 4, Form::Update, 0, &body), Outcome::Taken { .. }));
+    assert_eq!(
+        configure(&mut state, 1, Form::Replace, 0, &body),
+        Outcome::Taken { version: 7 }
+    );
+    assert_eq!(
+        configure(&mut state, 2, Form::Replace, 0, &body),
+        Outcome::Taken { version: 7 }
+    );
+    assert_eq!(
+        configure(&mut state, 3, Form::Replace, 5, &body),
+        Outcome::Other { current: 7 }
+    );
+    assert!(!matches!(
+        configure(&mut state, 4, Form::Update, 0, &body),
+        Outcome::Taken { .. }
+    ));
 }
 
 /// A control node that knows no zone.
@@ -98,11 +144,20 @@
     let mut calls = OperatorCalls::new(0.0);
     (0..20).for_each(|at| drop(calls.look(f64::from(at) * 100.0)));
     calls.look(5000.0);
-    let replace = message("POST", "/v1/configuration/replace", &[("Based-On-Version", "0")], &good(7));
+    let replace = message(
+        "POST",
+        "/v1/configuration/replace",
+        &[("Based-On-Version", "0")],
+        &good(7),
+    );
     for (arrival, is_carried_out) in [(Arrival::at(1890.0), false), (Arrival::at(5001.0), true)] {
         let call = calls.begin(arrival);
         let step = calls.call(5002.0, call, &replace, &NoZone);
-        assert_eq!(matches!(step, Step::Submit { .. }), is_carried_out, "{step:?}");
+        assert_eq!(
+            matches!(step, Step::Submit { .. }),
+            is_carried_out,
+            "{step:?}"
+        );
     }
 }
 
@@ -112,11 +167,17 @@
     let pause_between_pages = |alone: bool| {
         let mut reader = Reader::default();
         assert!(reader.next_page(0.0, alone, 50.0).is_some());
-        let page = Page { next_token: Some("p-2".to_owned()), ..Page::default() };
+        let page = Page {
+            next_token: Some("p-2".to_owned()),
+            ..Page::default()
+        };
         reader.answered(1.0, alone, Call::Page(page), &mut Upstreams::default());
         (0..1000).find(|now| reader.next_page(f64::from(*now), alone, 50.0).is_some())
     };
-    assert_eq!((pause_between_pages(false), pause_between_pages(true)), (Some(34), Some(100)));
+    assert_eq!(
+        (pause_between_pages(false), pause_between_pages(true)),
+        (Some(34), Some(100))
+    );
 }
 
 /// Longer than the members of others are kept: what holds over all proxies is still shared out among as many.
@@ -124,8 +185,9 @@
 fn one_that_is_cut_off_for_long_tells_of_no_fewer_proxies() {
     let mut cluster = Cluster::start(3);
     cluster.run(1000.0);
-    for (house, (name, zone)) in
-        [("c-odori", "odori-hall"), ("c-asahi", "asahi-hall")].into_iter().enumerate()
+    for (house, (name, zone)) in [("c-odori", "odori-hall"), ("c-asahi", "asahi-hall")]
+        .into_iter()
+        .enumerate()
     {
         cluster.connect(name, zone, "ishikari", house + 1);
     }
