--- a/crates/sandtrack-fault-tests/src/soak/judge.rs
+++ b/crates/sandtrack-fault-tests/src/soak/judge.rs
@@ -1,10 +1,12 @@
 //! The verdicts, by what clients, upstreams and operators saw. Pure. Rules with a bound in time bind a machine that was in touch:
 //! nothing was done to it, nor to the core, for `in_touch_ms`.
-use super::records::{Arrival, Change, End, Evacuation, Outcome, Records, Request, Route, Seconds, Span};
+use super::records::{
+    Arrival, Change, End, Evacuation, Outcome, Records, Request, Route, Seconds, Span,
+};
 use super::upstreams::PRINTER;
 use super::{
-    APPLY_S, ATTEMPTS, COLD_MOST, DOWNGRADE_S, DRAIN_S, EVACUATION_S, IN_TOUCH_S, RETRY_RATIO, RETRY_SLACK,
-    RETRY_WINDOW_S, TIMEOUT_S,
+    APPLY_S, ATTEMPTS, COLD_MOST, DOWNGRADE_S, DRAIN_S, EVACUATION_S, IN_TOUCH_S, RETRY_RATIO,
+    RETRY_SLACK, RETRY_WINDOW_S, TIMEOUT_S,
 };
 use crate::system::documents::SERVICE;
 use crate::system::report::Report;
@@ -46,29 +48,62 @@
 
 impl<'a> Seen<'a> {
     pub fn new(
-        requests: &'a [Request], arrivals: &'a [Arrival], changes: &'a [Change],
-        evacuations: &'a [Evacuation], spans: &'a [Span], late_timers: &'a [(Seconds, Seconds)],
+        requests: &'a [Request],
+        arrivals: &'a [Arrival],
+        changes: &'a [Change],
+        evacuations: &'a [Evacuation],
+        spans: &'a [Span],
+        late_timers: &'a [(Seconds, Seconds)],
     ) -> Seen<'a> {
         let mut by_id: BTreeMap<&str, Vec<&Arrival>> = BTreeMap::new();
         for arrival in arrivals {
             by_id.entry(&arrival.id).or_default().push(arrival);
         }
-        let requested = requests.iter().map(|request| (request.id.as_str(), request)).collect();
-        Seen { requests, changes, evacuations, spans, arrivals, by_id, requested, late_timers }
+        let requested = requests
+            .iter()
+            .map(|request| (request.id.as_str(), request))
+            .collect();
+        Seen {
+            requests,
+            changes,
+            evacuations,
+            spans,
+            arrivals,
+            by_id,
+            requested,
+            late_timers,
+        }
     }
 
     fn arrivals_of(&self, request: &Request) -> &[&'a Arrival] {
-        self.by_id.get(request.id.as_str()).map_or(&[], Vec::as_slice)
+        self.by_id
+            .get(request.id.as_str())
+            .map_or(&[], Vec::as_slice)
     }
 
     fn runs_of(&self, request: &Request) -> usize {
-        self.arrivals_of(request).iter().filter(|arrival| arrival.ran).count()
+        self.arrivals_of(request)
+            .iter()
+            .filter(|arrival| arrival.ran)
+            .count()
     }
 
-    fn touched(&self, machine: usize, from: Seconds, until: Seconds, counts: impl Fn(&Span) -> bool) -> bool {
+    fn touched(
+        &self,
+        machine: usize,
+        from: Seconds,
+        until: Seconds,
+        counts: impl Fn(&Span) -> bool,
+    ) -> bool {
         let touches = |span: &&Span| span.from <= until && span.until >= from;
-        let spans = self.spans.iter().filter(touches).filter(|span| counts(span));
-        spans.into_iter().any(|span| span.core || span.proxies.contains(&machine))
+        let spans = self
+            .spans
+            .iter()
+            .filter(touches)
+            .filter(|span| counts(span));
+        spans
+            .into_iter()
+            .any(|span| span.core || span.proxies.contains(&machine))
     }
 
     /// Whether the machine was in touch throughout.
@@ -78,14 +113,20 @@
 
     /// How long the platform was in no trouble between two moments: the time of a drain runs only then.
     fn platform_served(&self, from: Seconds, until: Seconds) -> Seconds {
-        let troubles = self.spans.iter().filter(|span| span.what.starts_with("PlatformTrouble"));
+        let troubles = self
+            .spans
+            .iter()
+            .filter(|span| span.what.starts_with("PlatformTrouble"));
         let within = troubles.map(|span| (span.until.min(until) - span.from.max(from)).max(0.0));
         until - from - within.sum::<Seconds>()
     }
 
     /// By how much the rig's own timers were late between two moments, in sum.
     fn rig_late(&self, from: Seconds, until: Seconds) -> Seconds {
-        let within = self.late_timers.iter().filter(|(at, _)| (from..until).contains(at));
+        let within = self
+            .late_timers
+            .iter()
+            .filter(|(at, _)| (from..until).contains(at));
         within.map(|(_, late)| late).sum()
     }
 
@@ -104,7 +145,14 @@
     let evacuations = records.evacuations.borrow();
     let spans = records.spans.borrow();
     let late_timers = records.late_timers.borrow();
-    let seen = Seen::new(&requests, &arrivals, &changes, &evacuations, &spans, &late_timers);
+    let seen = Seen::new(
+        &requests,
+        &arrivals,
+        &changes,
+        &evacuations,
+        &spans,
+        &late_timers,
+    );
     let mut verdict = |what: &str, broken: Vec<String>| {
         let more = broken.len().saturating_sub(TOLD_MOST);
         let mut told: Vec<String> = broken.into_iter().take(TOLD_MOST).collect();
@@ -113,28 +161,73 @@
         }
         report.judge(what, &told);
     };
-    verdict("MIXED, ORDER: every client gets its own answer, whole", mixed(&seen));
+    verdict(
+        "MIXED, ORDER: every client gets its own answer, whole",
+        mixed(&seen),
+    );
     verdict("TWICE: what may run once never runs twice", twice(&seen));
-    verdict("REFUSED: what was promised not to have run has not", promised(&seen));
-    verdict("UNASKED: upstreams run only what was asked, unchanged", unasked(&seen));
-    verdict("ROUTE: a service runs only its own requests", other_service(&seen));
+    verdict(
+        "REFUSED: what was promised not to have run has not",
+        promised(&seen),
+    );
+    verdict(
+        "UNASKED: upstreams run only what was asked, unchanged",
+        unasked(&seen),
+    );
+    verdict(
+        "ROUTE: a service runs only its own requests",
+        other_service(&seen),
+    );
     verdict("BUDGET: no more upstreams than attempts", attempts(&seen));
-    verdict("BUDGET: repeats stay within the shared budget", repeats(&seen));
-    verdict("BUDGET: no upstream is handed more time than is left", handed(&seen));
-    verdict("FAILBACK: cold upstreams get no more than their bound", cold(&seen));
-    verdict("GONE: nothing reaches an upstream long after its client left", gone(&seen));
-    verdict("DRAIN: nothing reaches an upstream long after it drains", drained(&seen, records));
+    verdict(
+        "BUDGET: repeats stay within the shared budget",
+        repeats(&seen),
+    );
+    verdict(
+        "BUDGET: no upstream is handed more time than is left",
+        handed(&seen),
+    );
+    verdict(
+        "FAILBACK: cold upstreams get no more than their bound",
+        cold(&seen),
+    );
+    verdict(
+        "GONE: nothing reaches an upstream long after its client left",
+        gone(&seen),
+    );
+    verdict(
+        "DRAIN: nothing reaches an upstream long after it drains",
+        drained(&seen, records),
+    );
     verdict("EVAC: nothing reaches an evacuated zone", evacuated(&seen));
-    verdict("CONFIG: what was acknowledged is in force soon", in_force(&seen));
-    verdict("CONFIG: what was refused is never in force", refused_in_force(&seen));
+    verdict(
+        "CONFIG: what was acknowledged is in force soon",
+        in_force(&seen),
+    );
+    verdict(
+        "CONFIG: what was refused is never in force",
+        refused_in_force(&seen),
+    );
     verdict("CONFIG: no process goes back", went_back(&seen));
-    verdict("CONFIG: of two changes on one version one is taken", both_taken(&seen));
-    verdict("CONFIG: a read is never older than what was acknowledged", old_reads(&seen, records));
+    verdict(
+        "CONFIG: of two changes on one version one is taken",
+        both_taken(&seen),
+    );
+    verdict(
+        "CONFIG: a read is never older than what was acknowledged",
+        old_reads(&seen, records),
+    );
     verdict("CONFIG: requests are answered in time", held(&seen));
     verdict("LOST: no request is lost without a cause", lost(&seen));
-    verdict("DRAIN: the directory names nobody long after it ended", named_absent(&seen, records));
+    verdict(
+        "DRAIN: the directory names nobody long after it ended",
+        named_absent(&seen, records),
+    );
     let passed_over = |cause: OverTime| {
-        seen.requests.iter().filter(|request| over_time(&seen, request) == Some(cause)).count()
+        seen.requests
+            .iter()
+            .filter(|request| over_time(&seen, request) == Some(cause))
+            .count()
     };
     report.notes.push(format!(
         "cut at their route's time: {} requests behind another, {} while the rig's own timers were late",
@@ -153,7 +246,9 @@
 }
 
 fn over_time(seen: &Seen<'_>, request: &Request) -> Option<OverTime> {
-    let End::Broke { .. } = request.end else { return None };
+    let End::Broke { .. } = request.end else {
+        return None;
+    };
     let took = request.ended - request.sent?;
     if took < TIMEOUT_S - TIMEOUT_MARGIN {
         None
@@ -166,40 +261,59 @@
 }
 
 fn mixed(seen: &Seen<'_>) -> Vec<String> {
-    let wrong = seen.requests.iter().filter_map(|request| match &request.end {
-        End::Wrong(what) => Some(what.clone()),
-        End::Answered(status) if (200..300).contains(status) && seen.runs_of(request) == 0 => {
-            Some(format!("{} got a success without a run", request.id))
-        }
-        _ => None,
-    });
+    let wrong = seen
+        .requests
+        .iter()
+        .filter_map(|request| match &request.end {
+            End::Wrong(what) => Some(what.clone()),
+            End::Answered(status) if (200..300).contains(status) && seen.runs_of(request) == 0 => {
+                Some(format!("{} got a success without a run", request.id))
+            }
+            _ => None,
+        });
     wrong.collect()
 }
 
 fn twice(seen: &Seen<'_>) -> Vec<String> {
-    let once =
-        seen.requests.iter().filter(|request| request.route.is_some_and(|route| !route.is_idempotent()));
+    let once = seen
+        .requests
+        .iter()
+        .filter(|request| request.route.is_some_and(|route| !route.is_idempotent()));
     let twice = once.filter(|request| seen.runs_of(request) > 1);
-    twice.map(|request| format!("{} ran {} times", request.id, seen.runs_of(request))).collect()
+    twice
+        .map(|request| format!("{} ran {} times", request.id, seen.runs_of(request)))
+        .collect()
 }
 
 fn promised(seen: &Seen<'_>) -> Vec<String> {
-    let promised =
-        seen.requests.iter().filter(|request| matches!(request.end, End::Answered(408 | 421 | 429 | 503)));
+    let promised = seen
+        .requests
+        .iter()
+        .filter(|request| matches!(request.end, End::Answered(408 | 421 | 429 | 503)));
     let once = promised.filter(|request| request.route.is_some_and(|route| !route.is_idempotent()));
     let broken = once.filter(|request| seen.runs_of(request) > 0);
-    broken.map(|request| format!("{} got {:?} and had run", request.id, request.end)).collect()
+    broken
+        .map(|request| format!("{} got {:?} and had run", request.id, request.end))
+        .collect()
 }
 
 fn unasked(seen: &Seen<'_>) -> Vec<String> {
-    let asked = seen.arrivals.iter().filter(|arrival| !arrival.id.starts_with(LOOKS));
+    let asked = seen
+        .arrivals
+        .iter()
+        .filter(|arrival| !arrival.id.starts_with(LOOKS));
     let unasked = asked.filter_map(|arrival| match seen.requested.get(arrival.id.as_str()) {
         None => Some(format!("{} was never asked", arrival.id)),
         Some(request) => {
             let same = request.method == arrival.method
                 && request.target == arrival.target
                 && request.body == arrival.body;
-            (!same).then(|| format!("{} was changed: {} {}", arrival.id, arrival.method, arrival.target))
+            (!same).then(|| {
+                format!(
+                    "{} was changed: {} {}",
+                    arrival.id, arrival.method, arrival.target
+                )
+            })
         }
     });
     unasked.collect()
@@ -211,9 +325,17 @@
         Some(Route::Print) => arrival.service == PRINTER,
         _ => arrival.service == SERVICE,
     };
-    let wrong = seen.arrivals.iter().filter(|arrival| arrival.ran && !allows(arrival));
+    let wrong = seen
+        .arrivals
+        .iter()
+        .filter(|arrival| arrival.ran && !allows(arrival));
     wrong
-        .map(|arrival| format!("{} ran at {} of {}", arrival.id, arrival.upstream, arrival.service))
+        .map(|arrival| {
+            format!(
+                "{} ran at {} of {}",
+                arrival.id, arrival.upstream, arrival.service
+            )
+        })
         .collect()
 }
 
@@ -232,21 +354,30 @@
     for service in [SERVICE, PRINTER] {
         let mut first: BTreeSet<&str> = BTreeSet::new();
         let (mut requests, mut repeated): (Vec<Seconds>, Vec<Seconds>) = Default::default();
-        for arrival in seen.arrivals.iter().filter(|arrival| arrival.service == service) {
+        for arrival in seen
+            .arrivals
+            .iter()
+            .filter(|arrival| arrival.service == service)
+        {
             match first.insert(&arrival.id) {
                 true => requests.push(arrival.at),
                 false => repeated.push(arrival.at),
             }
         }
         let within = |times: &[Seconds], from: Seconds| {
-            times.iter().filter(|at| (from..from + RETRY_WINDOW_S).contains(*at)).count()
+            times
+                .iter()
+                .filter(|at| (from..from + RETRY_WINDOW_S).contains(*at))
+                .count()
         };
         for from in &repeated {
             let asked = [0.0, 0.5, 1.0].map(|back| within(&requests, from - back * RETRY_WINDOW_S));
             let asked = asked.into_iter().max().unwrap_or(0) as f64;
             let count = within(&repeated, *from);
             if count as f64 > asked * RETRY_RATIO + RETRY_SLACK {
-                broken.push(format!("{service}: {count} repeats from {from:.1} s, {asked} requests"));
+                broken.push(format!(
+                    "{service}: {count} repeats from {from:.1} s, {asked} requests"
+                ));
                 break;
             }
         }
@@ -259,8 +390,8 @@
         let request = seen.requested.get(arrival.id.as_str())?;
         let left = request.patience - (arrival.at - request.begun);
         let handed = arrival.handed?;
-        let is_long =
-            handed > left + HANDED_SLACK && seen.is_untroubled(request.machine, request.begun, arrival.at);
+        let is_long = handed > left + HANDED_SLACK
+            && seen.is_untroubled(request.machine, request.begun, arrival.at);
         is_long.then(|| format!("{} was handed {handed:.2} s of {left:.2} s", arrival.id))
     });
     let late: Vec<String> = late.collect();
@@ -274,12 +405,19 @@
 fn cold(seen: &Seen<'_>) -> Vec<String> {
     let mut of_each: BTreeMap<&str, Vec<Seconds>> = BTreeMap::new();
     for arrival in seen.arrivals.iter().filter(|arrival| arrival.was_cold) {
-        of_each.entry(&arrival.upstream).or_default().push(arrival.at);
+        of_each
+            .entry(&arrival.upstream)
+            .or_default()
+            .push(arrival.at);
     }
     let mut broken = Vec::new();
     for (upstream, times) in of_each {
-        let most =
-            times.iter().map(|from| times.iter().filter(|at| (*from..from + 1.0).contains(*at)).count());
+        let most = times.iter().map(|from| {
+            times
+                .iter()
+                .filter(|at| (*from..from + 1.0).contains(*at))
+                .count()
+        });
         let most = most.max().unwrap_or(0);
         if most as f64 > COLD_MOST {
             broken.push(format!("{upstream} got {most} in a second while cold"));
@@ -289,13 +427,20 @@
 }
 
 fn gone(seen: &Seen<'_>) -> Vec<String> {
-    let left = seen.requests.iter().filter(|request| request.end == End::Left);
+    let left = seen
+        .requests
+        .iter()
+        .filter(|request| request.end == End::Left);
     let late = left.filter(|request| {
-        let late = seen.arrivals_of(request).iter().any(|arrival| arrival.at > request.ended + GONE_S);
+        let late = seen
+            .arrivals_of(request)
+            .iter()
+            .any(|arrival| arrival.at > request.ended + GONE_S);
         late && seen.in_touch(request.machine, request.begun, request.ended + GONE_S)
     });
-    let late: Vec<String> =
-        late.map(|request| format!("{} went on after its client left", request.id)).collect();
+    let late: Vec<String> = late
+        .map(|request| format!("{} went on after its client left", request.id))
+        .collect();
     if late.len() > GONE_MOST {
         late
     } else {
@@ -321,18 +466,27 @@
 
 fn evacuated(seen: &Seen<'_>) -> Vec<String> {
     let mut broken = Vec::new();
-    for begin in seen.evacuations.iter().filter(|order| order.begin && order.outcome == Outcome::Acknowledged)
+    for begin in seen
+        .evacuations
+        .iter()
+        .filter(|order| order.begin && order.outcome == Outcome::Acknowledged)
     {
-        let finished = seen.evacuations.iter().filter(|order| !order.begin && order.zone == begin.zone);
-        let finish =
-            finished.map(|order| order.sent).find(|sent| *sent >= begin.ended).unwrap_or(f64::INFINITY);
-        let bound = begin.ended + EVACUATION_S;
-        let late = seen
-            .arrivals
+        let finished = seen
+            .evacuations
             .iter()
-            .filter(|arrival| arrival.zone == begin.zone && arrival.at > bound && arrival.at < finish);
+            .filter(|order| !order.begin && order.zone == begin.zone);
+        let finish = finished
+            .map(|order| order.sent)
+            .find(|sent| *sent >= begin.ended)
+            .unwrap_or(f64::INFINITY);
+        let bound = begin.ended + EVACUATION_S;
+        let late = seen.arrivals.iter().filter(|arrival| {
+            arrival.zone == begin.zone && arrival.at > bound && arrival.at < finish
+        });
         for arrival in late {
-            let Some(request) = seen.requested.get(arrival.id.as_str()) else { continue };
+            let Some(request) = seen.requested.get(arrival.id.as_str()) else {
+                continue;
+            };
             if seen.in_touch(request.machine, arrival.at, arrival.at) {
                 let after = arrival.at - begin.ended;
                 broken.push(format!(
@@ -352,15 +506,22 @@
 }
 
 fn removal_of<'a>(seen: &Seen<'a>, change: &Change) -> Option<&'a Change> {
-    seen.changes.iter().find(|other| other.removes.as_ref() == Some(&change.adds))
+    seen.changes
+        .iter()
+        .find(|other| other.removes.as_ref() == Some(&change.adds))
 }
 
 /// Requests on routes that come and go, with the change that added each.
 fn probes<'a>(seen: &'a Seen<'a>) -> impl Iterator<Item = (&'a Request, Seconds, u16, &'a Change)> {
-    seen.requests.iter().filter(|request| request.route.is_none()).filter_map(|request| match request.end {
-        End::Answered(status) => Some((request, request.sent?, status, change_of(seen, request)?)),
-        _ => None,
-    })
+    seen.requests
+        .iter()
+        .filter(|request| request.route.is_none())
+        .filter_map(|request| match request.end {
+            End::Answered(status) => {
+                Some((request, request.sent?, status, change_of(seen, request)?))
+            }
+            _ => None,
+        })
 }
 
 fn in_force(seen: &Seen<'_>) -> Vec<String> {
@@ -384,7 +545,10 @@
             removal.outcome == Outcome::Acknowledged && sent > removal.ended + APPLY_S
         });
         if is_gone && (200..300).contains(&status) {
-            broken.push(format!("{} {}: served though it was removed", request.id, change.adds));
+            broken.push(format!(
+                "{} {}: served though it was removed",
+                request.id, change.adds
+            ));
         }
     }
     broken
@@ -394,7 +558,9 @@
     let refused = probes(seen).filter(|(_, _, status, change)| {
         matches!(change.outcome, Outcome::Lost | Outcome::Refused(_)) && (200..300).contains(status)
     });
-    refused.map(|(request, _, _, change)| format!("{}: {} is in force", request.id, change.adds)).collect()
+    refused
+        .map(|(request, _, _, change)| format!("{}: {} is in force", request.id, change.adds))
+        .collect()
 }
 
 fn went_back(seen: &Seen<'_>) -> Vec<String> {
@@ -407,14 +573,18 @@
     }
     let mut broken = Vec::new();
     for (request, sent, status, change) in probes(seen) {
-        let Some(shown) = newest.get(&(request.machine, request.life)) else { continue };
-        let may_be_gone = removal_of(seen, change).is_some_and(|removal| removal.sent < request.ended);
+        let Some(shown) = newest.get(&(request.machine, request.life)) else {
+            continue;
+        };
+        let may_be_gone =
+            removal_of(seen, change).is_some_and(|removal| removal.sent < request.ended);
         let acknowledged = change.outcome == Outcome::Acknowledged && change.ended < request.ended;
         if status != 404 || may_be_gone || !acknowledged {
             continue;
         }
-        let before =
-            shown.iter().find(|(at, version)| *at + DOWNGRADE_S < sent && *version >= change.version);
+        let before = shown
+            .iter()
+            .find(|(at, version)| *at + DOWNGRADE_S < sent && *version >= change.version);
         if let Some((at, version)) = before {
             broken.push(format!(
                 "{} at machine {}: 404 on {} of version {}, {version} was shown {:.2} s before",
@@ -432,9 +602,16 @@
 fn both_taken(seen: &Seen<'_>) -> Vec<String> {
     let mut taken: BTreeMap<u64, &Change> = BTreeMap::new();
     let mut broken = Vec::new();
-    for change in seen.changes.iter().filter(|change| change.outcome == Outcome::Acknowledged) {
+    for change in seen
+        .changes
+        .iter()
+        .filter(|change| change.outcome == Outcome::Acknowledged)
+    {
         if let Some(other) = taken.insert(change.based_on, change) {
-            broken.push(format!("{} and {} on version {}", other.adds, change.adds, change.based_on));
+            broken.push(format!(
+                "{} and {} on version {}",
+                other.adds, change.adds, change.based_on
+            ));
         }
     }
     broken
@@ -450,7 +627,10 @@
         let newest = acknowledged.map(|change| change.version).max()?;
         let is_old = read.version < newest;
         is_old.then(|| {
-            format!("version {} at machine {}, {newest} was acknowledged", read.version, read.machine)
+            format!(
+                "version {} at machine {}, {newest} was acknowledged",
+                read.version, read.machine
+            )
         })
     });
     old.collect()
@@ -458,24 +638,34 @@
 
 fn held(seen: &Seen<'_>) -> Vec<String> {
     let late = seen.requests.iter().filter(|request| {
-        let Some(sent) = request.sent else { return false };
+        let Some(sent) = request.sent else {
+            return false;
+        };
         let is_late = request.end == End::Silence || request.ended - sent > TIMEOUT_S + HELD_SLACK;
         is_late && seen.is_untroubled(request.machine, request.begun, request.ended)
     });
     let told = |request: &Request| {
         let took = request.ended - request.sent.unwrap_or(request.begun);
-        format!("{} {}: {:?} after {took:.2} s", request.id, request.target, request.end)
+        format!(
+            "{} {}: {:?} after {took:.2} s",
+            request.id, request.target, request.end
+        )
     };
     late.map(told).collect()
 }
 
 fn lost(seen: &Seen<'_>) -> Vec<String> {
     let lost = seen.requests.iter().filter(|request| {
-        let (End::Broke { .. }, Some(sent)) = (&request.end, request.sent) else { return false };
+        let (End::Broke { .. }, Some(sent)) = (&request.end, request.sent) else {
+            return false;
+        };
         let arrivals = seen.arrivals_of(request);
         let crossed = request.kept && arrivals.is_empty() && request.ended - sent < CROSSING;
-        let has_cause =
-            arrivals.iter().any(|arrival| arrival.trouble.is_some_and(super::upstreams::Trouble::breaks));
+        let has_cause = arrivals.iter().any(|arrival| {
+            arrival
+                .trouble
+                .is_some_and(super::upstreams::Trouble::breaks)
+        });
         let upstreams_changed = seen.spans.iter().any(|span| {
             span.what.starts_with("Upstream")
                 && span.from <= request.ended + 1.0
@@ -485,7 +675,11 @@
                     && span.until >= request.begun - 3.0
         });
         let is_untroubled = seen.is_untroubled(request.machine, request.begun, request.ended + 0.1);
-        over_time(seen, request).is_none() && !crossed && !has_cause && !upstreams_changed && is_untroubled
+        over_time(seen, request).is_none()
+            && !crossed
+            && !has_cause
+            && !upstreams_changed
+            && is_untroubled
     });
     let told = |request: &Request| {
         let arrivals = seen.arrivals_of(request);
@@ -522,14 +716,16 @@
             })
         };
         let runs = |machine: &usize| {
-            !absences
-                .iter()
-                .any(|absence| absence.machine == *machine && absence.from <= at && at < absence.until)
+            !absences.iter().any(|absence| {
+                absence.machine == *machine && absence.from <= at && at < absence.until
+            })
         };
         let absent = resolution.named.iter().filter(|machine| is_absent(machine));
         if resolution.named.iter().any(runs) {
             broken.extend(
-                absent.map(|machine| format!("machine {machine} by {} at {at:.1} s", resolution.asked)),
+                absent.map(|machine| {
+                    format!("machine {machine} by {} at {at:.1} s", resolution.asked)
+                }),
             );
         }
     }
--- a/crates/sandtrack-fault-tests/src/soak/operators.rs
+++ b/crates/sandtrack-fault-tests/src/soak/operators.rs
@@ -25,18 +25,24 @@
 /// The first configuration: all routes of the clients.
 pub fn first_configuration() -> Value {
     let mut split = documents::route("split", Kind::ReadOnly);
-    split["weighted_split"] = json!([{"service": SERVICE, "weight": 70}, {"service": PRINTER, "weight": 30}]);
+    split["weighted_split"] =
+        json!([{"service": SERVICE, "weight": 70}, {"service": PRINTER, "weight": 30}]);
     split.as_object_mut().map(|split| split.remove("service"));
     let mut print = documents::route("print", Kind::ReadOnly);
     print["service"] = json!(PRINTER);
-    let mut routes: Vec<Value> = Kind::ALL.map(|kind| documents::route(kind.prefix(), kind)).to_vec();
+    let mut routes: Vec<Value> = Kind::ALL
+        .map(|kind| documents::route(kind.prefix(), kind))
+        .to_vec();
     routes.extend([print, split]);
     let mut whole = documents::configuration(1, &routes);
     let service = |name: &str, cold_rate_s: f64| {
         json!({"name": name, "health_path": documents::HEALTH, "connection_limit": 500,
             "cold_start_s": super::COLD_S, "cold_rate_s": cold_rate_s})
     };
-    whole["services"] = json!([service(SERVICE, super::COLD_RATE), service(PRINTER, super::COLD_RATE)]);
+    whole["services"] = json!([
+        service(SERVICE, super::COLD_RATE),
+        service(PRINTER, super::COLD_RATE)
+    ]);
     whole
 }
 
@@ -85,7 +91,8 @@
     pub async fn read(&mut self) -> Option<Value> {
         let controls = self.controls();
         let answer = self.operator.send(&Call::read(), &controls, REPEAT).await?;
-        let document = (answer.head.status == 200).then(|| serde_json::from_slice(&answer.body).ok());
+        let document =
+            (answer.head.status == 200).then(|| serde_json::from_slice(&answer.body).ok());
         document.flatten()
     }
 
@@ -96,8 +103,12 @@
         self.sent += 1;
         let adds = format!("{name}-{}-{version}", self.sent);
         let routes = document["routes"].as_array().cloned().unwrap_or_default();
-        let own =
-            |route: &Value| route["name"].as_str().filter(|own| own.starts_with(name)).map(str::to_owned);
+        let own = |route: &Value| {
+            route["name"]
+                .as_str()
+                .filter(|own| own.starts_with(name))
+                .map(str::to_owned)
+        };
         let own: Vec<String> = routes.iter().filter_map(own).collect();
         let removes = (own.len() >= ROUTES_KEPT).then(|| own[0].clone());
         let body = json!({"version_number": version,
@@ -106,7 +117,15 @@
         let call = Call::update(based_on, body.to_string().into_bytes());
         let sent = self.records.now();
         let (outcome, ended) = self.order(&call, REPEAT).await;
-        let change = Change { based_on, version, adds, removes, sent, ended, outcome };
+        let change = Change {
+            based_on,
+            version,
+            adds,
+            removes,
+            sent,
+            ended,
+            outcome,
+        };
         self.records.changes.borrow_mut().push(change.clone());
         change
     }
@@ -128,8 +147,16 @@
             let zone = zone(self.rng.gen_range(0..CONTROLS));
             for begin in [true, false] {
                 let sent = self.records.now();
-                let (outcome, ended) = self.order(&Call::evacuate(&zone, begin), REPEAT_ORDER).await;
-                let evacuation = Evacuation { zone: zone.clone(), begin, sent, ended, outcome };
+                let (outcome, ended) = self
+                    .order(&Call::evacuate(&zone, begin), REPEAT_ORDER)
+                    .await;
+                let evacuation = Evacuation {
+                    zone: zone.clone(),
+                    begin,
+                    sent,
+                    ended,
+                    outcome,
+                };
                 self.records.evacuations.borrow_mut().push(evacuation);
                 if begin {
                     self.pause(2000, 9000).await;
@@ -144,11 +171,17 @@
             self.pause(50, 300).await;
             let machine = self.rng.gen_range(0..CONTROLS);
             let sent = self.records.now();
-            let Ok(answer) = self.operator.once(&Call::read(), machine).await else { continue };
+            let Ok(answer) = self.operator.once(&Call::read(), machine).await else {
+                continue;
+            };
             let document: Option<Value> = serde_json::from_slice(&answer.body).ok();
             let version = document.and_then(|document| document["version_number"].as_u64());
             if let Some(version) = version.filter(|_| answer.head.status == 200) {
-                self.records.reads.borrow_mut().push(Read { machine, sent, version });
+                self.records.reads.borrow_mut().push(Read {
+                    machine,
+                    sent,
+                    version,
+                });
             }
         }
     }
--- a/crates/sandtrack-fault-tests/src/soak/plan.rs
+++ b/crates/sandtrack-fault-tests/src/soak/plan.rs
@@ -73,7 +73,9 @@
             | Kind::ControlMute(at)
             | Kind::ControlDeaf(at)
             | Kind::DiskFull(at) => Some(at),
-            Kind::MachineStop(at) | Kind::SessionCut(at) | Kind::SessionReset(at) if at < CONTROLS => {
+            Kind::MachineStop(at) | Kind::SessionCut(at) | Kind::SessionReset(at)
+                if at < CONTROLS =>
+            {
                 Some(at)
             }
             _ => None,
@@ -97,7 +99,9 @@
     /// The address of an upstream that it is about.
     fn upstream(self) -> Option<usize> {
         match self {
-            Kind::UpstreamCrash(at) | Kind::UpstreamReplace(at) | Kind::AddressReuse(at) => Some(at),
+            Kind::UpstreamCrash(at) | Kind::UpstreamReplace(at) | Kind::AddressReuse(at) => {
+                Some(at)
+            }
             _ => None,
         }
     }
@@ -153,14 +157,20 @@
         let mut troubles: Vec<Trouble> = Vec::new();
         let mut free: [Seconds; TRACKS] = [1.0; TRACKS];
         loop {
-            let track = (0..TRACKS).min_by(|one, other| free[*one].total_cmp(&free[*other])).unwrap_or(0);
+            let track = (0..TRACKS)
+                .min_by(|one, other| free[*one].total_cmp(&free[*other]))
+                .unwrap_or(0);
             let from = free[track] + rng.gen_range(0.0..PAUSE_MOST);
             let until = from + rng.gen_range(LASTS[0]..LASTS[1]);
             if until > lasts {
                 break;
             }
             // What does not fit beside the others is drawn anew; a track that finds nothing waits.
-            let drawn = (0..40).map(|_| Trouble { kind: draw(&mut rng), from, until });
+            let drawn = (0..40).map(|_| Trouble {
+                kind: draw(&mut rng),
+                from,
+                until,
+            });
             let fits = drawn.into_iter().find(|trouble| fits(trouble, &troubles));
             free[track] = fits.map_or(from, |trouble| trouble.until);
             troubles.extend(fits);
@@ -171,7 +181,12 @@
             1 => Closing::DiskLost(rng.gen_range(0..CONTROLS)),
             _ => Closing::AllKilled,
         };
-        Plan { seed, troubles, closing, lasts }
+        Plan {
+            seed,
+            troubles,
+            closing,
+            lasts,
+        }
     }
 }
 
@@ -217,7 +232,8 @@
 }
 
 fn fit_together(one: &Trouble, other: &Trouble) -> bool {
-    let overlap = |margin: Seconds| one.from < other.until + margin && other.from < one.until + margin;
+    let overlap =
+        |margin: Seconds| one.from < other.until + margin && other.from < one.until + margin;
     let same = |a: Option<usize>, b: Option<usize>| a.is_some() && a == b;
     let is_alike = std::mem::discriminant(&one.kind) == std::mem::discriminant(&other.kind);
     let wipes = |kind: Kind| matches!(kind, Kind::ControlWipe(_));
--- a/crates/sandtrack-fault-tests/src/soak/platform.rs
+++ b/crates/sandtrack-fault-tests/src/soak/platform.rs
@@ -49,7 +49,11 @@
     /// # Errors
     /// Where the address can't be listened on.
     pub fn open(
-        at: SocketAddrV4, upstreams: &Rc<Upstreams>, records: &Rc<Records>, seed: u64, spawner: &Spawner<'_>,
+        at: SocketAddrV4,
+        upstreams: &Rc<Upstreams>,
+        records: &Rc<Records>,
+        seed: u64,
+        spawner: &Spawner<'_>,
     ) -> io::Result<Rc<Platform>> {
         let listener = Async::<TcpListener>::bind(SocketAddr::V4(at))?;
         let platform = Rc::new(Platform {
@@ -88,7 +92,9 @@
         let now = self.records.now();
         let mut seen = self.seen.borrow_mut();
         for place in 0..self.upstreams.places.len() {
-            let Some(occupant) = self.upstreams.occupant(place) else { continue };
+            let Some(occupant) = self.upstreams.occupant(place) else {
+                continue;
+            };
             let address = self.upstreams.places[place].address;
             seen.retain(|(_, (_, known))| known.identifier != occupant.identifier);
             seen.push((now, (address, occupant)));
@@ -109,7 +115,12 @@
 
     /// The list as it shows now.
     fn list(&self) -> Vec<Entry> {
-        let mut list = self.past.borrow().front().map(|(_, entries)| entries.clone()).unwrap_or_default();
+        let mut list = self
+            .past
+            .borrow()
+            .front()
+            .map(|(_, entries)| entries.clone())
+            .unwrap_or_default();
         list.sort_by(|one, other| one.1.identifier.cmp(&other.1.identifier));
         list
     }
@@ -140,21 +151,35 @@
 async fn serve(platform: Rc<Platform>, stream: Async<TcpStream>) {
     let mut wire = Wire::new(stream, Side::Request);
     while let Some(request) = wire.read().await {
-        let (path, query) = request.head.target.split_once('?').unwrap_or((&request.head.target, ""));
-        let token = query.split('&').find_map(|pair| pair.strip_prefix("page_token="));
+        let (path, query) = request
+            .head
+            .target
+            .split_once('?')
+            .unwrap_or((&request.head.target, ""));
+        let token = query
+            .split('&')
+            .find_map(|pair| pair.strip_prefix("page_token="));
         let token = token.and_then(|token| token.parse().ok()).unwrap_or(0);
         let kind = || [("Content-Type", "application/json")].into_iter();
-        let trouble = platform.in_trouble.get().then(|| platform.rng.borrow_mut().gen_range(0..6));
+        let trouble = platform
+            .in_trouble
+            .get()
+            .then(|| platform.rng.borrow_mut().gen_range(0..6));
         let bytes = match (path, trouble) {
             (_, Some(0)) => message::response(500, kind(), b"{}", false),
             (_, Some(1)) => return,
             (_, Some(2)) => return future::pending().await,
             (_, Some(3)) => message::response(200, kind(), b"{\"instances\":[{\"identi", false),
             (_, Some(4)) => message::response(429, kind(), b"{}", false),
-            ("/instances", _) if platform.is_over_rate() => message::response(429, kind(), b"{}", false),
-            ("/instances", _) => {
-                message::response(200, kind(), platform.page(token).to_string().as_bytes(), false)
+            ("/instances", _) if platform.is_over_rate() => {
+                message::response(429, kind(), b"{}", false)
             }
+            ("/instances", _) => message::response(
+                200,
+                kind(),
+                platform.page(token).to_string().as_bytes(),
+                false,
+            ),
             _ => message::response(404, kind(), b"{}", false),
         };
         if !wire.write(&bytes).await {
--- a/crates/sandtrack-fault-tests/src/soak/processes.rs
+++ b/crates/sandtrack-fault-tests/src/soak/processes.rs
@@ -25,21 +25,29 @@
         return vec![format!("{name} tells no figures")];
     };
     let text = String::from_utf8_lossy(&body).into_owned();
-    let violated = text
-        .lines()
-        .filter(|line| line.starts_with("sandtrack_invariant_violations_total{") && !line.ends_with(" 0"));
+    let violated = text.lines().filter(|line| {
+        line.starts_with("sandtrack_invariant_violations_total{") && !line.ends_with(" 0")
+    });
     violated.map(|line| format!("{name}: {line}")).collect()
 }
 
 /// Lines of the logs in a folder that tell of a fault of the program.
 pub fn log_faults(folder: &Path) -> Vec<String> {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
-    let logs = files.map(|file| file.path()).filter(|path| path.extension().is_some_and(|end| end == "log"));
+    let logs = files
+        .map(|file| file.path())
+        .filter(|path| path.extension().is_some_and(|end| end == "log"));
     let mut faults = Vec::new();
     for path in logs {
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        let lines = text.lines().filter(|line| FAULTS.iter().any(|fault| line.contains(fault)));
-        let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+        let lines = text
+            .lines()
+            .filter(|line| FAULTS.iter().any(|fault| line.contains(fault)));
+        let name = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         faults.extend(lines.take(3).map(|line| format!("{name}: {line}")));
     }
     faults
--- a/crates/sandtrack-fault-tests/src/soak/records.rs
+++ b/crates/sandtrack-fault-tests/src/soak/records.rs
@@ -26,8 +26,14 @@
 }
 
 impl Route {
-    pub const ALL: [Route; 6] =
-        [Route::Read, Route::Write, Route::Stream, Route::Resume, Route::Print, Route::Split];
+    pub const ALL: [Route; 6] = [
+        Route::Read,
+        Route::Write,
+        Route::Stream,
+        Route::Resume,
+        Route::Print,
+        Route::Split,
+    ];
 
     /// The first part of its paths, and its name.
     pub fn prefix(self) -> &'static str {
@@ -242,7 +248,11 @@
 
     /// The proxy's process of a machine has ended.
     pub fn proxy_ended(&self, machine: usize) {
-        let absence = Absence { machine, from: self.now(), until: f64::INFINITY };
+        let absence = Absence {
+            machine,
+            from: self.now(),
+            until: f64::INFINITY,
+        };
         self.absences.borrow_mut().push(absence);
     }
 
@@ -252,14 +262,19 @@
         let now = self.now();
         // One that was told to stop and killed as well has ended twice.
         let mut absences = self.absences.borrow_mut();
-        let open =
-            absences.iter_mut().filter(|absence| absence.machine == machine && absence.until.is_infinite());
+        let open = absences
+            .iter_mut()
+            .filter(|absence| absence.machine == machine && absence.until.is_infinite());
         open.for_each(|absence| absence.until = now);
     }
 
     /// By how much a timer of the rig was late at most.
     pub fn latest_timer(&self) -> Seconds {
-        self.late_timers.borrow().iter().map(|(_, late)| *late).fold(0.0, Seconds::max)
+        self.late_timers
+            .borrow()
+            .iter()
+            .map(|(_, late)| *late)
+            .fold(0.0, Seconds::max)
     }
 
     pub fn now(&self) -> Seconds {
--- a/crates/sandtrack-fault-tests/src/soak/run.rs
+++ b/crates/sandtrack-fault-tests/src/soak/run.rs
@@ -57,30 +57,48 @@
 /// # Errors
 /// Where addresses, files or processes can't be had.
 pub fn play(options: &Options) -> io::Result<Report> {
-    let temporary =
-        std::env::temp_dir().join(format!("sandtrack-soak-{}-{}", options.seed, std::process::id()));
+    let temporary = std::env::temp_dir().join(format!(
+        "sandtrack-soak-{}-{}",
+        options.seed,
+        std::process::id()
+    ));
     let folder = options.keep.clone().unwrap_or_else(|| temporary.clone());
     let executor = Rc::new(LocalExecutor::new());
     let spawner = Spawner::of(&executor);
     let began = Instant::now();
     let played = async {
-        let shape = Shape { controls: CONTROLS, machines: MACHINES, upstreams: 0, platform: false };
+        let shape = Shape {
+            controls: CONTROLS,
+            machines: MACHINES,
+            upstreams: 0,
+            platform: false,
+        };
         let mut cluster = Cluster::open(shape, options.seed, &folder, &options.programs, &spawner)?;
         let records = Records::new(MACHINES);
         let ended = Box::pin(soak(&mut cluster, &records, options, &spawner)).await;
         let mut report = std::mem::take(&mut cluster.report);
         judge::judge(&records, &mut report);
-        report.judge("nobody's log tells of a fault of the program", &processes::log_faults(&folder));
+        report.judge(
+            "nobody's log tells of a fault of the program",
+            &processes::log_faults(&folder),
+        );
         match ended {
             Err(Stopped::Io(error)) => return Err(error),
             Err(stopped) => report.judge("it comes to its end", &[stopped.to_string()]),
             Ok(()) => {}
         }
-        report.notes.push(format!("{:?}", tally(&records.requests.borrow())));
+        report
+            .notes
+            .push(format!("{:?}", tally(&records.requests.borrow())));
         let late = records.latest_timer() * 1000.0;
-        report.notes.push(format!("the rig's own timers were {late:.0} ms late at most"));
+        report.notes.push(format!(
+            "the rig's own timers were {late:.0} ms late at most"
+        ));
         for span in records.spans.borrow().iter() {
-            report.notes.push(format!("{:6.2} to {:6.2} s {}", span.from, span.until, span.what));
+            report.notes.push(format!(
+                "{:6.2} to {:6.2} s {}",
+                span.from, span.until, span.what
+            ));
         }
         Ok(report)
     };
@@ -88,17 +106,29 @@
     if options.keep.is_none() {
         let _ = std::fs::remove_dir_all(temporary);
     }
-    report.map(|report| Report { scenario: "soak", took: began.elapsed(), ..report })
+    report.map(|report| Report {
+        scenario: "soak",
+        took: began.elapsed(),
+        ..report
+    })
 }
 
 async fn soak(
-    cluster: &mut Cluster, records: &Rc<Records>, options: &Options, spawner: &Spawner<'_>,
+    cluster: &mut Cluster,
+    records: &Rc<Records>,
+    options: &Options,
+    spawner: &Spawner<'_>,
 ) -> Result<(), Stopped> {
     let seed = options.seed;
     let plan = Plan::draw(seed, options.lasts);
     let upstreams = Upstreams::open(&cluster.plan, records, seed, spawner)?;
-    let platform =
-        Platform::open(cluster.plan.platform(), &upstreams, records, seed.wrapping_add(1), spawner)?;
+    let platform = Platform::open(
+        cluster.plan.platform(),
+        &upstreams,
+        records,
+        seed.wrapping_add(1),
+        spawner,
+    )?;
     let machines: Vec<usize> = (0..MACHINES).collect();
     cluster.begin(&first_configuration(), &machines).await?;
     for machine in &machines {
@@ -106,7 +136,9 @@
     }
     begin_load(cluster, records, options, spawner);
     let began = records.now();
-    Troubles::new(cluster, records.clone(), upstreams.clone(), platform).play(&plan, began).await?;
+    Troubles::new(cluster, records.clone(), upstreams.clone(), platform)
+        .play(&plan, began)
+        .await?;
     cluster.pass(Duration::from_secs_f64(CALM)).await?;
     records.is_over.set(true);
     cluster
@@ -132,10 +164,17 @@
         });
     };
     for number in 0..clients {
-        begin(Box::pin(Client::new(number, seed, MACHINES, &cluster.plan, records).run()));
+        begin(Box::pin(
+            Client::new(number, seed, MACHINES, &cluster.plan, records).run(),
+        ));
     }
-    let desk =
-        |number: u64| Desk::new(&cluster.operator, records, seed.wrapping_mul(31).wrapping_add(number));
+    let desk = |number: u64| {
+        Desk::new(
+            &cluster.operator,
+            records,
+            seed.wrapping_mul(31).wrapping_add(number),
+        )
+    };
     begin(Box::pin(desk(1).run_changes("v", [300, 1500])));
     begin(Box::pin(desk(2).run_changes("w", [500, 3000])));
     begin(Box::pin(desk(3).run_evacuations()));
@@ -160,7 +199,10 @@
 async fn probe(mut client: Client, records: Rc<Records>, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed.wrapping_add(5));
     while !records.is_over.get() {
-        Timer::after(Duration::from_millis(rng.gen_range(PROBE_MS[0]..PROBE_MS[1]))).await;
+        Timer::after(Duration::from_millis(
+            rng.gen_range(PROBE_MS[0]..PROBE_MS[1]),
+        ))
+        .await;
         let route = {
             let changes = records.changes.borrow();
             let newest = &changes[changes.len().saturating_sub(PROBED)..];
@@ -201,7 +243,10 @@
     if last.outcome != Outcome::Acknowledged {
         broken.push(format!("the last change came to {:?}", last.outcome));
     }
-    cluster.report.judge("LOST: what was acknowledged is there after the last strike", &broken);
+    cluster.report.judge(
+        "LOST: what was acknowledged is there after the last strike",
+        &broken,
+    );
     Ok(())
 }
 
@@ -209,7 +254,11 @@
     if closing == Closing::Nothing {
         return Ok(());
     }
-    cluster.controls.iter_mut().chain(&mut cluster.proxies).for_each(Process::kill);
+    cluster
+        .controls
+        .iter_mut()
+        .chain(&mut cluster.proxies)
+        .for_each(Process::kill);
     if let Closing::DiskLost(at) = closing {
         cluster.controls[at].wipe()?;
     }
@@ -222,11 +271,18 @@
 fn missing(changes: &[Change], routes: &serde_json::Value) -> Vec<String> {
     let routes = routes.as_array().cloned().unwrap_or_default();
     let has = |name: &str| routes.iter().any(|route| route["name"] == name);
-    let acknowledged = changes.iter().filter(|change| change.outcome == Outcome::Acknowledged);
-    let stands = acknowledged
-        .filter(|change| !changes.iter().any(|other| other.removes.as_ref() == Some(&change.adds)));
+    let acknowledged = changes
+        .iter()
+        .filter(|change| change.outcome == Outcome::Acknowledged);
+    let stands = acknowledged.filter(|change| {
+        !changes
+            .iter()
+            .any(|other| other.removes.as_ref() == Some(&change.adds))
+    });
     let missing = stands.filter(|change| !has(&change.adds));
-    missing.map(|change| format!("{} of version {}", change.adds, change.version)).collect()
+    missing
+        .map(|change| format!("{} of version {}", change.adds, change.version))
+        .collect()
 }
 
 async fn ask_processes(cluster: &mut Cluster) {
@@ -235,5 +291,8 @@
         broken.extend(processes::figures_faults(&cluster.plan, process).await);
         broken.extend(processes::memory_fault(process));
     }
-    cluster.report.judge("no process counts a violation, nor has too much memory", &broken);
+    cluster.report.judge(
+        "no process counts a violation, nor has too much memory",
+        &broken,
+    );
 }
--- a/crates/sandtrack-fault-tests/src/soak/troubles.rs
+++ b/crates/sandtrack-fault-tests/src/soak/troubles.rs
@@ -61,9 +61,19 @@
 
 impl<'a> Troubles<'a> {
     pub fn new(
-        cluster: &'a mut Cluster, records: Rc<Records>, upstreams: Rc<Upstreams>, platform: Rc<Platform>,
+        cluster: &'a mut Cluster,
+        records: Rc<Records>,
+        upstreams: Rc<Upstreams>,
+        platform: Rc<Platform>,
     ) -> Troubles<'a> {
-        Troubles { cluster, records, upstreams, platform, due: Vec::new(), spans: Vec::new() }
+        Troubles {
+            cluster,
+            records,
+            upstreams,
+            platform,
+            due: Vec::new(),
+            spans: Vec::new(),
+        }
     }
 
     /// Plays the whole plan, and returns when all is over and every process runs.
@@ -73,13 +83,22 @@
     pub async fn play(&mut self, plan: &Plan, began: Seconds) -> Result<(), Stopped> {
         for trouble in &plan.troubles {
             let at = began + trouble.from;
-            let trouble = Trouble { from: at, until: began + trouble.until, ..*trouble };
-            self.due.push(Due { at, act: Act::Begin(trouble) });
+            let trouble = Trouble {
+                from: at,
+                until: began + trouble.until,
+                ..*trouble
+            };
+            self.due.push(Due {
+                at,
+                act: Act::Begin(trouble),
+            });
         }
         while !self.due.is_empty() || self.records.now() < began + plan.lasts {
             self.cluster.look()?;
             let now = self.records.now();
-            let (due, later) = std::mem::take(&mut self.due).into_iter().partition(|due: &Due| due.at <= now);
+            let (due, later) = std::mem::take(&mut self.due)
+                .into_iter()
+                .partition(|due: &Due| due.at <= now);
             self.due = later;
             for Due { act, .. } in due {
                 self.act(act)?;
@@ -90,7 +109,10 @@
     }
 
     fn later(&mut self, after: Seconds, act: Act) {
-        self.due.push(Due { at: self.records.now() + after, act });
+        self.due.push(Due {
+            at: self.records.now() + after,
+            act,
+        });
     }
 
     fn process(&mut self, which: Which) -> &mut Process {
@@ -105,8 +127,14 @@
             Act::Begin(trouble) => {
                 self.open_span(trouble);
                 self.begin(trouble)?;
-                if !matches!(trouble.kind, Kind::ProxyStop(_) | Kind::ControlStop(_) | Kind::MachineStop(_)) {
-                    self.due.push(Due { at: trouble.until, act: Act::End(trouble) });
+                if !matches!(
+                    trouble.kind,
+                    Kind::ProxyStop(_) | Kind::ControlStop(_) | Kind::MachineStop(_)
+                ) {
+                    self.due.push(Due {
+                        at: trouble.until,
+                        act: Act::End(trouble),
+                    });
                 }
             }
             Act::End(trouble) => {
@@ -231,13 +259,20 @@
                 (0..CONTROLS).for_each(|other| links.reset(End::Machine(at), End::Machine(other)));
             }
             Kind::AnswersLost(at) => {
-                self.cluster.links.borrow_mut().set(End::Machine(at), End::Operator, Passage::Lost);
+                self.cluster
+                    .links
+                    .borrow_mut()
+                    .set(End::Machine(at), End::Operator, Passage::Lost);
             }
             Kind::SlowLinks(ms) => {
                 let mut links = self.cluster.links.borrow_mut();
                 for one in 0..MACHINES {
                     for other in 0..CONTROLS {
-                        links.delay(End::Machine(one), End::Machine(other), Duration::from_millis(ms));
+                        links.delay(
+                            End::Machine(one),
+                            End::Machine(other),
+                            Duration::from_millis(ms),
+                        );
                     }
                 }
             }
@@ -290,11 +325,17 @@
             Kind::ProxyKill(at) => self.start(Which::Proxy(at))?,
             Kind::ControlFreeze(at) => self.cluster.controls[at].thaw(),
             Kind::ProxyFreeze(at) => self.cluster.proxies[at].thaw(),
-            Kind::ControlCut(at) | Kind::ControlMute(at) | Kind::ControlDeaf(at) | Kind::SessionCut(at) => {
+            Kind::ControlCut(at)
+            | Kind::ControlMute(at)
+            | Kind::ControlDeaf(at)
+            | Kind::SessionCut(at) => {
                 self.open_links(at);
             }
             Kind::AnswersLost(at) => {
-                self.cluster.links.borrow_mut().set(End::Machine(at), End::Operator, Passage::Open);
+                self.cluster
+                    .links
+                    .borrow_mut()
+                    .set(End::Machine(at), End::Operator, Passage::Open);
             }
             Kind::SlowLinks(_) => {
                 let mut links = self.cluster.links.borrow_mut();
--- a/crates/sandtrack-fault-tests/src/soak/upstreams.rs
+++ b/crates/sandtrack-fault-tests/src/soak/upstreams.rs
@@ -79,7 +79,10 @@
 
     /// A client may be left without a whole answer by it.
     pub fn breaks(self) -> bool {
-        !matches!(self, Trouble::SurplusNow | Trouble::SurplusLater | Trouble::Closes | Trouble::Unframed)
+        !matches!(
+            self,
+            Trouble::SurplusNow | Trouble::SurplusLater | Trouble::Closes | Trouble::Unframed
+        )
     }
 }
 
@@ -129,7 +132,10 @@
     /// # Errors
     /// Where an address can't be listened on.
     pub fn open(
-        addresses: &Addresses, records: &Rc<Records>, seed: u64, spawner: &Spawner<'_>,
+        addresses: &Addresses,
+        records: &Rc<Records>,
+        seed: u64,
+        spawner: &Spawner<'_>,
     ) -> io::Result<Rc<Upstreams>> {
         let place = |number| Place {
             address: addresses.system_upstream(number),
@@ -137,7 +143,9 @@
             life: Cell::new(0),
         };
         let upstreams = Rc::new(Upstreams {
-            places: (0..UPSTREAMS).map(|number| Rc::new(place(number))).collect(),
+            places: (0..UPSTREAMS)
+                .map(|number| Rc::new(place(number)))
+                .collect(),
             records: records.clone(),
             trouble: Cell::new(0.0),
             rng: RefCell::new(Pcg64::seed_from_u64(seed)),
@@ -173,13 +181,17 @@
             draining: false,
         };
         self.places[place].occupant.replace(Some(occupant));
-        self.places[place].life.set(self.places[place].life.get() + 1);
+        self.places[place]
+            .life
+            .set(self.places[place].life.get() + 1);
     }
 
     /// Nobody lives there any more; all its connections are reset.
     pub fn crash(&self, place: usize) {
         self.places[place].occupant.replace(None);
-        self.places[place].life.set(self.places[place].life.get() + 1);
+        self.places[place]
+            .life
+            .set(self.places[place].life.get() + 1);
     }
 
     pub fn drain(&self, place: usize) {
@@ -213,7 +225,9 @@
 /// One connection: it ends with the life of its upstream.
 async fn serve(upstreams: Rc<Upstreams>, place: Rc<Place>, stream: Async<TcpStream>) {
     let life = place.life.get();
-    let Some(occupant) = place.occupant.borrow().clone() else { return reset(&stream) };
+    let Some(occupant) = place.occupant.borrow().clone() else {
+        return reset(&stream);
+    };
     let mut wire = Wire::new(stream, Side::Request);
     let served = async {
         while let Some(request) = wire.read().await {
@@ -257,12 +271,20 @@
 }
 
 async fn answer(
-    upstreams: &Upstreams, place: &Place, occupant: &Occupant, wire: &Wire, request: &Message,
+    upstreams: &Upstreams,
+    place: &Place,
+    occupant: &Occupant,
+    wire: &Wire,
+    request: &Message,
 ) -> After {
     let headers = &request.head.headers;
     let cold = (occupant.cold_until - upstreams.records.now()).max(0.0);
     if request.head.target == HEALTH {
-        let draining = place.occupant.borrow().as_ref().is_some_and(|occupant| occupant.draining);
+        let draining = place
+            .occupant
+            .borrow()
+            .as_ref()
+            .is_some_and(|occupant| occupant.draining);
         let status = if draining { 503 } else { 200 };
         let cold = format!("{:.0}", cold * 1000.0);
         let own = [
@@ -270,17 +292,25 @@
             ("Server-Load", "0,0,64"),
             ("Cold-Remaining", cold.as_str()),
         ];
-        return wire.write(&message::response(status, own.into_iter(), b"well", false)).await.into();
+        return wire
+            .write(&message::response(status, own.into_iter(), b"well", false))
+            .await
+            .into();
     }
     let Some(id) = headers.get("request-id").filter(|id| !id.is_empty()) else {
         return wire.write(&turned_away("", 400)).await.into();
     };
-    if headers.get("expected-instance").is_some_and(|expected| expected != &*occupant.identifier) {
+    if headers
+        .get("expected-instance")
+        .is_some_and(|expected| expected != &*occupant.identifier)
+    {
         return wire.write(&turned_away(id, 421)).await.into();
     }
     let trouble = upstreams.draw();
     let ran = !matches!(trouble, Some(Trouble::ResetBefore | Trouble::NotExecuted));
-    let handed = headers.get("deadline-remaining").and_then(|left| left.trim().parse::<f64>().ok());
+    let handed = headers
+        .get("deadline-remaining")
+        .and_then(|left| left.trim().parse::<f64>().ok());
     upstreams.records.arrivals.borrow_mut().push(Arrival {
         at: upstreams.records.now(),
         id: id.to_owned(),
@@ -300,16 +330,34 @@
         Some(Trouble::NotExecuted) => return wire.write(&turned_away(id, 503)).await.into(),
         _ => {}
     }
-    Timer::after(if trouble == Some(Trouble::Slow) { SLOW } else { WORK }).await;
+    Timer::after(if trouble == Some(Trouble::Slow) {
+        SLOW
+    } else {
+        WORK
+    })
+    .await;
     match trouble {
         Some(Trouble::ResetAfter) => return After::Reset,
         Some(Trouble::Silence) => future::pending::<()>().await,
         _ => {}
     }
-    let answer = Answer { wire, id, occupant, trouble };
+    let answer = Answer {
+        wire,
+        id,
+        occupant,
+        trouble,
+    };
     let is_stream = Route::of_target(&request.head.target).is_some_and(Route::is_stream);
     match is_stream && trouble != Some(Trouble::Fails) {
-        true => answer.stream(headers.get("last-event-id").and_then(|last| last.parse().ok())).await,
+        true => {
+            answer
+                .stream(
+                    headers
+                        .get("last-event-id")
+                        .and_then(|last| last.parse().ok()),
+                )
+                .await
+        }
         false => answer.plain().await,
     }
 }
@@ -330,9 +378,21 @@
 impl Answer<'_> {
     fn head(&self, flow: Flow, kind: &str) -> Vec<u8> {
         let seal = seal(self.id, &self.occupant.identifier);
-        let id = if self.trouble == Some(Trouble::OtherId) { "another-request" } else { self.id };
-        let headers = [("Content-Type", kind), ("Request-Id", id), ("Server-Seal", seal.as_str())];
-        let status = if self.trouble == Some(Trouble::Fails) { 500 } else { 200 };
+        let id = if self.trouble == Some(Trouble::OtherId) {
+            "another-request"
+        } else {
+            self.id
+        };
+        let headers = [
+            ("Content-Type", kind),
+            ("Request-Id", id),
+            ("Server-Seal", seal.as_str()),
+        ];
+        let status = if self.trouble == Some(Trouble::Fails) {
+            500
+        } else {
+            200
+        };
         let closes = matches!(self.trouble, Some(Trouble::Closes | Trouble::Unframed));
         message::response_head(status, headers.into_iter(), flow, closes)
     }
@@ -352,7 +412,11 @@
     }
 
     async fn stream(&self, last: Option<u64>) -> After {
-        let flow = if self.trouble == Some(Trouble::Unframed) { Flow::UntilEnd } else { Flow::Chunks };
+        let flow = if self.trouble == Some(Trouble::Unframed) {
+            Flow::UntilEnd
+        } else {
+            Flow::Chunks
+        };
         if !self.wire.write(&self.head(flow, "text/event-stream")).await {
             return After::Close;
         }
@@ -361,7 +425,9 @@
             Timer::after(EVENT_EVERY).await;
             let event = event(self.id, number);
             if self.trouble == Some(Trouble::ResetWithin) && number > most / 2 {
-                self.wire.write(&flow.piece(&event.as_bytes()[..event.len() / 2])).await;
+                self.wire
+                    .write(&flow.piece(&event.as_bytes()[..event.len() / 2]))
+                    .await;
                 return After::Reset;
             }
             if !self.wire.write(&flow.piece(event.as_bytes())).await {
@@ -376,12 +442,21 @@
         match self.trouble {
             Some(Trouble::SurplusNow) => {}
             Some(Trouble::SurplusLater) => drop(Timer::after(SURPLUS_AFTER).await),
-            Some(Trouble::Closes | Trouble::ClosesUntold | Trouble::Unframed) => return After::Close,
+            Some(Trouble::Closes | Trouble::ClosesUntold | Trouble::Unframed) => {
+                return After::Close
+            }
             _ => return written.into(),
         }
-        let nobodys = Answer { id: "nobodys-request", trouble: None, ..*self };
+        let nobodys = Answer {
+            id: "nobodys-request",
+            trouble: None,
+            ..*self
+        };
         let body = body(nobodys.id, &self.occupant.identifier);
         let head = nobodys.head(Flow::Length(body.len()), "text/plain");
-        self.wire.write(&[head, body.into_bytes()].concat()).await.into()
+        self.wire
+            .write(&[head, body.into_bytes()].concat())
+            .await
+            .into()
     }
 }
--- a/crates/sandtrack-fault-tests/src/starvation.rs
+++ b/crates/sandtrack-fault-tests/src/starvation.rs
@@ -30,14 +30,20 @@
             self.samples.clear();
         }
         self.samples.push_back(Sample { at, waited });
-        while self.samples.front().is_some_and(|first| at.duration_since(first.at) > WINDOW) {
+        while self
+            .samples
+            .front()
+            .is_some_and(|first| at.duration_since(first.at) > WINDOW)
+        {
             self.samples.pop_front();
         }
     }
 
     /// Whether it had no processor for long enough to be taken for stopped.
     pub fn is_starved(&self) -> bool {
-        let (Some(first), Some(last)) = (self.samples.front(), self.samples.back()) else { return false };
+        let (Some(first), Some(last)) = (self.samples.front(), self.samples.back()) else {
+            return false;
+        };
         last.waited - first.waited >= PAUSE
     }
 }
--- a/crates/sandtrack-fault-tests/src/system/client.rs
+++ b/crates/sandtrack-fault-tests/src/system/client.rs
@@ -44,7 +44,12 @@
 
 impl Client {
     pub fn new(name: &str, front: SocketAddrV4) -> Client {
-        Client { front, wire: None, name: name.to_owned(), sent: 0 }
+        Client {
+            front,
+            wire: None,
+            name: name.to_owned(),
+            sent: 0,
+        }
     }
 
     /// The next request of this kind, on the route of the kind.
@@ -61,7 +66,14 @@
             _ => ("POST", format!("order of {id}").into_bytes()),
         };
         let target = format!("/{prefix}/{id}?at={}", self.sent);
-        let mut asked = Asked { id, kind, method, target, body, ended: Ended::Broke };
+        let mut asked = Asked {
+            id,
+            kind,
+            method,
+            target,
+            body,
+            ended: Ended::Broke,
+        };
         asked.ended = self.exchange(&asked).await;
         asked
     }
@@ -75,14 +87,26 @@
             Some(wire) => Some(wire),
             None => within(PATIENCE, Wire::connect(self.front)).await,
         };
-        let Some(mut wire) = connected else { return Ended::Broke };
-        let headers =
-            [("Host", HOST), ("Request-Id", asked.id.as_str()), ("Deadline-Remaining", DEADLINE_MS)];
-        let bytes = message::request(asked.method, &asked.target, headers.into_iter(), &asked.body);
+        let Some(mut wire) = connected else {
+            return Ended::Broke;
+        };
+        let headers = [
+            ("Host", HOST),
+            ("Request-Id", asked.id.as_str()),
+            ("Deadline-Remaining", DEADLINE_MS),
+        ];
+        let bytes = message::request(
+            asked.method,
+            &asked.target,
+            headers.into_iter(),
+            &asked.body,
+        );
         if !wire.write(&bytes).await {
             return Ended::Broke;
         }
-        let Some(answer) = within(PATIENCE, wire.read()).await else { return Ended::Broke };
+        let Some(answer) = within(PATIENCE, wire.read()).await else {
+            return Ended::Broke;
+        };
         if answer.head.keep_alive {
             self.wire = Some(wire);
         }
@@ -93,7 +117,11 @@
 fn judge(asked: &Asked, answer: &Message) -> Ended {
     let told = answer.head.headers.get("request-id");
     if told.is_some_and(|id| id != asked.id) {
-        return Ended::Wrong(format!("{} got the answer to {}", asked.id, told.unwrap_or_default()));
+        return Ended::Wrong(format!(
+            "{} got the answer to {}",
+            asked.id,
+            told.unwrap_or_default()
+        ));
     }
     if !(200..300).contains(&answer.head.status) {
         return Ended::Answered(answer.head.status);
@@ -101,7 +129,9 @@
     let sealed = answer.head.headers.get("server-seal").unwrap_or_default();
     let upstream = sealed.split('.').next().unwrap_or_default();
     let expected = match asked.kind.is_stream() {
-        true => (1..=EVENTS).map(|number| event(&asked.id, number)).collect(),
+        true => (1..=EVENTS)
+            .map(|number| event(&asked.id, number))
+            .collect(),
         false => body(&asked.id, upstream),
     };
     if sealed != seal(&asked.id, upstream) || answer.body != expected.as_bytes() {
--- a/crates/sandtrack-fault-tests/src/system/cluster.rs
+++ b/crates/sandtrack-fault-tests/src/system/cluster.rs
@@ -58,7 +58,10 @@
 
 /// Zone of a machine.
 pub fn zone(machine: usize) -> String {
-    format!("hall-{}", char::from(b'a' + u8::try_from(machine % 26).unwrap_or(0)))
+    format!(
+        "hall-{}",
+        char::from(b'a' + u8::try_from(machine % 26).unwrap_or(0))
+    )
 }
 
 fn machines(shape: Shape) -> Vec<Machine> {
@@ -76,7 +79,11 @@
     /// # Errors
     /// Where addresses or files can't be had.
     pub fn open(
-        shape: Shape, seed: u64, folder: &Path, programs: &Programs, spawner: &Spawner<'_>,
+        shape: Shape,
+        seed: u64,
+        folder: &Path,
+        programs: &Programs,
+        spawner: &Spawner<'_>,
     ) -> io::Result<Cluster> {
         let plan = Rc::new(Plan::take()?);
         let machines = machines(shape);
@@ -92,11 +99,17 @@
             let settings = settings::of(&plan, &machines, role, number, &data);
             Process::new(role, number, settings, folder, programs)
         };
-        let controls: Vec<Process> =
-            (0..shape.controls).map(|number| process(Role::Control, number)).collect();
-        let proxies = (0..shape.machines).map(|number| process(Role::Proxy, number)).collect();
-        let operator =
-            Operator::new((0..shape.controls).map(|number| plan.announced(number, CONTROL)).collect());
+        let controls: Vec<Process> = (0..shape.controls)
+            .map(|number| process(Role::Control, number))
+            .collect();
+        let proxies = (0..shape.machines)
+            .map(|number| process(Role::Proxy, number))
+            .collect();
+        let operator = Operator::new(
+            (0..shape.controls)
+                .map(|number| plan.announced(number, CONTROL))
+                .collect(),
+        );
         open_relays(&plan, &machines, &links, spawner)?;
         let runs = SharedRunBook::default();
         let mut upstreams = Vec::new();
@@ -141,7 +154,9 @@
     /// Where a process can't be made.
     pub fn start(&mut self, proxies: &[usize]) -> io::Result<()> {
         self.controls.iter_mut().try_for_each(Process::start)?;
-        proxies.iter().try_for_each(|number| self.proxies[*number].start())
+        proxies
+            .iter()
+            .try_for_each(|number| self.proxies[*number].start())
     }
 
     /// The machines that have a control node, from `first` on, and round.
@@ -171,14 +186,22 @@
     /// # Errors
     /// Where it does not come within a generous limit, or a process ends by itself.
     pub async fn until(
-        &mut self, what: &str, mut seen: impl AsyncFnMut(&mut Cluster) -> Option<String>,
+        &mut self,
+        what: &str,
+        mut seen: impl AsyncFnMut(&mut Cluster) -> Option<String>,
     ) -> Result<(), Stopped> {
         let began = Instant::now();
         loop {
             self.look()?;
-            let Some(seen) = seen(self).await else { return Ok(()) };
+            let Some(seen) = seen(self).await else {
+                return Ok(());
+            };
             if began.elapsed() > GENEROUS {
-                return Err(Stopped::Late { what: what.to_owned(), limit: GENEROUS, seen });
+                return Err(Stopped::Late {
+                    what: what.to_owned(),
+                    limit: GENEROUS,
+                    seen,
+                });
             }
             Timer::after(LOOK).await;
         }
@@ -211,7 +234,9 @@
         self.look()?;
         match answer.map(|answer| (answer.head.status, answer.body)) {
             Some((200, _)) => Ok(()),
-            Some((status, body)) => Err(late(format!("{status} {}", String::from_utf8_lossy(&body)))),
+            Some((status, body)) => {
+                Err(late(format!("{status} {}", String::from_utf8_lossy(&body))))
+            }
             None => Err(late("no definite answer".to_owned())),
         }
     }
@@ -221,7 +246,11 @@
     /// # Errors
     /// Where there is no answer in time.
     pub async fn read_back(&mut self, machines: &[usize]) -> Result<Value, Stopped> {
-        let answer = self.operator.clone().send(&Call::read(), machines, GENEROUS).await;
+        let answer = self
+            .operator
+            .clone()
+            .send(&Call::read(), machines, GENEROUS)
+            .await;
         self.look()?;
         let answer = answer.filter(|answer| answer.head.status == 200);
         let document = answer.and_then(|answer| serde_json::from_slice(&answer.body).ok());
@@ -247,7 +276,9 @@
     /// # Errors
     /// Where a change is not confirmed, or nothing can be read.
     pub async fn changes_are_read(
-        &mut self, history: &mut History, first: usize,
+        &mut self,
+        history: &mut History,
+        first: usize,
     ) -> Result<Option<String>, Stopped> {
         let machines = self.controls_from(first);
         for _ in 0..CHANGES {
@@ -270,10 +301,13 @@
     /// Where it does not come to that.
     pub async fn until_served(&mut self, machine: usize, prefix: &str) -> Result<(), Stopped> {
         let mut client = self.client(&format!("look-{machine}-{prefix}"), machine);
-        self.until(&format!("the front of machine {machine} serves /{prefix}/"), async |_| {
-            let asked = client.ask_at(Kind::ReadOnly, prefix).await;
-            (asked.ended != Ended::Answered(200)).then(|| format!("{:?}", asked.ended))
-        })
+        self.until(
+            &format!("the front of machine {machine} serves /{prefix}/"),
+            async |_| {
+                let asked = client.ask_at(Kind::ReadOnly, prefix).await;
+                (asked.ended != Ended::Answered(200)).then(|| format!("{:?}", asked.ended))
+            },
+        )
         .await
     }
 
@@ -284,14 +318,18 @@
     /// Where they do not come to that.
     pub async fn until_in_line(&mut self, machines: &[usize], chain: usize) -> Result<(), Stopped> {
         for machine in machines {
-            self.until(&format!("control of machine {machine} is in line"), async |cluster| {
-                let Some(status) = cluster.operator.status(*machine).await else {
-                    return Some("no status".to_owned());
-                };
-                let links = status["view"]["chain"].as_array().map_or(0, Vec::len);
-                let is_so = status["attached"] == true && status["caught_up"] == true && links == chain;
-                (!is_so).then(|| status.to_string())
-            })
+            self.until(
+                &format!("control of machine {machine} is in line"),
+                async |cluster| {
+                    let Some(status) = cluster.operator.status(*machine).await else {
+                        return Some("no status".to_owned());
+                    };
+                    let links = status["view"]["chain"].as_array().map_or(0, Vec::len);
+                    let is_so =
+                        status["attached"] == true && status["caught_up"] == true && links == chain;
+                    (!is_so).then(|| status.to_string())
+                },
+            )
             .await?;
         }
         Ok(())
@@ -304,12 +342,14 @@
     pub async fn begin(&mut self, configuration: &Value, proxies: &[usize]) -> Result<(), Stopped> {
         self.start(proxies)?;
         let all = self.controls_from(0);
-        self.confirm(&documents::replace(0, configuration), &all).await?;
+        self.confirm(&documents::replace(0, configuration), &all)
+            .await?;
         self.until_in_line(&all, all.len()).await?;
         for machine in proxies {
-            self.until(&format!("the front of machine {machine} is ready"), async |cluster| {
-                (!cluster.is_ready(*machine).await).then(|| "not ready".to_owned())
-            })
+            self.until(
+                &format!("the front of machine {machine} is ready"),
+                async |cluster| (!cluster.is_ready(*machine).await).then(|| "not ready".to_owned()),
+            )
             .await?;
         }
         Ok(())
@@ -317,7 +357,10 @@
 }
 
 fn open_relays(
-    plan: &Plan, machines: &[Machine], links: &SharedLinks, spawner: &Spawner<'_>,
+    plan: &Plan,
+    machines: &[Machine],
+    links: &SharedLinks,
+    spawner: &Spawner<'_>,
 ) -> io::Result<()> {
     let both = [Role::Control, Role::Proxy];
     let names = both
@@ -325,7 +368,11 @@
         .flat_map(|role| (0..machines.len()).map(move |number| (node_name(*role, number), number)));
     let names: Machines = Rc::new(names.collect::<BTreeMap<_, _>>());
     for machine in (0..machines.len()).filter(|machine| machines[*machine].control) {
-        let places = [(Spoken::Peers, PEERS), (Spoken::Sessions, SESSIONS), (Spoken::Operators, CONTROL)];
+        let places = [
+            (Spoken::Peers, PEERS),
+            (Spoken::Sessions, SESSIONS),
+            (Spoken::Operators, CONTROL),
+        ];
         for (spoken, port) in places {
             let place = Place {
                 links: links.clone(),
--- a/crates/sandtrack-fault-tests/src/system/documents.rs
+++ b/crates/sandtrack-fault-tests/src/system/documents.rs
@@ -19,7 +19,12 @@
 }
 
 impl Kind {
-    pub const ALL: [Kind; 4] = [Kind::ReadOnly, Kind::Mutating, Kind::Stream, Kind::ResumableStream];
+    pub const ALL: [Kind; 4] = [
+        Kind::ReadOnly,
+        Kind::Mutating,
+        Kind::Stream,
+        Kind::ResumableStream,
+    ];
 
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Stream | Kind::ResumableStream)
@@ -86,7 +91,13 @@
     /// The history that begins with a configuration of one route, and that configuration.
     pub fn begin() -> (History, Value) {
         let document = configuration(1, &[route("first", Kind::ReadOnly)]);
-        (History { version: 1, routes: vec!["first".to_owned()] }, document)
+        (
+            History {
+                version: 1,
+                routes: vec!["first".to_owned()],
+            },
+            document,
+        )
     }
 
     pub fn version(&self) -> u64 {
@@ -97,8 +108,7 @@
     pub fn change(&mut self) -> Call {
         let (based_on, version) = (self.version, self.version + 1 + self.version % 2);
         let name = format!("change-{version}");
-        let change =
-            json!({"version_number": version, "set_items": {"routes": [route(&name, Kind::ReadOnly)]}});
+        let change = json!({"version_number": version, "set_items": {"routes": [route(&name, Kind::ReadOnly)]}});
         self.version = version;
         self.routes.push(name);
         Call::update(based_on, change.to_string().into_bytes())
@@ -112,6 +122,9 @@
         }
         let routes = document["routes"].as_array().cloned().unwrap_or_default();
         let has = |name: &String| routes.iter().any(|route| route["name"] == name.as_str());
-        self.routes.iter().find(|name| !has(name)).map(|name| format!("route {name} is missing"))
+        self.routes
+            .iter()
+            .find(|name| !has(name))
+            .map(|name| format!("route {name} is missing"))
     }
 }
--- a/crates/sandtrack-fault-tests/src/system/links.rs
+++ b/crates/sandtrack-fault-tests/src/system/links.rs
@@ -53,7 +53,10 @@
 
     /// What holds from one end to another now.
     pub fn direction(&self, from: End, to: End) -> Direction {
-        self.directions.get(&(from, to)).copied().unwrap_or_default()
+        self.directions
+            .get(&(from, to))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Whether a connection between the two can come up: it takes both directions.
@@ -75,7 +78,11 @@
     /// Holds up everything between one machine and the others, both ways.
     pub fn cut_off(&mut self, machine: usize, others: impl IntoIterator<Item = usize>) {
         let one = End::Machine(machine);
-        for other in others.into_iter().filter(|other| *other != machine).map(End::Machine) {
+        for other in others
+            .into_iter()
+            .filter(|other| *other != machine)
+            .map(End::Machine)
+        {
             self.set(one, other, Passage::Held);
             self.set(other, one, Passage::Held);
         }
@@ -88,15 +95,22 @@
 
     /// Resets all connections between the two ends.
     pub fn reset(&mut self, one: End, other: End) {
-        self.connections
-            .retain(|_, connection| connection.ends != (one, other) && connection.ends != (other, one));
+        self.connections.retain(|_, connection| {
+            connection.ends != (one, other) && connection.ends != (other, one)
+        });
     }
 
     /// A connection came up. It is to end when the receiver says that it is closed.
     pub fn opened(&mut self, from: End, to: End) -> (u64, async_channel::Receiver<()>) {
         let (alive, ended) = async_channel::bounded(1);
         self.next += 1;
-        self.connections.insert(self.next, Connection { ends: (from, to), _alive: alive });
+        self.connections.insert(
+            self.next,
+            Connection {
+                ends: (from, to),
+                _alive: alive,
+            },
+        );
         (self.next, ended)
     }
 
--- a/crates/sandtrack-fault-tests/src/system/operator.rs
+++ b/crates/sandtrack-fault-tests/src/system/operator.rs
@@ -32,7 +32,12 @@
 
 impl Operator {
     pub fn new(addresses: Vec<SocketAddrV4>) -> Operator {
-        Operator { addresses, clock: Instant::now(), begun: Cell::new(0), tries: RefCell::default() }
+        Operator {
+            addresses,
+            clock: Instant::now(),
+            begun: Cell::new(0),
+            tries: RefCell::default(),
+        }
     }
 
     fn now(&self) -> f64 {
@@ -46,11 +51,17 @@
     }
 
     async fn exchange(
-        &self, call: &Call, address: SocketAddr, target: &str,
+        &self,
+        call: &Call,
+        address: SocketAddr,
+        target: &str,
     ) -> Result<Message, TransportError> {
         self.begun.set(self.begun.get() + 1);
         let result = exchange(call, address, target).await;
-        let machine = self.addresses.iter().position(|known| SocketAddr::V4(*known) == address);
+        let machine = self
+            .addresses
+            .iter()
+            .position(|known| SocketAddr::V4(*known) == address);
         self.tries.borrow_mut().push(Try {
             machine: machine.unwrap_or(usize::MAX),
             target: target.to_owned(),
@@ -61,8 +72,10 @@
 
     /// Sends a call until it has a definite answer, at `machines` in turn; `None`: it had none within `limit`.
     pub async fn send(&self, call: &Call, machines: &[usize], limit: Duration) -> Option<Message> {
-        let addresses: Vec<SocketAddr> =
-            machines.iter().map(|machine| SocketAddr::V4(self.addresses[*machine])).collect();
+        let addresses: Vec<SocketAddr> = machines
+            .iter()
+            .map(|machine| SocketAddr::V4(self.addresses[*machine]))
+            .collect();
         let now = self.now();
         let mut retry = Retry::new(&addresses, now, now + limit.as_secs_f64() * 1000.0);
         loop {
@@ -72,7 +85,9 @@
                     let came = self.exchange(call, address, &target).await;
                     retry.came(self.now(), came);
                 }
-                Step::Pause(time) => drop(Timer::after(Duration::from_secs_f64(time / 1000.0)).await),
+                Step::Pause(time) => {
+                    drop(Timer::after(Duration::from_secs_f64(time / 1000.0)).await)
+                }
                 Step::Answered(answer) => return Some(answer),
                 Step::GivenUp { .. } => return None,
             }
@@ -86,7 +101,11 @@
     }
 }
 
-async fn exchange(call: &Call, address: SocketAddr, target: &str) -> Result<Message, TransportError> {
+async fn exchange(
+    call: &Call,
+    address: SocketAddr,
+    target: &str,
+) -> Result<Message, TransportError> {
     let SocketAddr::V4(to) = address else {
         return Err(TransportError::NotConnected(ErrorKind::InvalidInput));
     };
--- a/crates/sandtrack-fault-tests/src/system/platform.rs
+++ b/crates/sandtrack-fault-tests/src/system/platform.rs
@@ -60,7 +60,10 @@
         let body = json!({"instances": list, "next_token": null}).to_string();
         let status = if is_list { 200 } else { 404 };
         let kind = [("Content-Type", "application/json")].into_iter();
-        if !wire.write(&message::response(status, kind, body.as_bytes(), false)).await {
+        if !wire
+            .write(&message::response(status, kind, body.as_bytes(), false))
+            .await
+        {
             return;
         }
     }
--- a/crates/sandtrack-fault-tests/src/system/process.rs
+++ b/crates/sandtrack-fault-tests/src/system/process.rs
@@ -31,7 +31,10 @@
                 command.arg(named);
             }
             Some(builds) => {
-                command.arg(&self.rig).args(["program", "--build"]).arg(builds.join(role.program()));
+                command
+                    .arg(&self.rig)
+                    .args(["program", "--build"])
+                    .arg(builds.join(role.program()));
             }
         }
         Ok(command)
@@ -59,7 +62,13 @@
 }
 
 impl Process {
-    pub fn new(role: Role, machine: usize, settings: Value, folder: &Path, programs: &Programs) -> Process {
+    pub fn new(
+        role: Role,
+        machine: usize,
+        settings: Value,
+        folder: &Path,
+        programs: &Programs,
+    ) -> Process {
         Process {
             role,
             machine,
@@ -105,11 +114,17 @@
         }
         std::fs::create_dir_all(Process::data(&self.folder, self.role, self.machine))?;
         self.reconfigure(|_| {})?;
-        let log = std::fs::File::options().create(true).append(true).open(self.file("log"))?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.file("log"))?;
         let mut command = self.programs.command(self.role, &self.folder)?;
         command.env("SANDTRACK_BOOT", self.file("settings.json"));
         // Through a pipe, as a limit on files is meant for the disk alone.
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn()?;
         let told = child.stderr.take();
         self.child = Some(child);
@@ -178,7 +193,10 @@
     /// From now on its files can't get longer than this; `None`: as long as they like.
     pub fn limit_files(&self, most: Option<u64>) {
         let id = self.child.as_ref().map(Pid::from_child);
-        let limit = Rlimit { current: most, maximum: None };
+        let limit = Rlimit {
+            current: most,
+            maximum: None,
+        };
         // It fails only where the process has ended, which is found out when it is reaped.
         let _ = id.map(|id| prlimit(Some(id), Resource::Fsize, limit));
     }
@@ -188,12 +206,20 @@
     /// # Errors
     /// Where it ended without having been told to, or not in order.
     pub fn is_running(&mut self) -> Result<bool, EndedByItself> {
-        let status = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
-        let Some(status) = status else { return Ok(self.child.is_some()) };
+        let status = self
+            .child
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten());
+        let Some(status) = status else {
+            return Ok(self.child.is_some());
+        };
         self.child = None;
         match self.leaving && status.success() {
             true => Ok(false),
-            false => Err(EndedByItself { name: self.name.clone(), status }),
+            false => Err(EndedByItself {
+                name: self.name.clone(),
+                status,
+            }),
         }
     }
 }
--- a/crates/sandtrack-fault-tests/src/system/relay.rs
+++ b/crates/sandtrack-fault-tests/src/system/relay.rs
@@ -67,9 +67,13 @@
 }
 
 async fn carry(place: Place, caller: Async<TcpStream>) {
-    let Some((from, first)) = identify(&place, &caller).await else { return reset(&caller) };
+    let Some((from, first)) = identify(&place, &caller).await else {
+        return reset(&caller);
+    };
     let to = End::Machine(place.machine);
-    let Some(first) = until_passable(&place.links, from, to, &caller, first).await else { return };
+    let Some(first) = until_passable(&place.links, from, to, &caller, first).await else {
+        return;
+    };
     let Ok(called) = Async::<TcpStream>::connect(SocketAddr::V4(place.behind)).await else {
         return reset(&caller);
     };
@@ -81,9 +85,25 @@
         let _ = ended.recv().await;
         Err(io::ErrorKind::ConnectionReset.into())
     };
-    let there = Pipe { links: &place.links, from, to, source: &caller, sink: &called };
-    let back = Pipe { links: &place.links, from: to, to: from, source: &called, sink: &caller };
-    let passed = async { future::try_zip(there.run(first), back.run(Vec::new())).await.map(drop) };
+    let there = Pipe {
+        links: &place.links,
+        from,
+        to,
+        source: &caller,
+        sink: &called,
+    };
+    let back = Pipe {
+        links: &place.links,
+        from: to,
+        to: from,
+        source: &called,
+        sink: &caller,
+    };
+    let passed = async {
+        future::try_zip(there.run(first), back.run(Vec::new()))
+            .await
+            .map(drop)
+    };
     if future::or(ended, passed).await.is_err() {
         reset(&caller);
         reset(&called);
@@ -133,14 +153,20 @@
 async fn read(stream: &Async<TcpStream>, bytes: &mut Vec<u8>) -> io::Result<usize> {
     let start = bytes.len();
     bytes.resize(start + PIECE, 0);
-    let count = stream.read_with(|mut socket| socket.read(&mut bytes[start..])).await;
+    let count = stream
+        .read_with(|mut socket| socket.read(&mut bytes[start..]))
+        .await;
     bytes.truncate(start + count.as_ref().map_or(0, |count| *count));
     count
 }
 
 /// Waits until the connection can come up; `None` when its caller gave up before.
 async fn until_passable(
-    links: &SharedLinks, from: End, to: End, caller: &Async<TcpStream>, mut first: Vec<u8>,
+    links: &SharedLinks,
+    from: End,
+    to: End,
+    caller: &Async<TcpStream>,
+    mut first: Vec<u8>,
 ) -> Option<Vec<u8>> {
     if links.borrow().is_passable(from, to) {
         return Some(first);
@@ -175,7 +201,12 @@
         let (sender, receiver) = async_channel::bounded(UNDER_WAY);
         let _ = sender.try_send((Instant::now(), Some(first)));
         let was_reset = Cell::new(false);
-        future::try_zip(self.take(sender, &was_reset), self.give(receiver, &was_reset)).await.map(drop)
+        future::try_zip(
+            self.take(sender, &was_reset),
+            self.give(receiver, &was_reset),
+        )
+        .await
+        .map(drop)
     }
 
     fn delay(&self) -> Duration {
@@ -183,14 +214,23 @@
     }
 
     /// Takes what the sender writes until it closes or resets.
-    async fn take(&self, sender: async_channel::Sender<UnderWay>, was_reset: &Cell<bool>) -> io::Result<()> {
+    async fn take(
+        &self,
+        sender: async_channel::Sender<UnderWay>,
+        was_reset: &Cell<bool>,
+    ) -> io::Result<()> {
         loop {
             let mut bytes = Vec::new();
             let count = read(self.source, &mut bytes).await;
             was_reset.set(count.is_err());
             let closed = !count.is_ok_and(|count| count > 0);
             let arrives = Instant::now() + self.delay();
-            if sender.send((arrives, (!closed).then_some(bytes))).await.is_err() || closed {
+            if sender
+                .send((arrives, (!closed).then_some(bytes)))
+                .await
+                .is_err()
+                || closed
+            {
                 return Ok(());
             }
         }
@@ -198,7 +238,9 @@
 
     /// Gives the receiver what is under way, when it arrives and the link lets it pass.
     async fn give(
-        &self, receiver: async_channel::Receiver<UnderWay>, was_reset: &Cell<bool>,
+        &self,
+        receiver: async_channel::Receiver<UnderWay>,
+        was_reset: &Cell<bool>,
     ) -> io::Result<()> {
         let mut is_lossy = false;
         while let Ok((arrives, bytes)) = receiver.recv().await {
@@ -229,7 +271,10 @@
 
     async fn write(&self, mut rest: &[u8]) -> io::Result<()> {
         while !rest.is_empty() {
-            let count = self.sink.write_with(|mut socket| socket.write(rest)).await?;
+            let count = self
+                .sink
+                .write_with(|mut socket| socket.write(rest))
+                .await?;
             rest = &rest[count..];
         }
         Ok(())
--- a/crates/sandtrack-fault-tests/src/system/report.rs
+++ b/crates/sandtrack-fault-tests/src/system/report.rs
@@ -20,7 +20,11 @@
     #[error("{0}")]
     Ended(#[from] EndedByItself),
     #[error("not so within {limit:?}: {what}; {seen}")]
-    Late { what: String, limit: Duration, seen: String },
+    Late {
+        what: String,
+        limit: Duration,
+        seen: String,
+    },
 }
 
 #[derive(Clone, Debug, Default)]
@@ -35,8 +39,16 @@
 impl Report {
     /// Notes a verdict; `broken` is what was seen against it.
     pub fn judge(&mut self, what: &str, broken: &[String]) {
-        let seen = if broken.is_empty() { "held".to_owned() } else { broken.join("; ") };
-        self.verdicts.push(Verdict { what: what.to_owned(), kept: broken.is_empty(), seen });
+        let seen = if broken.is_empty() {
+            "held".to_owned()
+        } else {
+            broken.join("; ")
+        };
+        self.verdicts.push(Verdict {
+            what: what.to_owned(),
+            kept: broken.is_empty(),
+            seen,
+        });
     }
 
     pub fn is_kept(&self) -> bool {
--- a/crates/sandtrack-fault-tests/src/system/scenarios/cut_off.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/cut_off.rs
@@ -26,14 +26,21 @@
 const FOURTH: u64 = 4;
 
 pub async fn run(cluster: &mut Cluster, cut: Duration) -> Result<(), Stopped> {
-    let old = configuration(1, &[route("old", Kind::ReadOnly), route("both", Kind::ReadOnly)]);
-    let new = configuration(2, &[route("new", Kind::ReadOnly), route("both", Kind::ReadOnly)]);
+    let old = configuration(
+        1,
+        &[route("old", Kind::ReadOnly), route("both", Kind::ReadOnly)],
+    );
+    let new = configuration(
+        2,
+        &[route("new", Kind::ReadOnly), route("both", Kind::ReadOnly)],
+    );
     cluster.begin(&old, &[CALM, STRANDED]).await?;
     for front in [CALM, STRANDED] {
         cluster.until_served(front, "old").await?;
     }
     for machine in REST {
-        cluster.controls[machine].reconfigure(|settings| settings["zones"][NEW_ZONE] = json!("ishikari"))?;
+        cluster.controls[machine]
+            .reconfigure(|settings| settings["zones"][NEW_ZONE] = json!("ishikari"))?;
         cluster.controls[machine].hang_up();
     }
 
@@ -42,19 +49,33 @@
     cluster.confirm(&replace(1, &new), &REST).await?;
     cluster.until_served(STRANDED, "new").await?;
     strand(cluster);
-    cluster.pass((cut / 2).saturating_sub(began.elapsed())).await?;
+    cluster
+        .pass((cut / 2).saturating_sub(began.elapsed()))
+        .await?;
     cluster.proxies[CUT].start()?;
     let seen = watch(cluster, began + cut).await?;
     cluster.links.borrow_mut().mend();
 
-    cluster.report.judge("the machine that is cut off confirms nothing", &seen.confirmed);
-    cluster.report.judge("it refuses no proper order for good", &seen.refused);
+    cluster.report.judge(
+        "the machine that is cut off confirms nothing",
+        &seen.confirmed,
+    );
     cluster
         .report
-        .judge("it refuses no order for a zone that its settings do not have yet", &seen.unknown_zone);
+        .judge("it refuses no proper order for good", &seen.refused);
+    cluster.report.judge(
+        "it refuses no order for a zone that its settings do not have yet",
+        &seen.unknown_zone,
+    );
     cluster.report.judge("it answers no read", &seen.read);
-    cluster.report.judge("a front that has a newer configuration keeps it", &seen.stranded);
-    cluster.report.judge("a front that starts there gets no old configuration", &seen.started);
+    cluster.report.judge(
+        "a front that has a newer configuration keeps it",
+        &seen.stranded,
+    );
+    cluster.report.judge(
+        "a front that starts there gets no old configuration",
+        &seen.started,
+    );
     afterwards(cluster, &seen.surely_not).await
 }
 
@@ -86,8 +107,7 @@
     let mut stranded = cluster.client("stranded", STRANDED);
     let mut started = cluster.client("started", CUT);
     let third = configuration(THIRD, &[route("third", Kind::ReadOnly)]);
-    let change =
-        json!({"version_number": FOURTH, "set_items": {"routes": [route("fourth", Kind::ReadOnly)]}});
+    let change = json!({"version_number": FOURTH, "set_items": {"routes": [route("fourth", Kind::ReadOnly)]}});
     let orders = [
         ("on the old version", replace(1, &third)),
         ("a configuration", replace(2, &third)),
@@ -101,14 +121,28 @@
             fronts(&mut stranded, &mut started, &mut seen).await;
         }
         let new_zone = Call::evacuate(NEW_ZONE, true);
-        note_order(cluster, &new_zone, &mut seen.confirmed, &mut seen.unknown_zone).await;
+        note_order(
+            cluster,
+            &new_zone,
+            &mut seen.confirmed,
+            &mut seen.unknown_zone,
+        )
+        .await;
         note_read(cluster, &mut seen.read).await;
         if cluster.is_ready(CUT).await {
             seen.started.push("it says that it is ready".to_owned());
         }
         cluster.look()?;
     }
-    let Seen { confirmed, refused, unknown_zone, read, stranded, started, .. } = &mut seen;
+    let Seen {
+        confirmed,
+        refused,
+        unknown_zone,
+        read,
+        stranded,
+        started,
+        ..
+    } = &mut seen;
     for list in [confirmed, refused, unknown_zone, read, stranded, started] {
         list.sort();
         list.dedup();
@@ -118,9 +152,14 @@
 
 /// Sends an order to the machine that is cut off; whether the answer says that it is surely not in force.
 async fn note_order(
-    cluster: &Cluster, order: &Call, confirmed: &mut Vec<String>, refused: &mut Vec<String>,
+    cluster: &Cluster,
+    order: &Call,
+    confirmed: &mut Vec<String>,
+    refused: &mut Vec<String>,
 ) -> bool {
-    let Ok(answer) = cluster.operator.once(order, CUT).await else { return false };
+    let Ok(answer) = cluster.operator.once(order, CUT).await else {
+        return false;
+    };
     let body = String::from_utf8_lossy(&answer.body);
     let said = format!("{} got {} {body}", order.target, answer.head.status);
     match answer.head.status {
@@ -133,7 +172,9 @@
 }
 
 async fn note_read(cluster: &Cluster, read: &mut Vec<String>) {
-    let Ok(answer) = cluster.operator.once(&Call::read(), CUT).await else { return };
+    let Ok(answer) = cluster.operator.once(&Call::read(), CUT).await else {
+        return;
+    };
     if answer.head.status != 503 {
         read.push(format!("a read got {}", answer.head.status));
     }
@@ -153,18 +194,29 @@
     }
 }
 
-async fn afterwards(cluster: &mut Cluster, surely_not: &BTreeMap<&str, bool>) -> Result<(), Stopped> {
+async fn afterwards(
+    cluster: &mut Cluster,
+    surely_not: &BTreeMap<&str, bool>,
+) -> Result<(), Stopped> {
     let mut version = 0;
     let mut confirmed = false;
     // An order without a clear answer may come into force late: then the last one builds on that.
     while !confirmed {
-        version = cluster.read_back(&[CUT]).await?["version_number"].as_u64().unwrap_or(0);
+        version = cluster.read_back(&[CUT]).await?["version_number"]
+            .as_u64()
+            .unwrap_or(0);
         let last = configuration(10, &[route("last", Kind::ReadOnly)]);
-        let answer = cluster.operator.clone().send(&replace(version, &last), &[CUT], GENEROUS).await;
+        let answer = cluster
+            .operator
+            .clone()
+            .send(&replace(version, &last), &[CUT], GENEROUS)
+            .await;
         let status = answer.map(|answer| answer.head.status);
         confirmed = status == Some(200);
         if !matches!(status, Some(200 | 412)) {
-            cluster.report.judge("afterwards it confirms orders", &[format!("{status:?}")]);
+            cluster
+                .report
+                .judge("afterwards it confirms orders", &[format!("{status:?}")]);
             return Ok(());
         }
     }
@@ -180,10 +232,14 @@
     if surely_not["an evacuation"] && status["evacuated"].to_string().contains(&zone(1)) {
         broken.push(format!("{} was evacuated", zone(1)));
     }
-    cluster.report.judge("what it said was surely not in force never was", &broken);
+    cluster
+        .report
+        .judge("what it said was surely not in force never was", &broken);
     for front in [CUT, STRANDED, CALM] {
         cluster.until_served(front, "last").await?;
     }
-    cluster.report.judge("afterwards all fronts are in line", &[]);
+    cluster
+        .report
+        .judge("afterwards all fronts are in line", &[]);
     Ok(())
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/exchanges.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/exchanges.rs
@@ -22,8 +22,12 @@
     for front in fronts {
         cluster.until_served(front, Kind::ReadOnly.prefix()).await?;
     }
-    cluster.upstreams.iter().for_each(|upstream| upstream.make_trouble(TROUBLE));
-    let clients = (0..CLIENTS).map(|number| requests(cluster, number, fronts[number % fronts.len()]));
+    cluster
+        .upstreams
+        .iter()
+        .for_each(|upstream| upstream.make_trouble(TROUBLE));
+    let clients =
+        (0..CLIENTS).map(|number| requests(cluster, number, fronts[number % fronts.len()]));
     let asked: Vec<Asked> = all(clients.collect()).await.concat();
     cluster.look()?;
     judge(cluster, &asked);
@@ -48,34 +52,62 @@
     let mut client = cluster.client(&format!("c{number}"), front);
     let mut asked = Vec::new();
     for turn in 0..REQUESTS {
-        asked.push(client.ask(Kind::ALL[(number + turn) % Kind::ALL.len()]).await);
+        asked.push(
+            client
+                .ask(Kind::ALL[(number + turn) % Kind::ALL.len()])
+                .await,
+        );
     }
     asked
 }
 
 fn judge(cluster: &mut Cluster, asked: &[Asked]) {
     let book = cluster.runs.borrow();
-    let by_id: BTreeMap<&str, &Asked> = asked.iter().map(|asked| (asked.id.as_str(), asked)).collect();
+    let by_id: BTreeMap<&str, &Asked> = asked
+        .iter()
+        .map(|asked| (asked.id.as_str(), asked))
+        .collect();
     let none = Vec::new();
     let runs = |asked: &Asked| book.runs.get(&asked.id).unwrap_or(&none);
-    let wrong: Vec<String> = asked.iter().filter_map(|asked| wrong_answer(asked, runs(asked))).collect();
-    let twice = asked.iter().filter(|asked| !asked.kind.is_idempotent() && runs(asked).len() > 1);
-    let twice: Vec<String> =
-        twice.map(|asked| format!("{} {} ran at {:?}", asked.method, asked.id, runs(asked))).collect();
-    let promised = asked.iter().filter(|asked| is_promise(&asked.ended) && !runs(asked).is_empty());
+    let wrong: Vec<String> = asked
+        .iter()
+        .filter_map(|asked| wrong_answer(asked, runs(asked)))
+        .collect();
+    let twice = asked
+        .iter()
+        .filter(|asked| !asked.kind.is_idempotent() && runs(asked).len() > 1);
+    let twice: Vec<String> = twice
+        .map(|asked| format!("{} {} ran at {:?}", asked.method, asked.id, runs(asked)))
+        .collect();
+    let promised = asked
+        .iter()
+        .filter(|asked| is_promise(&asked.ended) && !runs(asked).is_empty());
     let promised = promised.filter(|asked| !asked.kind.is_idempotent());
-    let promised: Vec<String> =
-        promised.map(|asked| format!("{} got {:?} and had run", asked.id, asked.ended)).collect();
+    let promised: Vec<String> = promised
+        .map(|asked| format!("{} got {:?} and had run", asked.id, asked.ended))
+        .collect();
     let unasked = book.runs.iter().filter(|(id, _)| !id.starts_with("look-"));
-    let unasked: Vec<String> =
-        unasked.filter_map(|(id, runs)| unasked_run(id, by_id.get(id.as_str()), runs)).collect();
+    let unasked: Vec<String> = unasked
+        .filter_map(|(id, runs)| unasked_run(id, by_id.get(id.as_str()), runs))
+        .collect();
     let idle = missing_trouble(asked, &book.troubles);
     drop(book);
-    cluster.report.judge("every client gets its own bytes only", &wrong);
-    cluster.report.judge("what may run once never runs twice", &twice);
-    cluster.report.judge("what was promised not to have run has not run", &promised);
-    cluster.report.judge("upstreams run only what was asked, unchanged", &unasked);
-    cluster.report.judge("every kind of trouble was there, and requests were served", &idle);
+    cluster
+        .report
+        .judge("every client gets its own bytes only", &wrong);
+    cluster
+        .report
+        .judge("what may run once never runs twice", &twice);
+    cluster
+        .report
+        .judge("what was promised not to have run has not run", &promised);
+    cluster
+        .report
+        .judge("upstreams run only what was asked, unchanged", &unasked);
+    cluster.report.judge(
+        "every kind of trouble was there, and requests were served",
+        &idle,
+    );
 }
 
 fn wrong_answer(asked: &Asked, runs: &[Run]) -> Option<String> {
@@ -93,9 +125,12 @@
 }
 
 fn unasked_run(id: &str, asked: Option<&&Asked>, runs: &[Run]) -> Option<String> {
-    let Some(asked) = asked else { return Some(format!("{id} was never asked")) };
-    let is_same =
-        |run: &&Run| run.method == asked.method && run.target == asked.target && run.body == asked.body;
+    let Some(asked) = asked else {
+        return Some(format!("{id} was never asked"));
+    };
+    let is_same = |run: &&Run| {
+        run.method == asked.method && run.target == asked.target && run.body == asked.body
+    };
     let changed = runs.iter().find(|run| !is_same(run));
     changed.map(|run| format!("{id} was changed: {run:?}"))
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/late_leader.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/late_leader.rs
@@ -21,21 +21,29 @@
     }
     cluster.controls[LATE].kill();
     for turn in 0..AWAY {
-        cluster.confirm(&history.change(), &[turn % 2, (turn + 1) % 2]).await?;
+        cluster
+            .confirm(&history.change(), &[turn % 2, (turn + 1) % 2])
+            .await?;
     }
     cluster.controls[LATE].start()?;
     cluster.pass(CATCH_UP).await?;
     let mut missing = read_everywhere(cluster, &history).await?;
-    cluster.report.judge("a member that was away has the newest", &missing);
+    cluster
+        .report
+        .judge("a member that was away has the newest", &missing);
 
     for other in [0, 1] {
         cluster.controls[other].kill();
-        cluster.confirm(&history.change(), &cluster.controls_from(LATE)).await?;
+        cluster
+            .confirm(&history.change(), &cluster.controls_from(LATE))
+            .await?;
         cluster.controls[other].start()?;
         cluster.pass(CATCH_UP).await?;
     }
     missing = read_everywhere(cluster, &history).await?;
-    cluster.report.judge("when it leads, the newest is read back", &missing);
+    cluster
+        .report
+        .judge("when it leads, the newest is read back", &missing);
 
     for process in &mut cluster.controls {
         process.kill();
@@ -44,7 +52,9 @@
     missing = read_everywhere(cluster, &history).await?;
     cluster.confirm(&history.change(), &all).await?;
     missing.extend(read_everywhere(cluster, &history).await?);
-    cluster.report.judge("after a kill of all at once as well", &missing);
+    cluster
+        .report
+        .judge("after a kill of all at once as well", &missing);
     Ok(())
 }
 
@@ -52,7 +62,11 @@
     let mut missing = Vec::new();
     for machine in cluster.controls_from(0) {
         let document = cluster.read_back(&[machine]).await?;
-        missing.extend(history.missing(&document).map(|what| format!("node {machine}: {what}")));
+        missing.extend(
+            history
+                .missing(&document)
+                .map(|what| format!("node {machine}: {what}")),
+        );
     }
     Ok(missing)
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/late_order.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/late_order.rs
@@ -22,7 +22,12 @@
 }
 
 pub async fn run(cluster: &mut Cluster) -> Result<(), Stopped> {
-    cluster.begin(&configuration(1, &[route("read", Kind::ReadOnly)]), &[FRONT]).await?;
+    cluster
+        .begin(
+            &configuration(1, &[route("read", Kind::ReadOnly)]),
+            &[FRONT],
+        )
+        .await?;
     cluster.until_served(FRONT, "read").await?;
     for (fault, what) in [
         (Fault::Frozen, "a zone that was taken back stays so when a frozen process finds a late begin"),
@@ -49,8 +54,12 @@
     }
     // The only upstream is there: while the zone is evacuated nothing is served. Its caller waits for its second of silence,
     // and then asks another one.
-    cluster.confirm(&Call::evacuate(&zone(0), true), &[LATE, REST[0], REST[1]]).await?;
-    cluster.confirm(&Call::evacuate(&zone(0), false), &REST).await?;
+    cluster
+        .confirm(&Call::evacuate(&zone(0), true), &[LATE, REST[0], REST[1]])
+        .await?;
+    cluster
+        .confirm(&Call::evacuate(&zone(0), false), &REST)
+        .await?;
     cluster.until_served(FRONT, "read").await?;
     match fault {
         Fault::Frozen => cluster.controls[LATE].thaw(),
--- a/crates/sandtrack-fault-tests/src/system/scenarios/leaving_member.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/leaving_member.rs
@@ -22,7 +22,10 @@
 pub async fn run(cluster: &mut Cluster) -> Result<(), Stopped> {
     let mut history = cluster.begin_history().await?;
     for other in [LEAVING, LAST] {
-        cluster.links.borrow_mut().delay(End::Machine(BACK), End::Machine(other), SLOW);
+        cluster
+            .links
+            .borrow_mut()
+            .delay(End::Machine(BACK), End::Machine(other), SLOW);
     }
     cluster.controls[BACK].kill();
     cluster.controls[BACK].wipe()?;
@@ -30,7 +33,10 @@
     cluster.controls[BACK].start()?;
     leave(cluster).await?;
     let mut missing = Vec::from_iter(cluster.changes_are_read(&mut history, LAST).await?);
-    cluster.report.judge("when it has left, orders go on and all is read back", &missing);
+    cluster.report.judge(
+        "when it has left, orders go on and all is read back",
+        &missing,
+    );
 
     cluster.links.borrow_mut().mend();
     cluster.controls[LEAVING].start()?;
@@ -38,7 +44,9 @@
     cluster.controls[LAST].kill();
     cluster.controls[LAST].wipe()?;
     missing = Vec::from_iter(cluster.changes_are_read(&mut history, LEAVING).await?);
-    cluster.report.judge("the next loss finds all that was acknowledged", &missing);
+    cluster
+        .report
+        .judge("the next loss finds all that was acknowledged", &missing);
     Ok(())
 }
 
--- a/crates/sandtrack-fault-tests/src/system/scenarios/mod.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/mod.rs
@@ -51,7 +51,12 @@
 impl Options {
     pub fn new(rig: PathBuf, builds: Option<PathBuf>) -> Options {
         let programs = Programs { rig, builds };
-        Options { programs, seed: 1, keep: None, cut: Duration::from_secs(8) }
+        Options {
+            programs,
+            seed: 1,
+            keep: None,
+            cut: Duration::from_secs(8),
+        }
     }
 }
 
@@ -70,9 +75,24 @@
 
     fn shape(self) -> Shape {
         match self {
-            Scenario::CutOff => Shape { controls: 3, machines: 4, upstreams: 2, platform: true },
-            Scenario::Exchanges => Shape { controls: 3, machines: 3, upstreams: 4, platform: true },
-            _ => Shape { controls: 3, machines: 3, upstreams: 1, platform: true },
+            Scenario::CutOff => Shape {
+                controls: 3,
+                machines: 4,
+                upstreams: 2,
+                platform: true,
+            },
+            Scenario::Exchanges => Shape {
+                controls: 3,
+                machines: 3,
+                upstreams: 4,
+                platform: true,
+            },
+            _ => Shape {
+                controls: 3,
+                machines: 3,
+                upstreams: 1,
+                platform: true,
+            },
         }
     }
 
@@ -104,8 +124,13 @@
     let spawner = Spawner::of(&executor);
     let began = Instant::now();
     let played = async {
-        let mut cluster =
-            Cluster::open(scenario.shape(), options.seed, &folder, &options.programs, &spawner)?;
+        let mut cluster = Cluster::open(
+            scenario.shape(),
+            options.seed,
+            &folder,
+            &options.programs,
+            &spawner,
+        )?;
         let ended = Box::pin(scenario.run(&mut cluster, options)).await;
         let mut report = std::mem::take(&mut cluster.report);
         match ended {
@@ -119,5 +144,9 @@
     if options.keep.is_none() {
         let _ = std::fs::remove_dir_all(temporary);
     }
-    report.map(|report| Report { scenario: scenario.name(), took: began.elapsed(), ..report })
+    report.map(|report| Report {
+        scenario: scenario.name(),
+        took: began.elapsed(),
+        ..report
+    })
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/second_loss.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/second_loss.rs
@@ -24,8 +24,13 @@
         cluster.controls[machine].start()?;
         let back = Instant::now();
         missing.extend(cluster.changes_are_read(&mut history, machine).await?);
-        cluster.pass(CATCH_UP.saturating_sub(back.elapsed())).await?;
+        cluster
+            .pass(CATCH_UP.saturating_sub(back.elapsed()))
+            .await?;
     }
-    cluster.report.judge("losses right after repairs lose nothing, and orders go on", &missing);
+    cluster.report.judge(
+        "losses right after repairs lose nothing, and orders go on",
+        &missing,
+    );
     Ok(())
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/two_operators.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/two_operators.rs
@@ -39,8 +39,14 @@
     for round in 0..ROUNDS {
         let fault = FAULTS[round % FAULTS.len()];
         let next = version + 1 + round as u64 % 3;
-        let documents = [document(next, &format!("one-{round}")), document(next, &format!("two-{round}"))];
-        let calls = [replace(version, &documents[0]), replace(version, &documents[1])];
+        let documents = [
+            document(next, &format!("one-{round}")),
+            document(next, &format!("two-{round}")),
+        ];
+        let calls = [
+            replace(version, &documents[0]),
+            replace(version, &documents[1]),
+        ];
         let answers = race(cluster, &operators, &calls, round % 3, fault).await?;
         let statuses = answers.map(|answer| answer.map(|answer| answer.head.status));
         let winner = match statuses {
@@ -56,15 +62,29 @@
         read.extend(read_everywhere(cluster, &documents[winner]).await?);
         version = next;
     }
-    cluster.report.judge("exactly one of two orders under one number is confirmed", &winners);
-    cluster.report.judge("an order is answered alike by every node when it is sent again", &repeated);
-    cluster.report.judge("every node reads the one that was confirmed", &read);
+    cluster.report.judge(
+        "exactly one of two orders under one number is confirmed",
+        &winners,
+    );
+    cluster.report.judge(
+        "an order is answered alike by every node when it is sent again",
+        &repeated,
+    );
+    cluster
+        .report
+        .judge("every node reads the one that was confirmed", &read);
     Ok(())
 }
 
 fn second_operator(cluster: &Cluster) -> Rc<Operator> {
-    let address = |machine| cluster.plan.announced(machine, super::super::settings::CONTROL);
-    Rc::new(Operator::new((0..cluster.controls.len()).map(address).collect()))
+    let address = |machine| {
+        cluster
+            .plan
+            .announced(machine, super::super::settings::CONTROL)
+    };
+    Rc::new(Operator::new(
+        (0..cluster.controls.len()).map(address).collect(),
+    ))
 }
 
 fn document(version: u64, mark: &str) -> Value {
@@ -73,9 +93,16 @@
 
 /// Both orders at once, the first to node `first`, the second to the next one.
 async fn race(
-    cluster: &mut Cluster, operators: &[Rc<Operator>; 2], calls: &[Call; 2], first: usize, fault: Fault,
+    cluster: &mut Cluster,
+    operators: &[Rc<Operator>; 2],
+    calls: &[Call; 2],
+    first: usize,
+    fault: Fault,
 ) -> Result<[Option<Message>; 2], Stopped> {
-    let orders = [cluster.controls_from(first), cluster.controls_from((first + 1) % 3)];
+    let orders = [
+        cluster.controls_from(first),
+        cluster.controls_from((first + 1) % 3),
+    ];
     let begun: usize = operators.iter().map(|operator| operator.begun.get()).sum();
     let tried = [0, 1].map(|which| operators[which].tries.borrow().len());
     if matches!(fault, Fault::AnswersLost) {
@@ -86,7 +113,12 @@
         operators[1].send(&calls[1], &orders[1], GENEROUS),
     );
     let are_out = async || {
-        while operators.iter().map(|operator| operator.begun.get()).sum::<usize>() < begun + 2 {
+        while operators
+            .iter()
+            .map(|operator| operator.begun.get())
+            .sum::<usize>()
+            < begun + 2
+        {
             Timer::after(LOOK).await;
         }
     };
@@ -102,7 +134,10 @@
             }
             Fault::Reset => {
                 for machine in 0..cluster.controls.len() {
-                    cluster.links.borrow_mut().reset(End::Operator, End::Machine(machine));
+                    cluster
+                        .links
+                        .borrow_mut()
+                        .reset(End::Operator, End::Machine(machine));
                 }
             }
             Fault::Killed => {
@@ -120,21 +155,33 @@
 
 fn set_answers(cluster: &Cluster, passage: Passage) {
     for machine in 0..cluster.controls.len() {
-        cluster.links.borrow_mut().set(End::Machine(machine), End::Operator, passage);
+        cluster
+            .links
+            .borrow_mut()
+            .set(End::Machine(machine), End::Operator, passage);
     }
 }
 
 /// Sends an order again, unchanged, to every node by itself.
 async fn repeat(
-    cluster: &mut Cluster, call: &Call, expected: u16, round: usize,
+    cluster: &mut Cluster,
+    call: &Call,
+    expected: u16,
+    round: usize,
 ) -> Result<Vec<String>, Stopped> {
     let mut broken = Vec::new();
     for machine in cluster.controls_from(0) {
-        let answer = cluster.operator.clone().send(call, &[machine], GENEROUS).await;
+        let answer = cluster
+            .operator
+            .clone()
+            .send(call, &[machine], GENEROUS)
+            .await;
         cluster.look()?;
         let status = answer.map(|answer| answer.head.status);
         if status != Some(expected) {
-            broken.push(format!("round {round}: node {machine} answered {status:?} in place of {expected}"));
+            broken.push(format!(
+                "round {round}: node {machine} answered {status:?} in place of {expected}"
+            ));
         }
     }
     Ok(broken)
--- a/crates/sandtrack-fault-tests/src/system/settings.rs
+++ b/crates/sandtrack-fault-tests/src/system/settings.rs
@@ -44,7 +44,11 @@
 }
 
 pub fn node_name(role: Role, machine: usize) -> String {
-    let kind = if role == Role::Control { "control" } else { "proxy" };
+    let kind = if role == Role::Control {
+        "control"
+    } else {
+        "proxy"
+    };
     format!("{kind}-{}", machine + 1)
 }
 
@@ -61,10 +65,16 @@
 /// The settings of one process at its first start.
 pub fn of(plan: &Plan, machines: &[Machine], role: Role, number: usize, data: &Path) -> Value {
     let machine = &machines[number];
-    let zones: Map<String, Value> =
-        machines.iter().map(|machine| (machine.zone.clone(), json!(machine.region))).collect();
-    let seeds = (0..machines.len()).filter(|number| machines[*number].control).take(3);
-    let seeds: Vec<String> = seeds.map(|seed| plan.announced(seed, CONTROL).to_string()).collect();
+    let zones: Map<String, Value> = machines
+        .iter()
+        .map(|machine| (machine.zone.clone(), json!(machine.region)))
+        .collect();
+    let seeds = (0..machines.len())
+        .filter(|number| machines[*number].control)
+        .take(3);
+    let seeds: Vec<String> = seeds
+        .map(|seed| plan.announced(seed, CONTROL).to_string())
+        .collect();
     let mut settings = json!({
         "node_name": node_name(role, number), "role": role.program(), "machine_class": "front",
         "ip_address": plan.announced(number, 0).ip().to_string(), "zone": machine.zone, "region": machine.region,
--- a/crates/sandtrack-fault-tests/src/system/upstream.rs
+++ b/crates/sandtrack-fault-tests/src/system/upstream.rs
@@ -117,9 +117,15 @@
 
     fn draw(&self) -> Option<Trouble> {
         let mut rng = self.rng.borrow_mut();
-        let drawn = (rng.gen::<f64>() < *self.trouble.borrow()).then(|| rng.gen_range(0..TROUBLES.len()));
+        let drawn =
+            (rng.gen::<f64>() < *self.trouble.borrow()).then(|| rng.gen_range(0..TROUBLES.len()));
         let trouble = TROUBLES[drawn?];
-        *self.book.borrow_mut().troubles.entry(format!("{trouble:?}")).or_default() += 1;
+        *self
+            .book
+            .borrow_mut()
+            .troubles
+            .entry(format!("{trouble:?}"))
+            .or_default() += 1;
         Some(trouble)
     }
 
@@ -130,18 +136,31 @@
             target: request.head.target.clone(),
             body: request.body.clone(),
         };
-        self.book.borrow_mut().runs.entry(id.to_owned()).or_default().push(run);
+        self.book
+            .borrow_mut()
+            .runs
+            .entry(id.to_owned())
+            .or_default()
+            .push(run);
     }
 
     fn head(&self, id: &str, flow: Flow, kind: &str) -> Vec<u8> {
         let seal = seal(id, &self.identifier);
-        let headers = [("Content-Type", kind), ("Request-Id", id), ("Server-Seal", seal.as_str())];
+        let headers = [
+            ("Content-Type", kind),
+            ("Request-Id", id),
+            ("Server-Seal", seal.as_str()),
+        ];
         message::response_head(200, headers.into_iter(), flow, false)
     }
 
     fn whole(&self, id: &str) -> Vec<u8> {
         let body = body(id, &self.identifier);
-        [self.head(id, Flow::Length(body.len()), "text/plain"), body.into_bytes()].concat()
+        [
+            self.head(id, Flow::Length(body.len()), "text/plain"),
+            body.into_bytes(),
+        ]
+        .concat()
     }
 
     fn turned_away(&self, id: &str, status: u16) -> Vec<u8> {
@@ -182,13 +201,21 @@
 async fn answer(upstream: &Upstream, wire: &Wire, request: &Message) -> bool {
     let headers = &request.head.headers;
     if request.head.target == HEALTH {
-        let own = [("Instance-Id", upstream.identifier.as_str()), ("Server-Load", "0,0,64")];
-        return wire.write(&message::response(200, own.into_iter(), b"well", false)).await;
+        let own = [
+            ("Instance-Id", upstream.identifier.as_str()),
+            ("Server-Load", "0,0,64"),
+        ];
+        return wire
+            .write(&message::response(200, own.into_iter(), b"well", false))
+            .await;
     }
     let Some(id) = headers.get("request-id").filter(|id| !id.is_empty()) else {
         return wire.write(&upstream.turned_away("", 400)).await;
     };
-    if headers.get("expected-instance").is_some_and(|expected| expected != upstream.identifier) {
+    if headers
+        .get("expected-instance")
+        .is_some_and(|expected| expected != upstream.identifier)
+    {
         return wire.write(&upstream.turned_away(id, 421)).await;
     }
     let trouble = upstream.draw();
@@ -203,10 +230,17 @@
         Some(Trouble::Silence) => return future::pending().await,
         _ => {}
     }
-    let is_stream = [Kind::Stream, Kind::ResumableStream]
-        .iter()
-        .any(|kind| request.head.target.starts_with(&format!("/{}/", kind.prefix())));
-    let given = if trouble == Some(Trouble::OtherId) { "another-request" } else { id };
+    let is_stream = [Kind::Stream, Kind::ResumableStream].iter().any(|kind| {
+        request
+            .head
+            .target
+            .starts_with(&format!("/{}/", kind.prefix()))
+    });
+    let given = if trouble == Some(Trouble::OtherId) {
+        "another-request"
+    } else {
+        id
+    };
     let written = match is_stream {
         true => stream(upstream, wire, request, given, trouble).await,
         false => plain(upstream, wire, given, trouble).await,
@@ -224,11 +258,22 @@
 }
 
 async fn stream(
-    upstream: &Upstream, wire: &Wire, request: &Message, id: &str, trouble: Option<Trouble>,
+    upstream: &Upstream,
+    wire: &Wire,
+    request: &Message,
+    id: &str,
+    trouble: Option<Trouble>,
 ) -> bool {
-    let last = request.head.headers.get("last-event-id").and_then(|last| last.parse::<u64>().ok());
+    let last = request
+        .head
+        .headers
+        .get("last-event-id")
+        .and_then(|last| last.parse::<u64>().ok());
     let first = last.map_or(1, |last| last + 1);
-    if !wire.write(&upstream.head(id, Flow::Chunks, "text/event-stream")).await {
+    if !wire
+        .write(&upstream.head(id, Flow::Chunks, "text/event-stream"))
+        .await
+    {
         return false;
     }
     for number in first..=EVENTS {
@@ -236,7 +281,10 @@
         if trouble == Some(Trouble::ResetWithin) && number > EVENTS / 2 {
             return false;
         }
-        if !wire.write(&message::chunk(event(id, number).as_bytes())).await {
+        if !wire
+            .write(&message::chunk(event(id, number).as_bytes()))
+            .await
+        {
             return false;
         }
     }
--- a/crates/sandtrack-fault-tests/src/upstream.rs
+++ b/crates/sandtrack-fault-tests/src/upstream.rs
@@ -40,12 +40,20 @@
 pub type Shared = Rc<RefCell<Upstream>>;
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |time| time.as_millis() as u64)
 }
 
 impl Upstream {
     pub fn new(
-        number: usize, zone: usize, zones: usize, plan: &Plan, server: &Server, classes: &[Class], seed: u64,
+        number: usize,
+        zone: usize,
+        zones: usize,
+        plan: &Plan,
+        server: &Server,
+        classes: &[Class],
+        seed: u64,
     ) -> Shared {
         let tokens = async_channel::bounded(server.workers.max(1));
         for _ in 0..server.workers.max(1) {
@@ -72,10 +80,17 @@
 
     /// Its speed beside a warm one's.
     fn speed(&self) -> f64 {
-        let age = self.started.map_or(f64::INFINITY, |at| at.elapsed().as_secs_f64());
+        let age = self
+            .started
+            .map_or(f64::INFINITY, |at| at.elapsed().as_secs_f64());
         let climb = (age / self.server.cold_s.max(1e-3)).min(1.0);
         let warmth = self.server.cold_share + (1.0 - self.server.cold_share) * climb;
-        warmth * if self.how == How::Slow { self.factor.max(1e-3) } else { 1.0 }
+        warmth
+            * if self.how == How::Slow {
+                self.factor.max(1e-3)
+            } else {
+                1.0
+            }
     }
 
     /// What discovery can know of it: whether its process runs.
@@ -89,7 +104,11 @@
 }
 
 /// Listens at all of its addresses; a fault is the run's.
-pub fn open(upstream: &Shared, book: &Rc<RefCell<Book>>, executor: &Spawner<'_>) -> std::io::Result<()> {
+pub fn open(
+    upstream: &Shared,
+    book: &Rc<RefCell<Book>>,
+    executor: &Spawner<'_>,
+) -> std::io::Result<()> {
     let addresses = upstream.borrow().addresses.clone();
     for address in addresses {
         let listener = Async::<TcpListener>::bind(SocketAddr::V4(address))?;
@@ -118,7 +137,11 @@
 
 /// Its trouble from now on.
 pub fn turn(
-    upstream: &Shared, how: How, factor: f64, book: &Rc<RefCell<Book>>, executor: &Spawner<'_>,
+    upstream: &Shared,
+    how: How,
+    factor: f64,
+    book: &Rc<RefCell<Book>>,
+    executor: &Spawner<'_>,
 ) -> std::io::Result<()> {
     let before = std::mem::replace(&mut upstream.borrow_mut().how, how);
     upstream.borrow_mut().factor = factor;
@@ -161,7 +184,11 @@
         }
         let answer = if probe {
             let here = upstream.borrow();
-            let load = format!("inflight={},queue={}", here.working + here.waiting, here.waiting);
+            let load = format!(
+                "inflight={},queue={}",
+                here.working + here.waiting,
+                here.waiting
+            );
             message::response(200, std::iter::empty(), load.as_bytes(), false)
         } else {
             let (status, body) = work(upstream, book, &request).await;
@@ -179,12 +206,25 @@
     }
 }
 
-async fn work(upstream: &Shared, book: &Rc<RefCell<Book>>, request: &message::Message) -> (u16, String) {
+async fn work(
+    upstream: &Shared,
+    book: &Rc<RefCell<Book>>,
+    request: &message::Message,
+) -> (u16, String) {
     let headers = &request.head.headers;
-    let id = headers.get("X-Call-Id").and_then(|id| u64::from_str_radix(id, 16).ok());
+    let id = headers
+        .get("X-Call-Id")
+        .and_then(|id| u64::from_str_radix(id, 16).ok());
     let class = headers.get("X-Call-Class").unwrap_or_default();
-    let class = upstream.borrow().classes.iter().find(|known| known.name == class).cloned();
-    let (Some(id), Some(class)) = (id, class) else { return (400, "no such request".to_owned()) };
+    let class = upstream
+        .borrow()
+        .classes
+        .iter()
+        .find(|known| known.name == class)
+        .cloned();
+    let (Some(id), Some(class)) = (id, class) else {
+        return (400, "no such request".to_owned());
+    };
     let turned_away = {
         let here = upstream.borrow();
         here.waiting >= here.server.queue || here.how == How::Drain
@@ -202,12 +242,21 @@
     }
     upstream.borrow_mut().working += 1;
     let _back = Back(upstream.clone());
-    let repeat = book.borrow_mut().runs(id, class.effect, class.window_ms / 1000.0);
+    let repeat = book
+        .borrow_mut()
+        .runs(id, class.effect, class.window_ms / 1000.0);
     let (time, spoilt) = {
         let mut here = upstream.borrow_mut();
         let draw: f64 = Exp1.sample(&mut here.rng);
         let spoilt = here.how == How::Error && here.rng.gen::<f64>() < here.factor;
-        (if repeat { 0.0 } else { class.work_ms * draw / here.speed() }, spoilt)
+        (
+            if repeat {
+                0.0
+            } else {
+                class.work_ms * draw / here.speed()
+            },
+            spoilt,
+        )
     };
     Timer::after(Duration::from_secs_f64(time / 1000.0)).await;
     if spoilt {
--- a/crates/sandtrack-fault-tests/src/watch.rs
+++ b/crates/sandtrack-fault-tests/src/watch.rs
@@ -77,15 +77,27 @@
         let mut change = |of: &str, from: &str, to: &str| {
             if from != to {
                 let (by, of) = (name.to_owned(), of.to_owned());
-                changes.push(Change { at, by, of, from: from.to_owned(), to: to.to_owned() });
+                changes.push(Change {
+                    at,
+                    by,
+                    of,
+                    from: from.to_owned(),
+                    to: to.to_owned(),
+                });
             }
         };
         let unknown = "unknown".to_owned();
         for (of, state) in &seen.states {
-            let known = before.and_then(|before| before.states.get(of)).unwrap_or(&unknown);
+            let known = before
+                .and_then(|before| before.states.get(of))
+                .unwrap_or(&unknown);
             change(of, known, state);
         }
-        change(name, before.map_or("unknown", |before| &before.view), &seen.view);
+        change(
+            name,
+            before.map_or("unknown", |before| &before.view),
+            &seen.view,
+        );
         if self.changes.len() < CHANGES_MOST {
             self.changes.extend(changes);
         }
@@ -119,7 +131,11 @@
 
 /// Looks at one process for as long as the run lasts.
 pub async fn look(
-    watch: Shared, processes: Rc<RefCell<Processes>>, number: usize, admin: SocketAddrV4, every: Duration,
+    watch: Shared,
+    processes: Rc<RefCell<Processes>>,
+    number: usize,
+    admin: SocketAddrV4,
+    every: Duration,
 ) {
     let name = processes.borrow().all[number].name.clone();
     let mut looks = 0;
@@ -129,14 +145,32 @@
             watch.borrow_mut().gone(number);
         } else if let Some((told, figures)) = ask(admin, looks % FIGURES == 0).await {
             // Started anew meanwhile, or ended: what was asked of the former one says nothing.
-            let same = processes.borrow().all[number].started.is_some_and(|started| started <= at);
+            let same = processes.borrow().all[number]
+                .started
+                .is_some_and(|started| started <= at);
             if same && processes.borrow().runs(number) {
-                let states = told.members.into_iter().filter(|member| member.name != name);
+                let states = told
+                    .members
+                    .into_iter()
+                    .filter(|member| member.name != name);
                 let states = states.map(|member| (member.name, member.state)).collect();
-                let before = watch.borrow().seen[number].as_ref().map(|seen| seen.figures.clone());
-                let figures = if figures.is_empty() { before.unwrap_or_default() } else { figures };
+                let before = watch.borrow().seen[number]
+                    .as_ref()
+                    .map(|seen| seen.figures.clone());
+                let figures = if figures.is_empty() {
+                    before.unwrap_or_default()
+                } else {
+                    figures
+                };
                 let (view, reason, siblings) = (told.view, told.reason, told.siblings);
-                let seen = Seen { at, view, reason, siblings, states, figures };
+                let seen = Seen {
+                    at,
+                    view,
+                    reason,
+                    siblings,
+                    states,
+                    figures,
+                };
                 watch.borrow_mut().note(number, &name, seen);
             }
             looks += 1;
--- a/crates/sandtrack-fault-tests/tests/client.rs
+++ b/crates/sandtrack-fault-tests/tests/client.rs
@@ -19,11 +19,19 @@
 impl Killed {
     fn new() -> Self {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port on loopback");
-        Killed { listener, read: Cell::new(0) }
+        Killed {
+            listener,
+            read: Cell::new(0),
+        }
     }
 
     fn address(&self) -> SocketAddrV4 {
-        match self.listener.get_ref().local_addr().expect("a bound socket has an address") {
+        match self
+            .listener
+            .get_ref()
+            .local_addr()
+            .expect("a bound socket has an address")
+        {
             SocketAddr::V4(address) => address,
             SocketAddr::V6(_) => unreachable!("it was bound to an address of IPv4"),
         }
@@ -68,7 +76,11 @@
                 false
             };
             let next = async {
-                self.0.listener.readable().await.expect("the listener stands");
+                self.0
+                    .listener
+                    .readable()
+                    .await
+                    .expect("the listener stands");
                 true
             };
             if !future::or(crossed, next).await {
@@ -80,7 +92,12 @@
     }
 }
 
-async fn ask(process: &Killed, effect: Effect, pool: &RefCell<Pool>, rested: Duration) -> Option<Message> {
+async fn ask(
+    process: &Killed,
+    effect: Effect,
+    pool: &RefCell<Pool>,
+    rested: Duration,
+) -> Option<Message> {
     let bytes = message::request("POST", "/work", [("Host", "rig")].into_iter(), b"");
     let (answer, wire) = exchange(process.address(), effect, &bytes, pool).await?;
     pool.borrow_mut().keep(wire, Instant::now() - rested);
@@ -93,7 +110,10 @@
     let process = Killed::new();
     let pool = RefCell::new(Pool::default());
     let asked = async {
-        assert!(ask(&process, effect, &pool, rested).await.is_some(), "the first is answered");
+        assert!(
+            ask(&process, effect, &pool, rested).await.is_some(),
+            "the first is answered"
+        );
         ask(&process, effect, &pool, rested).await.is_some()
     };
     let served = async {
@@ -111,7 +131,10 @@
 
 #[test]
 fn what_may_be_repeated_goes_once_more_on_a_new_connection() {
-    assert_eq!(second_request(Effect::Repeatable, Duration::ZERO), (3, true));
+    assert_eq!(
+        second_request(Effect::Repeatable, Duration::ZERO),
+        (3, true)
+    );
     assert_eq!(second_request(Effect::Keyed, Duration::ZERO), (3, true));
 }
 
@@ -123,8 +146,18 @@
     let pool = RefCell::new(Pool::default());
     let rested = Duration::from_millis(2990);
     let asked = async {
-        assert!(ask(&process.0, Effect::Unsafe, &pool, rested).await.is_some(), "the first is answered");
-        ask(&process.0, Effect::Unsafe, &pool, rested).await.is_some()
+        assert!(
+            ask(&process.0, Effect::Unsafe, &pool, rested)
+                .await
+                .is_some(),
+            "the first is answered"
+        );
+        ask(&process.0, Effect::Unsafe, &pool, rested)
+            .await
+            .is_some()
     };
-    assert!(async_io::block_on(future::or(asked, process.serve())), "on a new connection");
+    assert!(
+        async_io::block_on(future::or(asked, process.serve())),
+        "on a new connection"
+    );
 }
--- a/crates/sandtrack-fault-tests/tests/fleet.rs
+++ b/crates/sandtrack-fault-tests/tests/fleet.rs
@@ -13,9 +13,14 @@
 
 impl Turn {
     fn take() -> Turn {
-        let room = ROOM.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let mut room =
-            ROOM.1.wait_while(room, |room| *room == 0).unwrap_or_else(|poisoned| poisoned.into_inner());
+        let room = ROOM
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut room = ROOM
+            .1
+            .wait_while(room, |room| *room == 0)
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         *room -= 1;
         Turn
     }
@@ -23,7 +28,10 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        *ROOM.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) += 1;
+        *ROOM
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner()) += 1;
         ROOM.1.notify_one();
     }
 }
@@ -45,15 +53,33 @@
     let _turn = Turn::take();
     let text = format!("name = \"{name}\"\n{HEAD}{steps}]\n");
     let scenario = scenario::read(&text).unwrap_or_else(|fault| panic!("{name}: {fault}"));
-    let program = vec![PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")), PathBuf::from("program")];
-    let played = play(&scenario, &Options { program, keep: None, tell: false });
+    let program = vec![
+        PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")),
+        PathBuf::from("program"),
+    ];
+    let played = play(
+        &scenario,
+        &Options {
+            program,
+            keep: None,
+            tell: false,
+        },
+    );
     played.unwrap_or_else(|failed| panic!("{name}: {failed}"))
 }
 
 fn held(name: &str, steps: &str) -> Report {
     let report = run(name, steps);
-    assert!(report.kept(), "{name}: {:#?}\n{}", report.broken(), report.text());
-    assert!(report.total.served > 0 && report.effects > 0, "{name}: nothing was asked");
+    assert!(
+        report.kept(),
+        "{name}: {:#?}\n{}",
+        report.broken(),
+        report.text()
+    );
+    assert!(
+        report.total.served > 0 && report.effects > 0,
+        "{name}: nothing was asked"
+    );
     report
 }
 
@@ -83,7 +109,8 @@
 
 #[test]
 fn halves_apart_with_deaths_joins_and_restarts_are_whole_again() {
-    let side = r#"{ names = ["n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9", "n10", "n11", "n23"]"#;
+    let side =
+        r#"{ names = ["n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9", "n10", "n11", "n23"]"#;
     let steps = r#"
         { do = "start", who = { names = ["n23", "n24"], but = true } },
         { do = "until", is = "whole" },
@@ -201,7 +228,11 @@
         { do = "until", is = "whole" },
         "#,
     );
-    let refused: u64 = report.ends.iter().filter_map(|end| end.figures.get("fleet_refused")).sum();
+    let refused: u64 = report
+        .ends
+        .iter()
+        .filter_map(|end| end.figures.get("fleet_refused"))
+        .sum();
     assert!(refused > 1000, "{refused} were seen to be none");
 }
 
@@ -224,7 +255,17 @@
         { do = "stays", is = "nobody-failed", s = 1.0 },
         "#,
     );
-    let broken: Vec<&str> = report.verdicts.iter().filter(|v| !v.kept).map(|v| v.what.as_str()).collect();
-    let expected = ["until failed", "until view-cut-off", "until whole", "stays nobody-failed"];
+    let broken: Vec<&str> = report
+        .verdicts
+        .iter()
+        .filter(|v| !v.kept)
+        .map(|v| v.what.as_str())
+        .collect();
+    let expected = [
+        "until failed",
+        "until view-cut-off",
+        "until whole",
+        "stays nobody-failed",
+    ];
     assert_eq!(broken, expected, "{}", report.text());
 }
--- a/crates/sandtrack-fault-tests/tests/links.rs
+++ b/crates/sandtrack-fault-tests/tests/links.rs
@@ -24,7 +24,9 @@
 
 impl Stage {
     async fn connect(&self) -> Async<TcpStream> {
-        Async::<TcpStream>::connect(SocketAddr::V4(self.at)).await.expect("a connection")
+        Async::<TcpStream>::connect(SocketAddr::V4(self.at))
+            .await
+            .expect("a connection")
     }
 
     /// Both ends of a connection through the relay.
@@ -53,7 +55,12 @@
         behind,
     };
     open(at, place, &Spawner::of(&executor)).expect("a relay");
-    let stage = Stage { links, at, behind: listener, _plan: plan };
+    let stage = Stage {
+        links,
+        at,
+        behind: listener,
+        _plan: plan,
+    };
     async_io::block_on(executor.run(scene(stage)));
 }
 
@@ -68,7 +75,10 @@
 }
 
 fn has_nothing(stream: &Async<TcpStream>) -> bool {
-    stream.get_ref().peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+    stream
+        .get_ref()
+        .peek(&mut [0])
+        .is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
 #[test]
@@ -94,8 +104,14 @@
         stage.set(MACHINE, End::Operator, Passage::Held);
         let mut given_up = stage.connect().await;
         send(&mut given_up, "late").await;
-        given_up.get_ref().shutdown(Shutdown::Write).expect("closed");
-        assert!(matches!(given_up.read(&mut [0]).await, Ok(0) | Err(_)), "the relay has given it up too");
+        given_up
+            .get_ref()
+            .shutdown(Shutdown::Write)
+            .expect("closed");
+        assert!(
+            matches!(given_up.read(&mut [0]).await, Ok(0) | Err(_)),
+            "the relay has given it up too"
+        );
         let mut kept = stage.connect().await;
         send(&mut kept, "in time").await;
         stage.links.borrow_mut().mend();
@@ -132,7 +148,10 @@
     play(|stage| async move {
         let (mut caller, mut called) = stage.pair().await;
         let delay = Duration::from_millis(30);
-        stage.links.borrow_mut().delay(End::Operator, MACHINE, delay);
+        stage
+            .links
+            .borrow_mut()
+            .delay(End::Operator, MACHINE, delay);
         let began = Instant::now();
         for text in ["one ", "two ", "three"] {
             send(&mut caller, text).await;
@@ -154,7 +173,10 @@
         stage.links.borrow_mut().reset(MACHINE, End::Operator);
         for end in [&mut caller, &mut called] {
             let read = end.read(&mut [0]).await;
-            assert_eq!(read.expect_err("a reset").kind(), ErrorKind::ConnectionReset);
+            assert_eq!(
+                read.expect_err("a reset").kind(),
+                ErrorKind::ConnectionReset
+            );
         }
         let (mut caller, mut called) = stage.pair().await;
         send(&mut caller, "last").await;
--- a/crates/sandtrack-fault-tests/tests/soak.rs
+++ b/crates/sandtrack-fault-tests/tests/soak.rs
@@ -14,14 +14,23 @@
 #[test]
 fn a_short_soak_holds() {
     let options = Options {
-        programs: Programs { rig: PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")), builds: None },
+        programs: Programs {
+            rig: PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")),
+            builds: None,
+        },
         seed: 2,
         lasts: 14.0,
         clients: 12,
         keep: None,
     };
-    let played = std::thread::Builder::new().stack_size(STACK).spawn(move || play(&options));
-    let report = played.expect("a thread").join().expect("a report").expect("addresses and processes");
+    let played = std::thread::Builder::new()
+        .stack_size(STACK)
+        .spawn(move || play(&options));
+    let report = played
+        .expect("a thread")
+        .join()
+        .expect("a report")
+        .expect("addresses and processes");
     eprintln!("{}{}", report.text(), report.notes.join("\n"));
     assert!(report.is_kept(), "{}", report.text());
 }
@@ -35,13 +44,23 @@
     let mut together = 0;
     for seed in 0..200 {
         let plan = Plan::draw(seed, 24.0);
-        assert_eq!(plan.troubles, Plan::draw(seed, 24.0).troubles, "a seed is a plan");
+        assert_eq!(
+            plan.troubles,
+            Plan::draw(seed, 24.0).troubles,
+            "a seed is a plan"
+        );
         for (at, one) in plan.troubles.iter().enumerate() {
             for other in &plan.troubles[at + 1..] {
                 let of_core = one.kind.control().is_some() && other.kind.control().is_some();
-                assert!(!(of_core && overlap(one, other, 4.0)), "{one:?} beside {other:?}, seed {seed}");
+                assert!(
+                    !(of_core && overlap(one, other, 4.0)),
+                    "{one:?} beside {other:?}, seed {seed}"
+                );
                 let wipes = |trouble: &Trouble| matches!(trouble.kind, Kind::ControlWipe(_));
-                assert!(!(wipes(one) && wipes(other) && overlap(one, other, 14.0)), "seed {seed}");
+                assert!(
+                    !(wipes(one) && wipes(other) && overlap(one, other, 14.0)),
+                    "seed {seed}"
+                );
                 together += usize::from(overlap(one, other, 0.0));
             }
         }
@@ -53,7 +72,13 @@
 fn every_kind_of_trouble_is_drawn() {
     let drawn = (0..200).flat_map(|seed| Plan::draw(seed, 24.0).troubles);
     let kinds: std::collections::BTreeSet<String> = drawn
-        .map(|trouble| format!("{:?}", trouble.kind).split('(').next().unwrap_or_default().to_owned())
+        .map(|trouble| {
+            format!("{:?}", trouble.kind)
+                .split('(')
+                .next()
+                .unwrap_or_default()
+                .to_owned()
+        })
         .collect();
     assert_eq!(kinds.len(), 24, "{kinds:?}");
 }
@@ -66,7 +91,10 @@
 
 impl Seen {
     fn new() -> Seen {
-        Seen { records: Records::new(1), report: Report::default() }
+        Seen {
+            records: Records::new(1),
+            report: Report::default(),
+        }
     }
 
     /// A request that was sent at 20 s, and reached an upstream right then.
@@ -106,21 +134,40 @@
     }
 
     fn shows_draining(&self, since: f64) {
-        let shown = Shown { draining: Some(since) };
-        self.records.shown.borrow_mut().insert("u1-0".to_owned(), shown);
+        let shown = Shown {
+            draining: Some(since),
+        };
+        self.records
+            .shown
+            .borrow_mut()
+            .insert("u1-0".to_owned(), shown);
     }
 
     fn platform_trouble(&self, from: f64, until: f64) {
         let what = "PlatformTrouble".to_owned();
-        let span = Span { what, proxies: Vec::new(), core: false, planned: false, from, until };
+        let span = Span {
+            what,
+            proxies: Vec::new(),
+            core: false,
+            planned: false,
+            from,
+            until,
+        };
         self.records.spans.borrow_mut().push(span);
     }
 
     /// The verdict that begins so holds.
     fn holds(mut self, what: &str) -> bool {
         judge(&self.records, &mut self.report);
-        let line = self.report.text().lines().find(|line| line.contains(what)).map(str::to_owned);
-        !line.unwrap_or_else(|| panic!("no verdict {what}")).contains("BROKEN")
+        let line = self
+            .report
+            .text()
+            .lines()
+            .find(|line| line.contains(what))
+            .map(str::to_owned);
+        !line
+            .unwrap_or_else(|| panic!("no verdict {what}"))
+            .contains("BROKEN")
     }
 }
 
@@ -140,7 +187,11 @@
         if let Some((from, until)) = trouble {
             seen.platform_trouble(from, until);
         }
-        assert_eq!(seen.holds("DRAIN: nothing reaches"), holds, "shown since {since}, trouble {trouble:?}");
+        assert_eq!(
+            seen.holds("DRAIN: nothing reaches"),
+            holds,
+            "shown since {since}, trouble {trouble:?}"
+        );
     }
 }
 
--- a/crates/sandtrack-fault-tests/tests/starvation.rs
+++ b/crates/sandtrack-fault-tests/tests/starvation.rs
@@ -19,7 +19,10 @@
 
 #[test]
 fn a_process_that_ran_when_it_was_ready_is_not_starved() {
-    assert!(!Starvation::default().is_starved(), "nothing is known of it");
+    assert!(
+        !Starvation::default().is_starved(),
+        "nothing is known of it"
+    );
     assert!(!readings(&[Duration::from_millis(10); 20]).is_starved());
 }
 
@@ -28,9 +31,15 @@
     let mut waits = vec![Duration::ZERO, PAUSE];
     assert!(readings(&waits).is_starved());
     waits.extend([Duration::ZERO; 10]);
-    assert!(readings(&waits).is_starved(), "two seconds later it still says that it was stopped");
+    assert!(
+        readings(&waits).is_starved(),
+        "two seconds later it still says that it was stopped"
+    );
     waits.extend([Duration::ZERO; 20]);
-    assert!(!readings(&waits).is_starved(), "six seconds later it does not");
+    assert!(
+        !readings(&waits).is_starved(),
+        "six seconds later it does not"
+    );
 }
 
 #[test]
@@ -42,7 +51,10 @@
 
 #[test]
 fn the_kernels_count_is_read() {
-    assert_eq!(parse_waited("81234567 1218886 42\n"), Some(Duration::from_nanos(1_218_886)));
+    assert_eq!(
+        parse_waited("81234567 1218886 42\n"),
+        Some(Duration::from_nanos(1_218_886))
+    );
     assert_eq!(parse_waited(""), None);
     assert_eq!(parse_waited("1 x 2"), None);
 }
--- a/crates/sandtrack-fault-tests/tests/system.rs
+++ b/crates/sandtrack-fault-tests/tests/system.rs
@@ -12,8 +12,13 @@
 
 fn held(scenario: Scenario) {
     let _turn = TURN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    let options = Options::new(PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")), None);
-    let played = std::thread::Builder::new().stack_size(STACK).spawn(move || play(scenario, &options));
+    let options = Options::new(
+        PathBuf::from(env!("CARGO_BIN_EXE_sandtrack-fault-tests")),
+        None,
+    );
+    let played = std::thread::Builder::new()
+        .stack_size(STACK)
+        .spawn(move || play(scenario, &options));
     let played = played.expect("a thread").join().expect("a report");
     let report = played.unwrap_or_else(|error| panic!("{scenario:?}: {error}"));
     eprint!("{}", report.text());
--- a/crates/sandtrack-invariants/src/lib.rs
+++ b/crates/sandtrack-invariants/src/lib.rs
@@ -69,7 +69,8 @@
 }
 
 /// How often each invariant was violated in this process.
-static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
+static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] =
+    [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
 impl Invariant {
     /// How often it was violated in this process.
--- a/crates/sandtrack-invariants/tests/check.rs
+++ b/crates/sandtrack-invariants/tests/check.rs
@@ -12,15 +12,26 @@
 
 #[test]
 fn what_holds_is_not_counted_and_describes_nothing() {
-    check(Invariant::RunsOnce, true, || unreachable!("nothing is to be told"));
+    check(Invariant::RunsOnce, true, || {
+        unreachable!("nothing is to be told")
+    });
     assert_eq!(Invariant::RunsOnce.violations(), 0);
 }
 
 #[test]
 fn each_has_a_name_of_its_own_that_stands_in_the_page_of_promises() {
     let page = include_str!("../../../docs/system/promises.md");
-    let names: BTreeSet<&str> = Invariant::ALL.iter().map(|invariant| invariant.name()).collect();
+    let names: BTreeSet<&str> = Invariant::ALL
+        .iter()
+        .map(|invariant| invariant.name())
+        .collect();
     assert_eq!(names.len(), Invariant::ALL.len());
-    let missing: Vec<&&str> = names.iter().filter(|name| !page.contains(&format!("`{name}`"))).collect();
-    assert!(missing.is_empty(), "not in docs/system/promises.md: {missing:?}");
+    let missing: Vec<&&str> = names
+        .iter()
+        .filter(|name| !page.contains(&format!("`{name}`")))
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "not in docs/system/promises.md: {missing:?}"
+    );
 }
--- a/crates/sandtrack-membership/src/budget.rs
+++ b/crates/sandtrack-membership/src/budget.rs
@@ -23,7 +23,11 @@
 impl Budget {
     /// `told`: the figure of the settings, which holds until the fleet is known.
     pub fn new(told: u32, now: Ms) -> Self {
-        Budget { parts: [told.max(1); PARTS], lasted: 0, at: now }
+        Budget {
+            parts: [told.max(1); PARTS],
+            lasted: 0,
+            at: now,
+        }
     }
 
     /// Notes what this member knows of its fleet; gives the figure that goes.
--- a/crates/sandtrack-membership/src/config.rs
+++ b/crates/sandtrack-membership/src/config.rs
@@ -60,34 +60,54 @@
     pub fn check(&self) -> Result<(), Fault> {
         let fault = |key, wrong: String| Err(Fault { key, wrong });
         if self.cluster.is_empty() || self.cluster.len() > CLUSTER_MOST {
-            return fault("cluster", format!("{:?} is not 1 to {CLUSTER_MOST} bytes long", self.cluster));
+            return fault(
+                "cluster",
+                format!("{:?} is not 1 to {CLUSTER_MOST} bytes long", self.cluster),
+            );
         }
         if !valid_name(&self.name) {
-            let wrong =
-                format!("{:?} is not 1 to {NAME_MOST} bytes of plain text: a member needs a name", self.name);
+            let wrong = format!(
+                "{:?} is not 1 to {NAME_MOST} bytes of plain text: a member needs a name",
+                self.name
+            );
             return fault("name", wrong);
         }
         if !valid_address(self.advertise) {
-            return fault("advertise", format!("nobody can be reached at {}", self.advertise));
+            return fault(
+                "advertise",
+                format!("nobody can be reached at {}", self.advertise),
+            );
         }
         for (key, label) in [("zone", &self.zone), ("region", &self.region)] {
             if !valid_label(label) {
-                return fault(key, format!("{label:?} is not up to {LABEL_MOST} bytes of plain text"));
+                return fault(
+                    key,
+                    format!("{label:?} is not up to {LABEL_MOST} bytes of plain text"),
+                );
             }
         }
         if let Some(seed) = self.seeds.iter().find(|seed| !valid_address(**seed)) {
             return fault("seeds", format!("nobody can be reached at {seed}"));
         }
         if self.seeds.len() > SEEDS_MOST {
-            return fault("seeds", format!("{} are over {SEEDS_MOST}", self.seeds.len()));
+            return fault(
+                "seeds",
+                format!("{} are over {SEEDS_MOST}", self.seeds.len()),
+            );
         }
         if !(DATAGRAM_LEAST..=DATAGRAM_MOST).contains(&self.datagram) {
-            let wrong = format!("{} is not {DATAGRAM_LEAST} to {DATAGRAM_MOST}", self.datagram);
+            let wrong = format!(
+                "{} is not {DATAGRAM_LEAST} to {DATAGRAM_MOST}",
+                self.datagram
+            );
             return fault("datagram_bytes", wrong);
         }
         if !(FORGET_LEAST..=FORGET_MOST).contains(&self.forget) {
             let (least, most) = (FORGET_LEAST / 1000, FORGET_MOST / 1000);
-            return fault("forget_s", format!("{} is not {least} to {most}", self.forget / 1000));
+            return fault(
+                "forget_s",
+                format!("{} is not {least} to {most}", self.forget / 1000),
+            );
         }
         Ok(())
     }
--- a/crates/sandtrack-membership/src/digest.rs
+++ b/crates/sandtrack-membership/src/digest.rs
@@ -57,8 +57,12 @@
     /// Reads one. What a later version put behind what is known here is passed over.
     pub fn read(kind: u16, bytes: &[u8]) -> Fact {
         let read = match kind {
-            LOAD => postcard::take_from_bytes(bytes).map(|(load, _)| Fact::Load(load)).ok(),
-            HEALTH => postcard::take_from_bytes(bytes).map(|(health, _)| Fact::Health(health)).ok(),
+            LOAD => postcard::take_from_bytes(bytes)
+                .map(|(load, _)| Fact::Load(load))
+                .ok(),
+            HEALTH => postcard::take_from_bytes(bytes)
+                .map(|(health, _)| Fact::Health(health))
+                .ok(),
             _ => None,
         };
         read.unwrap_or_else(|| Fact::Other(kind, bytes.to_vec()))
@@ -71,10 +75,24 @@
 
     #[test]
     fn facts_of_a_later_version_are_read_as_far_as_they_are_known() {
-        let mut bytes = Fact::Load(Load { open: 300, per_second: 7 }).bytes();
+        let mut bytes = Fact::Load(Load {
+            open: 300,
+            per_second: 7,
+        })
+        .bytes();
         bytes.extend([1, 2, 3]);
-        assert_eq!(Fact::read(LOAD, &bytes), Fact::Load(Load { open: 300, per_second: 7 }));
-        assert_eq!(Fact::read(LOAD, &[0x80]), Fact::Other(LOAD, vec![0x80]), "cut short");
+        assert_eq!(
+            Fact::read(LOAD, &bytes),
+            Fact::Load(Load {
+                open: 300,
+                per_second: 7
+            })
+        );
+        assert_eq!(
+            Fact::read(LOAD, &[0x80]),
+            Fact::Other(LOAD, vec![0x80]),
+            "cut short"
+        );
         assert_eq!(Fact::read(999, &[4]), Fact::Other(999, vec![4]));
     }
 }
--- a/crates/sandtrack-membership/src/fleet.rs
+++ b/crates/sandtrack-membership/src/fleet.rs
@@ -11,8 +11,8 @@
 use crate::timing::{self, Pace};
 use crate::view::{Sight, Standing, View};
 use crate::wire::{
-    self, cluster_tag, name_tag, Message, Place, Process, Record, Refused, Sender, State, Told, Writer,
-    BUCKETS, FACT_AGE_MOST, INCARNATION_MOST, SPEAKS,
+    self, cluster_tag, name_tag, Message, Place, Process, Record, Refused, Sender, State, Told,
+    Writer, BUCKETS, FACT_AGE_MOST, INCARNATION_MOST, SPEAKS,
 };
 use crate::Ms;
 use rand::{Rng, RngCore, SeedableRng};
@@ -40,31 +40,20 @@
         alone: bool,
     },
     /// It is forgotten: its time is over.
-    Forgotten {
-        name: SmolStr,
-    },
+    Forgotten { name: SmolStr },
     View {
         from: View,
         to: View,
         reason: &'static str,
     },
     /// It has been told who is there.
-    Joined {
-        members: usize,
-    },
+    Joined { members: usize },
     /// Others suspected this member, or held it for failed; it told them otherwise.
-    Refuted {
-        held: State,
-        incarnation: u64,
-    },
+    Refuted { held: State, incarnation: u64 },
     /// Another live process has this member's name: this one stands down and stays out of the fleet.
-    NameTaken {
-        address: SocketAddrV4,
-    },
+    NameTaken { address: SocketAddrV4 },
     /// Another process goes by this member's name, and is told so.
-    NameShared {
-        address: SocketAddrV4,
-    },
+    NameShared { address: SocketAddrV4 },
     /// One name, two live processes, neither of them this one.
     NameDoubled {
         name: SmolStr,
@@ -74,9 +63,7 @@
     /// The other one with its name is gone: it joins again.
     NameFree,
     /// It was stopped, or its clock jumped, for this long (ms).
-    Paused {
-        lasted: Ms,
-    },
+    Paused { lasted: Ms },
     /// Datagrams that were of no use, since the last such note.
     Refused {
         garbage: u64,
@@ -290,7 +277,10 @@
     /// `identity` was checked. The seed makes its draws, and the number by which it differs from others of its name.
     pub fn new(identity: Identity, seed: u64, now: Ms) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed ^ u64::from(name_tag(&identity.name)));
-        let process = Process { name: identity.name.clone(), nonce: rng.next_u32() };
+        let process = Process {
+            name: identity.name.clone(),
+            nonce: rng.next_u32(),
+        };
         let (zone, region) = (identity.zone.clone(), identity.region.clone());
         let place = Place::new(identity.advertise, zone, region);
         Fleet {
@@ -367,7 +357,8 @@
     pub fn start_knowing<'a>(&mut self, records: impl Iterator<Item = &'a Record>, now: Ms) {
         self.advance(now);
         for record in records.filter(|record| record.process.name != self.process.name) {
-            self.table.apply(record, self.now, self.identity.forget, false);
+            self.table
+                .apply(record, self.now, self.identity.forget, false);
         }
         self.begin();
         self.joined();
@@ -376,7 +367,13 @@
 
     /// What others are told of it: who begins with this knows it.
     pub fn own_word(&self) -> Record {
-        Record::new(self.process.clone(), self.incarnation, State::Alive, &self.place, SPEAKS)
+        Record::new(
+            self.process.clone(),
+            self.incarnation,
+            State::Alive,
+            &self.place,
+            SPEAKS,
+        )
     }
 
     /// It says that it leaves; from then on it neither probes nor answers.
@@ -413,7 +410,10 @@
     pub fn next_due(&self) -> Option<Ms> {
         let timers = self.due.iter().flatten().copied();
         let probes = self.probes.iter().map(|probe| probe.due);
-        let due = timers.chain(probes).chain(self.errands.iter().map(|errand| errand.due)).min();
+        let due = timers
+            .chain(probes)
+            .chain(self.errands.iter().map(|errand| errand.due))
+            .min();
         due.map(|due| due.saturating_sub(self.back))
     }
 
@@ -443,12 +443,25 @@
                 (told.bytes, told.number) = (bytes, told.number.wrapping_add(1));
                 *at = self.now;
             }
-            None => self.facts.push((Told { teller, kind, number: 1, age: 0, bytes }, self.now)),
+            None => self.facts.push((
+                Told {
+                    teller,
+                    kind,
+                    number: 1,
+                    age: 0,
+                    bytes,
+                },
+                self.now,
+            )),
         }
     }
 
     pub fn view(&self) -> (View, &'static str, Ms) {
-        (self.standing.view(), self.standing.reason(), self.now.saturating_sub(self.standing.since()))
+        (
+            self.standing.view(),
+            self.standing.reason(),
+            self.now.saturating_sub(self.standing.since()),
+        )
     }
 
     pub fn score(&self) -> u32 {
@@ -492,17 +505,30 @@
             facts: self
                 .facts
                 .iter()
-                .map(|(told, at)| (Fact::read(told.kind, &told.bytes), self.now.saturating_sub(*at)))
+                .map(|(told, at)| {
+                    (
+                        Fact::read(told.kind, &told.bytes),
+                        self.now.saturating_sub(*at),
+                    )
+                })
                 .collect(),
         };
-        let mut others: Vec<Seen<'_>> = self.table.members.iter().map(|member| self.seen(member)).collect();
+        let mut others: Vec<Seen<'_>> = self
+            .table
+            .members
+            .iter()
+            .map(|member| self.seen(member))
+            .collect();
         others.sort_unstable_by(|a, b| a.name.cmp(b.name));
         std::iter::once(own).chain(others).collect()
     }
 
     fn seen<'a>(&self, member: &'a Member) -> Seen<'a> {
         let age = |told: Ms| self.now.saturating_sub(told);
-        let facts = member.facts.iter().map(|fact| (Fact::read(fact.kind, &fact.bytes), age(fact.told)));
+        let facts = member
+            .facts
+            .iter()
+            .map(|fact| (Fact::read(fact.kind, &fact.bytes), age(fact.told)));
         Seen {
             name: &member.process.name,
             place: &member.place,
@@ -522,7 +548,13 @@
     }
 
     fn own_record(&self) -> Record {
-        Record::new(self.process.clone(), self.incarnation, self.own_state(), &self.place, SPEAKS)
+        Record::new(
+            self.process.clone(),
+            self.incarnation,
+            self.own_state(),
+            &self.place,
+            SPEAKS,
+        )
     }
 
     /// The clock goes on. What should have been done long ago tells that the process was stopped: then what it has not heard
@@ -607,16 +639,30 @@
             Timer::Sweep => {
                 self.set(timer, timing::SWEEP);
                 let gone = self.table.sweep(self.now, self.identity.forget);
-                self.notes.extend(gone.into_iter().map(|process| Note::Forgotten { name: process.name }));
+                self.notes.extend(
+                    gone.into_iter()
+                        .map(|process| Note::Forgotten { name: process.name }),
+                );
             }
             Timer::Claim => self.claim(),
         }
     }
 
     fn note_member(
-        &mut self, name: SmolStr, address: SocketAddrV4, from: Option<State>, to: State, alone: bool,
+        &mut self,
+        name: SmolStr,
+        address: SocketAddrV4,
+        from: Option<State>,
+        to: State,
+        alone: bool,
     ) {
-        self.notes.push(Note::Member { name, address, from, to, alone });
+        self.notes.push(Note::Member {
+            name,
+            address,
+            from,
+            to,
+            alone,
+        });
     }
 
     fn look(&mut self) {
@@ -642,7 +688,11 @@
             View::CutOff => 2,
         };
         let rtt = self.doubt.usual().min(timing::ACK_MOST) as u16;
-        self.keep(&Fact::Health(Health { view, score: self.doubt.score() as u8, rtt }));
+        self.keep(&Fact::Health(Health {
+            view,
+            score: self.doubt.score() as u8,
+            rtt,
+        }));
         if let Some(from) = changed {
             let (to, reason) = (self.standing.view(), self.standing.reason());
             self.notes.push(Note::View { from, to, reason });
--- a/crates/sandtrack-membership/src/fleet/exchange.rs
+++ b/crates/sandtrack-membership/src/fleet/exchange.rs
@@ -37,18 +37,30 @@
         if matches!(self.own, Own::In) {
             let mut own = Table::new();
             own.apply(&self.own_record(), self.now, self.identity.forget, true);
-            own.hashes(hashes.len()).iter().zip(hashes).for_each(|(own, hash)| *hash ^= own);
+            own.hashes(hashes.len())
+                .iter()
+                .zip(hashes)
+                .for_each(|(own, hash)| *hash ^= own);
         }
     }
 
     pub(super) fn compared(&mut self, from: &Sender, hashes: &[u32]) {
         let mut own = self.table.hashes(hashes.len());
         self.add_own_hash(&mut own);
-        let differ = own.iter().zip(hashes).enumerate().filter(|(_, (own, other))| own != other);
+        let differ = own
+            .iter()
+            .zip(hashes)
+            .enumerate()
+            .filter(|(_, (own, other))| own != other);
         let want = differ.fold(0u64, |want, (n, _)| want | 1 << n);
         if want != 0 {
             let buckets = hashes.len() as u8;
-            self.exchange(from.address(), want, buckets, Message::Table { want, buckets });
+            self.exchange(
+                from.address(),
+                want,
+                buckets,
+                Message::Table { want, buckets },
+            );
         }
     }
 
@@ -64,13 +76,21 @@
         if of >> bucket(&self.identity.name, count) & 1 == 1 {
             names.push_front(self.identity.name.clone());
         }
-        self.exchanges.push_back(Exchange { to, names, message, newcomer: false });
+        self.exchanges.push_back(Exchange {
+            to,
+            names,
+            message,
+            newcomer: false,
+        });
         self.bring(Timer::Piece, 0);
     }
 
     /// A newcomer has not heard those that failed for this member alone: it is told that they are suspected, and finds out.
     fn doubted(&self, mut record: Record, newcomer: bool) -> Record {
-        let private = self.table.get(&record.process.name).is_some_and(|member| member.private);
+        let private = self
+            .table
+            .get(&record.process.name)
+            .is_some_and(|member| member.private);
         if newcomer && private {
             (record.state, record.by) = (State::Suspect, name_tag(&self.identity.name));
         }
@@ -79,13 +99,17 @@
 
     /// The next piece of the first exchange in turn.
     pub(super) fn piece(&mut self) {
-        let Some(mut exchange) = self.exchanges.pop_front() else { return };
+        let Some(mut exchange) = self.exchanges.pop_front() else {
+            return;
+        };
         let writer = self.writer(&exchange.message);
         let (before, to) = (exchange.names.len(), exchange.to);
         let newcomer = exchange.newcomer;
         let sent = self.send_with(to, writer, |fleet, writer| {
             while let Some(name) = exchange.names.front() {
-                let record = fleet.rumour(name, 0).map(|record| fleet.doubted(record, newcomer));
+                let record = fleet
+                    .rumour(name, 0)
+                    .map(|record| fleet.doubted(record, newcomer));
                 if record.is_some_and(|record| !writer.record(&record)) {
                     break;
                 }
@@ -121,6 +145,8 @@
         }
         let writer = self.writer(&Message::Gossip);
         let name = from.process.name.clone();
-        self.send_with(from.address(), writer, |fleet, writer| fleet.add_record(&name, writer));
+        self.send_with(from.address(), writer, |fleet, writer| {
+            fleet.add_record(&name, writer)
+        });
     }
 }
--- a/crates/sandtrack-membership/src/fleet/incoming.rs
+++ b/crates/sandtrack-membership/src/fleet/incoming.rs
@@ -45,8 +45,15 @@
         }
         self.heard = self.now;
         let known = self.hear(&from);
-        let exchange = matches!(datagram.message, Message::Welcome { .. } | Message::Table { .. });
-        let word = if exchange { Word::Exchange } else { Word::Rumour };
+        let exchange = matches!(
+            datagram.message,
+            Message::Welcome { .. } | Message::Table { .. }
+        );
+        let word = if exchange {
+            Word::Exchange
+        } else {
+            Word::Rumour
+        };
         let mut changed = false;
         for record in &datagram.records {
             let own = record.process == from.process;
@@ -72,7 +79,13 @@
         if self.refused.iter().any(|count| *count > 0) && self.may_say(0) {
             let [garbage, foreign, later, over] = std::mem::take(&mut self.refused);
             let last = self.refused_last;
-            self.notes.push(Note::Refused { garbage, foreign, later, over, last });
+            self.notes.push(Note::Refused {
+                garbage,
+                foreign,
+                later,
+                over,
+                last,
+            });
         }
     }
 
@@ -87,7 +100,9 @@
     /// A datagram of this very process came: it lives, whatever it was held for. Gives whether it is known, and what has to be
     /// told to it: that others hold it for suspect, failed or gone.
     pub(super) fn hear(&mut self, from: &Sender) -> bool {
-        let Some(place) = self.table.process(&from.process) else { return false };
+        let Some(place) = self.table.process(&from.process) else {
+            return false;
+        };
         self.table.members[place].hear(self.now);
         let member = &self.table.members[place];
         if member.private && from.incarnation >= member.incarnation {
@@ -110,12 +125,21 @@
             self.about_me(record);
             return false;
         }
-        let before =
-            self.table.get(&record.process.name).map(|member| (member.place.address, member.heard()));
-        let news = self.table.apply(record, self.now, self.identity.forget, word == Word::Own);
+        let before = self
+            .table
+            .get(&record.process.name)
+            .map(|member| (member.place.address, member.heard()));
+        let news = self
+            .table
+            .apply(record, self.now, self.identity.forget, word == Word::Own);
         let name = record.process.name.clone();
-        let now_held = self.table.get(&name).map(|member| (member.state, member.place.address));
-        let Some((state, address)) = now_held else { return false };
+        let now_held = self
+            .table
+            .get(&name)
+            .map(|member| (member.state, member.place.address));
+        let Some((state, address)) = now_held else {
+            return false;
+        };
         let from = match news {
             News::None | News::Refused => return false,
             News::Confirmed => {
@@ -132,7 +156,11 @@
                 if let Some((first, heard)) = before.filter(|_| other && from.is_present()) {
                     let lately = heard.is_some_and(|at| self.now < at + timing::SAY);
                     if lately && first != address && self.may_say(1) {
-                        self.notes.push(Note::NameDoubled { name: name.clone(), first, second: address });
+                        self.notes.push(Note::NameDoubled {
+                            name: name.clone(),
+                            first,
+                            second: address,
+                        });
                     }
                 }
                 Some(from)
@@ -152,7 +180,12 @@
     }
 
     pub(super) fn message(
-        &mut self, from: &Sender, message: Message, records: &[Record], known: bool, changed: bool,
+        &mut self,
+        from: &Sender,
+        message: Message,
+        records: &[Record],
+        known: bool,
+        changed: bool,
     ) {
         let to = from.address();
         match message {
@@ -184,16 +217,31 @@
                     }
                 }
             }
-            Message::Ask { seq, target, address } => {
+            Message::Ask {
+                seq,
+                target,
+                address,
+            } => {
                 if known && self.errands.len() < timing::ERRANDS && matches!(self.own, Own::In) {
                     let address = SocketAddrV4::new(address.0.into(), address.1);
                     let own = self.next_seq();
-                    let usual = self.table.process(&target).map_or(0, |place| self.usual(place));
+                    let usual = self
+                        .table
+                        .process(&target)
+                        .map_or(0, |place| self.usual(place));
                     let due = self.now + timing::ASKED.max(usual);
-                    let errand =
-                        Errand { seq: own, target: target.clone(), origin: to, origin_seq: seq, due };
+                    let errand = Errand {
+                        seq: own,
+                        target: target.clone(),
+                        origin: to,
+                        origin_seq: seq,
+                        due,
+                    };
                     self.errands.push(errand);
-                    let ping = Message::Ping { seq: own, to: target.clone() };
+                    let ping = Message::Ping {
+                        seq: own,
+                        to: target.clone(),
+                    };
                     let writer = self.writer(&ping);
                     self.send_with(address, writer, |fleet, writer| {
                         fleet.tell_of_itself(&target.name, writer);
@@ -204,7 +252,9 @@
             Message::Join => {
                 // Also one that is new itself: where all of a fleet start at once, somebody has to answer first.
                 if !matches!(self.own, Own::Out { .. }) {
-                    let joins = |told: &Record| told.process == from.process && told.state == State::Joining;
+                    let joins = |told: &Record| {
+                        told.process == from.process && told.state == State::Joining
+                    };
                     let newcomer = records.iter().any(joins);
                     self.welcome_one(to, &from.process.name, newcomer);
                 }
--- a/crates/sandtrack-membership/src/fleet/joining.rs
+++ b/crates/sandtrack-membership/src/fleet/joining.rs
@@ -5,7 +5,11 @@
 impl Fleet {
     /// Addresses of seeds, but for its own.
     pub(super) fn seeds(&self) -> impl Iterator<Item = SocketAddrV4> + '_ {
-        self.identity.seeds.iter().copied().filter(|seed| *seed != self.identity.advertise)
+        self.identity
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != self.identity.advertise)
     }
 
     pub(super) fn join(&mut self) {
@@ -15,7 +19,8 @@
         if !joining && !cut_off {
             // Where a seed is nobody's address, there may be members there that this part of the fleet never met.
             let known = |seed: &SocketAddrV4| {
-                let at = |member: &Member| member.state.is_present() && member.place.address == *seed;
+                let at =
+                    |member: &Member| member.state.is_present() && member.place.address == *seed;
                 self.table.members.iter().any(at)
             };
             seeds.retain(|seed| !known(seed));
@@ -58,7 +63,9 @@
         self.welcome.clear();
         let name = self.identity.name.clone();
         self.news(&name);
-        self.notes.push(Note::Joined { members: self.table.present() + 1 });
+        self.notes.push(Note::Joined {
+            members: self.table.present() + 1,
+        });
         self.bring(Timer::Compare, timing::COMPARE / 2);
         let again = self.scattered(timing::SEED_AGAIN);
         self.set(Timer::Join, again);
@@ -67,29 +74,42 @@
 
     /// Who asks is told of some, drawn at random where there are many: it will hear of the others from those.
     pub(super) fn welcome_one(&mut self, to: SocketAddrV4, name: &SmolStr, newcomer: bool) {
-        let again =
-            |exchange: &Exchange| exchange.to == to && matches!(exchange.message, Message::Welcome { .. });
+        let again = |exchange: &Exchange| {
+            exchange.to == to && matches!(exchange.message, Message::Welcome { .. })
+        };
         if self.exchanges.len() >= timing::EXCHANGES || self.exchanges.iter().any(again) {
             return;
         }
         // What is known of its own name first: it may have lived before.
-        let mut records: Vec<Record> =
-            self.table.get(name).map(|member| member.record(self.now)).into_iter().collect();
+        let mut records: Vec<Record> = self
+            .table
+            .get(name)
+            .map(|member| member.record(self.now))
+            .into_iter()
+            .collect();
         records.push(self.own_record());
         let most = timing::WELCOME_PIECES * self.identity.datagram / 30;
-        for place in self.draw(most.min(self.table.len()), |member| member.process.name != *name) {
+        for place in self.draw(most.min(self.table.len()), |member| {
+            member.process.name != *name
+        }) {
             records.push(self.table.members[place].record(self.now));
         }
         // The pieces are counted before the first goes out.
         let mut pieces: Vec<VecDeque<SmolStr>> = vec![VecDeque::new()];
-        let mut writer = self.writer(&Message::Welcome { pieces: 0, piece: 0 });
+        let mut writer = self.writer(&Message::Welcome {
+            pieces: 0,
+            piece: 0,
+        });
         for record in records {
             if !writer.record(&record) {
                 if pieces.len() == timing::WELCOME_PIECES {
                     break;
                 }
                 pieces.push(VecDeque::new());
-                writer = self.writer(&Message::Welcome { pieces: 0, piece: 0 });
+                writer = self.writer(&Message::Welcome {
+                    pieces: 0,
+                    piece: 0,
+                });
                 writer.record(&record);
             }
             if let Some(piece) = pieces.last_mut() {
@@ -98,8 +118,16 @@
         }
         let count = pieces.len() as u16;
         for (piece, names) in (0..).zip(pieces) {
-            let message = Message::Welcome { pieces: count, piece };
-            self.exchanges.push_back(Exchange { to, names, message, newcomer });
+            let message = Message::Welcome {
+                pieces: count,
+                piece,
+            };
+            self.exchanges.push_back(Exchange {
+                to,
+                names,
+                message,
+                newcomer,
+            });
         }
         self.bring(Timer::Piece, 0);
     }
@@ -137,7 +165,10 @@
                 self.incarnation = record.incarnation + 1;
                 self.counts.refutations += 1;
                 self.doubt.refuted();
-                self.notes.push(Note::Refuted { held, incarnation: self.incarnation });
+                self.notes.push(Note::Refuted {
+                    held,
+                    incarnation: self.incarnation,
+                });
                 let name = self.identity.name.clone();
                 self.news(&name);
             } else {
@@ -173,7 +204,10 @@
 
     /// The name's former process is gone: this one goes before it.
     pub(super) fn succeed(&mut self, former: &Rival) {
-        self.incarnation = self.incarnation.max(former.incarnation + 1).min(INCARNATION_MOST);
+        self.incarnation = self
+            .incarnation
+            .max(former.incarnation + 1)
+            .min(INCARNATION_MOST);
         let name = self.identity.name.clone();
         self.news(&name);
         if matches!(self.own, Own::In) {
@@ -237,7 +271,9 @@
             }
         }
         if self.may_say(2) {
-            self.notes.push(Note::NameShared { address: from.address() });
+            self.notes.push(Note::NameShared {
+                address: from.address(),
+            });
         }
         if let Message::Ping { seq, .. } = message {
             let writer = self.writer(&Message::Ack { seq: *seq });
@@ -247,8 +283,12 @@
 
     /// Another process of this name lives: this one stays out of the fleet until that is gone.
     fn stand_down(&mut self) {
-        let Some(rival) = self.rival.take() else { return };
-        self.notes.push(Note::NameTaken { address: rival.address });
+        let Some(rival) = self.rival.take() else {
+            return;
+        };
+        self.notes.push(Note::NameTaken {
+            address: rival.address,
+        });
         self.own = Own::Out { rival, silent: 0 };
         self.own_since = self.now;
         self.rumours.clear();
--- a/crates/sandtrack-membership/src/fleet/probing.rs
+++ b/crates/sandtrack-membership/src/fleet/probing.rs
@@ -7,14 +7,21 @@
     pub(super) fn round(&mut self) {
         for _ in 0..2 {
             while let Some(name) = self.order.pop() {
-                let target = self.table.place(&name).filter(|at| self.table.members[*at].state.is_present());
+                let target = self
+                    .table
+                    .place(&name)
+                    .filter(|at| self.table.members[*at].state.is_present());
                 let Some(place) = target else { continue };
                 let target = self.table.members[place].process.clone();
                 if !self.probes.iter().any(|probe| probe.target == target) {
                     return self.probe(place, Why::Round);
                 }
             }
-            let present = self.table.members.iter().filter(|member| member.state.is_present());
+            let present = self
+                .table
+                .members
+                .iter()
+                .filter(|member| member.state.is_present());
             self.order = present.map(|member| member.process.name.clone()).collect();
             for n in (1..self.order.len()).rev() {
                 let other = self.rng.gen_range(0..=n);
@@ -26,9 +33,14 @@
     /// The next one in the ring: whoever fails is missed by one at least within a second.
     pub(super) fn ring(&mut self) {
         if self.ring.0 != self.table.version() {
-            self.ring = (self.table.version(), self.table.next_in_ring(&self.identity.name).cloned());
+            self.ring = (
+                self.table.version(),
+                self.table.next_in_ring(&self.identity.name).cloned(),
+            );
         }
-        let Some(target) = self.ring.1.clone() else { return };
+        let Some(target) = self.ring.1.clone() else {
+            return;
+        };
         if let Some(place) = self.table.process(&target) {
             if !self.probes.iter().any(|probe| probe.target == target) {
                 self.probe(place, Why::Ring);
@@ -42,7 +54,9 @@
         if self.table.privates() > 0 {
             return self.reach(1, true);
         }
-        let wanted = self.table.count(State::Failed) as f64 * timing::REACHED * timing::PROBE as f64 / 1000.0;
+        let wanted =
+            self.table.count(State::Failed) as f64 * timing::REACHED * timing::PROBE as f64
+                / 1000.0;
         let part = wanted / (self.table.present() + 1) as f64;
         if self.rng.gen::<f64>() < part {
             self.reach(1, false);
@@ -55,9 +69,9 @@
         if self.table.count(State::Failed) == 0 || room == 0 {
             return;
         }
-        for place in
-            self.draw(count.min(room), |member| member.state == State::Failed && (member.private || !private))
-        {
+        for place in self.draw(count.min(room), |member| {
+            member.state == State::Failed && (member.private || !private)
+        }) {
             let target = &self.table.members[place].process;
             if !self.probes.iter().any(|probe| probe.target == *target) {
                 self.probe(place, Why::Reach);
@@ -68,13 +82,25 @@
     pub(super) fn probe(&mut self, place: usize, why: Why) {
         let member = &self.table.members[place];
         let (target, to) = (member.process.clone(), member.place.address);
-        let suspected = !member.public_state().is_present() || member.public_state() == State::Suspect;
+        let suspected =
+            !member.public_state().is_present() || member.public_state() == State::Suspect;
         let seq = self.next_seq();
         let due = self.now + self.patience(place);
         self.counts.probes += 1;
         let sent = self.now;
-        self.probes.push(Probe { seq, why, target: target.clone(), sent, due, asked: None, nacks: 0 });
-        let writer = self.writer(&Message::Ping { seq, to: target.clone() });
+        self.probes.push(Probe {
+            seq,
+            why,
+            target: target.clone(),
+            sent,
+            due,
+            asked: None,
+            nacks: 0,
+        });
+        let writer = self.writer(&Message::Ping {
+            seq,
+            to: target.clone(),
+        });
         self.send_with(to, writer, |fleet, writer| {
             if suspected {
                 // It must be able to refute that.
@@ -90,7 +116,10 @@
     /// How long a member and this one are used to wait for answers, together: as that one told, and as this one met.
     pub(super) fn usual(&self, place: usize) -> Ms {
         let facts = &self.table.members[place].facts;
-        let told = facts.iter().find(|fact| fact.kind == HEALTH).map(|fact| Fact::read(HEALTH, &fact.bytes));
+        let told = facts
+            .iter()
+            .find(|fact| fact.kind == HEALTH)
+            .map(|fact| Fact::read(HEALTH, &fact.bytes));
         let theirs = match told {
             Some(Fact::Health(health)) => Ms::from(health.rtt),
             _ => 0,
@@ -100,7 +129,9 @@
 
     /// How long its answer may take: longer if this one doubts itself, and if either is far from all or slow.
     pub(super) fn patience(&self, place: usize) -> Ms {
-        (timing::ACK * self.doubt.scale()).max(self.usual(place)).min(timing::ACK_MOST)
+        (timing::ACK * self.doubt.scale())
+            .max(self.usual(place))
+            .min(timing::ACK_MOST)
     }
 
     /// Steps of probes and errands that are due.
@@ -123,10 +154,20 @@
                 self.probe_failed(&probe);
             }
         }
-        let due: Vec<Errand> = self.errands.iter().filter(|errand| errand.due <= self.now).cloned().collect();
+        let due: Vec<Errand> = self
+            .errands
+            .iter()
+            .filter(|errand| errand.due <= self.now)
+            .cloned()
+            .collect();
         self.errands.retain(|errand| errand.due > self.now);
         for errand in due {
-            self.send(errand.origin, &Message::Nack { seq: errand.origin_seq });
+            self.send(
+                errand.origin,
+                &Message::Nack {
+                    seq: errand.origin_seq,
+                },
+            );
         }
     }
 
@@ -136,7 +177,8 @@
         let target_at = self.table.place(&target.name);
         let address = target_at.map(|place| self.table.members[place].place.address);
         let usual = target_at.map_or(0, |place| self.usual(place));
-        let fit = |member: &Member| member.state == State::Alive && member.process.name != target.name;
+        let fit =
+            |member: &Member| member.state == State::Alive && member.process.name != target.name;
         let mut helpers = self.draw(timing::HELPERS * 8, fit);
         let mut zones: Vec<SmolStr> = Vec::new();
         let zone = |fleet: &Self, place: usize| fleet.table.members[place].place.site.zone.clone();
@@ -169,7 +211,10 @@
         }
         // Without a word of anybody it may as well be this member that can't be reached. Where there is nobody else to
         // ask, it is suspected all the same, and the view says what that is worth.
-        let heard = self.table.process(&probe.target).and_then(|place| self.table.members[place].heard());
+        let heard = self
+            .table
+            .process(&probe.target)
+            .and_then(|place| self.table.members[place].heard());
         let silent = heard.is_none_or(|at| at < probe.sent);
         if (witnessed || alone) && silent && !self.doubt.is_quiet(self.now) {
             self.accuse(&probe.target);
@@ -177,7 +222,9 @@
     }
 
     pub(super) fn accuse(&mut self, target: &Process) {
-        let Some(place) = self.table.process(target) else { return };
+        let Some(place) = self.table.process(target) else {
+            return;
+        };
         let own = name_tag(&self.identity.name);
         let member = &self.table.members[place];
         let (from, address) = (member.state, member.place.address);
@@ -187,7 +234,13 @@
         if from != State::Suspect {
             self.counts.suspicions += 1;
             self.table.judge(place, State::Suspect, self.now);
-            self.note_member(target.name.clone(), address, Some(from), State::Suspect, false);
+            self.note_member(
+                target.name.clone(),
+                address,
+                Some(from),
+                State::Suspect,
+                false,
+            );
             self.suspected(&target.name);
         }
         let by = &mut self.table.members[place].suspicion().by;
@@ -207,10 +260,15 @@
     /// Another suspects it: some look for themselves, about as many in any fleet.
     pub(super) fn second_opinion(&mut self, name: &SmolStr) {
         let chance = timing::OPINIONS / self.table.present().max(1) as f64;
-        let Some(place) = self.table.place(name) else { return };
+        let Some(place) = self.table.place(name) else {
+            return;
+        };
         let target = &self.table.members[place].process;
         let probed = self.probes.iter().any(|probe| probe.target == *target);
-        let (asked, beside) = (self.rng.gen::<f64>() < chance, self.rng.gen::<f64>() < chance);
+        let (asked, beside) = (
+            self.rng.gen::<f64>() < chance,
+            self.rng.gen::<f64>() < chance,
+        );
         if !matches!(self.own, Own::In) || self.probes.len() >= timing::PROBES {
             return;
         }
@@ -219,7 +277,8 @@
             self.probe(place, Why::Opinion);
         }
         if beside {
-            let fit = |member: &Member| member.state == State::Alive && member.place.site.zone == zone;
+            let fit =
+                |member: &Member| member.state == State::Alive && member.place.site.zone == zone;
             for place in self.draw(1, fit) {
                 self.probe(place, Why::Opinion);
             }
@@ -233,7 +292,11 @@
             let seq = errand.origin_seq;
             return self.send(
                 errand.origin,
-                &if reached { Message::Reached { seq } } else { Message::Nack { seq } },
+                &if reached {
+                    Message::Reached { seq }
+                } else {
+                    Message::Nack { seq }
+                },
             );
         }
         let Some(n) = self.probes.iter().position(|probe| probe.seq == seq) else {
@@ -265,13 +328,19 @@
     /// What failed for this member alone, while it was cut off, and has not been reached since it is not: the others are told, and
     /// it has its time to refute.
     pub(super) fn own_up(&mut self) {
-        let back = self.standing.view() != View::CutOff && self.now >= self.standing.since() + timing::OWN_UP;
+        let back = self.standing.view() != View::CutOff
+            && self.now >= self.standing.since() + timing::OWN_UP;
         if !back || self.table.privates() == 0 {
             return;
         }
         let private = |member: &&Member| member.private;
-        let whom: Vec<Process> =
-            self.table.members.iter().filter(private).map(|member| member.process.clone()).collect();
+        let whom: Vec<Process> = self
+            .table
+            .members
+            .iter()
+            .filter(private)
+            .map(|member| member.process.clone())
+            .collect();
         for process in whom {
             if let Some(place) = self.table.process(&process) {
                 self.table.judge(place, State::Alive, self.now);
@@ -287,11 +356,17 @@
         let cut_off = self.standing.view() == View::CutOff;
         let patience = if cut_off { CUT_OFF } else { 1 };
         for name in std::mem::take(&mut self.suspects) {
-            let suspect =
-                self.table.place(&name).filter(|at| self.table.members[*at].state == State::Suspect);
+            let suspect = self
+                .table
+                .place(&name)
+                .filter(|at| self.table.members[*at].state == State::Suspect);
             let Some(place) = suspect else { continue };
             let answer = self.patience(place);
-            let &mut Suspicion { since, ref by, asked } = self.table.members[place].suspicion();
+            let &mut Suspicion {
+                since,
+                ref by,
+                asked,
+            } = self.table.members[place].suspicion();
             let over = since + timing::suspicion(members, by.len()) * patience;
             if asked.is_none() && self.now + answer >= over {
                 self.table.members[place].suspicion().asked = Some(self.now);
@@ -306,7 +381,13 @@
             self.counts.failures += 1;
             self.table.judge(place, State::Failed, self.now);
             self.table.change(place, |member| member.private = cut_off);
-            self.note_member(name.clone(), address, Some(State::Suspect), State::Failed, cut_off);
+            self.note_member(
+                name.clone(),
+                address,
+                Some(State::Suspect),
+                State::Failed,
+                cut_off,
+            );
             if !cut_off {
                 self.news(&name);
             }
