--- a/crates/sandtrack-membership/src/fleet/sending.rs
+++ b/crates/sandtrack-membership/src/fleet/sending.rs
@@ -3,7 +3,13 @@
 
 impl Fleet {
     pub(super) fn writer(&self, message: &Message) -> Writer {
-        Writer::new(self.cluster, &self.identity, &self.process, self.incarnation, message)
+        Writer::new(
+            self.cluster,
+            &self.identity,
+            &self.process,
+            self.incarnation,
+            message,
+        )
     }
 
     /// Sends a message with what news there is to tell.
@@ -13,7 +19,10 @@
     }
 
     pub(super) fn send_with(
-        &mut self, to: SocketAddrV4, mut writer: Writer, fill: impl FnOnce(&mut Self, &mut Writer),
+        &mut self,
+        to: SocketAddrV4,
+        mut writer: Writer,
+        fill: impl FnOnce(&mut Self, &mut Writer),
     ) -> bool {
         if !self.out.take(self.now, 0.0) {
             self.counts.held_back += 1;
@@ -30,7 +39,11 @@
     pub(super) fn add_rumours(&mut self, writer: &mut Writer) {
         // Where much is to be told at once each is told less often: what a member misses it hears when tables are compared.
         let many = self.rumours.len() > timing::RUMOURS_MANY;
-        let most = if many { timing::RETELL_FEW } else { timing::retell(self.table.present()) };
+        let most = if many {
+            timing::RETELL_FEW
+        } else {
+            timing::retell(self.table.present())
+        };
         let mut rumours = std::mem::take(&mut self.rumours);
         rumours.take(most, |name, times| match self.rumour(name, times) {
             Some(record) => writer.record(&record),
@@ -58,7 +71,10 @@
         let end = writer.size() + timing::FACT_BYTES;
         let age = |at: Ms| self.now.saturating_sub(at);
         for (told, at) in &self.facts {
-            let aged = Told { age: (age(*at) / 100).min(u64::from(u16::MAX)) as u16, ..told.clone() };
+            let aged = Told {
+                age: (age(*at) / 100).min(u64::from(u16::MAX)) as u16,
+                ..told.clone()
+            };
             if !writer.fact(&aged) {
                 return;
             }
@@ -66,7 +82,11 @@
         for _ in 0..self.table.len().min(32) {
             self.cursor = (self.cursor + 1) % self.table.len();
             let member = &self.table.members[self.cursor];
-            for fact in member.facts.iter().filter(|fact| age(fact.told) < FACT_AGE_MOST) {
+            for fact in member
+                .facts
+                .iter()
+                .filter(|fact| age(fact.told) < FACT_AGE_MOST)
+            {
                 let told = Told {
                     teller: member.process.clone(),
                     kind: fact.kind,
--- a/crates/sandtrack-membership/src/rumours.rs
+++ b/crates/sandtrack-membership/src/rumours.rs
@@ -81,7 +81,11 @@
         assert_eq!(round(&mut rumours, 2), ["a", "b"]);
         assert_eq!(round(&mut rumours, 2), ["c", "a"]);
         rumours.push(&names[1]);
-        assert_eq!(round(&mut rumours, 9), ["b", "c"], "news begins anew, and a has been told twice");
+        assert_eq!(
+            round(&mut rumours, 9),
+            ["b", "c"],
+            "news begins anew, and a has been told twice"
+        );
         assert_eq!(round(&mut rumours, 9), ["b"]);
         assert!(rumours.is_empty());
     }
--- a/crates/sandtrack-membership/src/table.rs
+++ b/crates/sandtrack-membership/src/table.rs
@@ -34,7 +34,11 @@
 
 impl Suspicion {
     fn new(since: Ms, by: Vec<u32>) -> Self {
-        Suspicion { since, by, asked: None }
+        Suspicion {
+            since,
+            by,
+            asked: None,
+        }
     }
 }
 
@@ -119,7 +123,10 @@
 
 impl Member {
     fn new(record: &Record, site: Arc<Site>, now: Ms) -> Self {
-        let place = Place { address: record.address(), site };
+        let place = Place {
+            address: record.address(),
+            site,
+        };
         let mut member = Member {
             process: record.process.clone(),
             incarnation: record.incarnation,
@@ -156,7 +163,9 @@
 
     /// Who accuses it, by tags of names.
     pub fn accusers(&self) -> &[u32] {
-        self.suspicion.as_ref().map_or(&[], |suspicion| &suspicion.by)
+        self.suspicion
+            .as_ref()
+            .map_or(&[], |suspicion| &suspicion.by)
     }
 
     /// What others are told of its state.
@@ -170,8 +179,19 @@
 
     pub fn record(&self, now: Ms) -> Record {
         let state = self.public_state();
-        let mut record = Record::new(self.process.clone(), self.incarnation, state, &self.place, self.speaks);
-        record.by = self.accusers().first().copied().filter(|_| state == State::Suspect).unwrap_or(0);
+        let mut record = Record::new(
+            self.process.clone(),
+            self.incarnation,
+            state,
+            &self.place,
+            self.speaks,
+        );
+        record.by = self
+            .accusers()
+            .first()
+            .copied()
+            .filter(|_| state == State::Suspect)
+            .unwrap_or(0);
         if !state.is_present() {
             record.age_s = (now.saturating_sub(self.since) / 1000).min(u64::from(u32::MAX)) as u32;
         }
@@ -185,19 +205,27 @@
             State::Left => 2,
             _ => 0,
         };
-        let (nonce, incarnation) = (self.process.nonce.to_le_bytes(), self.incarnation.to_le_bytes());
+        let (nonce, incarnation) = (
+            self.process.nonce.to_le_bytes(),
+            self.incarnation.to_le_bytes(),
+        );
         hash(&[self.process.name.as_bytes(), &nonce, &incarnation, &[class]]) as u32
     }
 }
 
 impl Table {
     pub fn new() -> Self {
-        Table { hashes: vec![0; BUCKETS], ..Table::default() }
+        Table {
+            hashes: vec![0; BUCKETS],
+            ..Table::default()
+        }
     }
 
     pub fn place(&self, name: &str) -> Option<usize> {
         let is = |place: &u32| self.members[*place as usize].process.name == name;
-        self.places.find(name_hash(name), is).map(|place| *place as usize)
+        self.places
+            .find(name_hash(name), is)
+            .map(|place| *place as usize)
     }
 
     /// Where a record says that its member is, kept once for all that are there.
@@ -206,7 +234,10 @@
         if let Some(site) = self.sites.iter().find(is) {
             return site.clone();
         }
-        let site = Arc::new(Site { zone: record.zone.clone(), region: record.region.clone() });
+        let site = Arc::new(Site {
+            zone: record.zone.clone(),
+            region: record.region.clone(),
+        });
         if self.sites.len() < SITES {
             self.sites.push(site.clone());
         }
@@ -217,12 +248,16 @@
         let (place, hash) = (self.members.len() as u32, name_hash(&member.process.name));
         self.members.push(member);
         let members = &self.members;
-        self.places.insert_unique(hash, place, |place| name_hash(&members[*place as usize].process.name));
+        self.places.insert_unique(hash, place, |place| {
+            name_hash(&members[*place as usize].process.name)
+        });
     }
 
     fn remove(&mut self, place: usize) -> Member {
         let mut point = |name: &str, from: usize, to: Option<usize>| {
-            let found = self.places.find_entry(name_hash(name), |place| *place as usize == from);
+            let found = self
+                .places
+                .find_entry(name_hash(name), |place| *place as usize == from);
             if let Ok(mut found) = found {
                 match to {
                     Some(to) => *found.get_mut() = to as u32,
@@ -244,7 +279,8 @@
 
     /// The member, if it is this very process.
     pub fn process(&self, process: &Process) -> Option<usize> {
-        self.place(&process.name).filter(|place| self.members[*place].process.nonce == process.nonce)
+        self.place(&process.name)
+            .filter(|place| self.members[*place].process.nonce == process.nonce)
     }
 
     pub fn len(&self) -> usize {
@@ -274,7 +310,10 @@
     pub fn hashes(&self, buckets: usize) -> Vec<u32> {
         let mut folded = vec![0; buckets.clamp(1, BUCKETS)];
         let count = folded.len();
-        self.hashes.iter().enumerate().for_each(|(n, hash)| folded[n % count] ^= hash);
+        self.hashes
+            .iter()
+            .enumerate()
+            .for_each(|(n, hash)| folded[n % count] ^= hash);
         folded
     }
 
@@ -294,7 +333,10 @@
     /// The next one that is there in the ring of all by hashes of names, after this name.
     pub fn next_in_ring(&self, name: &str) -> Option<&Process> {
         let own = name_tag(name);
-        let there = self.members.iter().filter(|member| member.state.is_present());
+        let there = self
+            .members
+            .iter()
+            .filter(|member| member.state.is_present());
         let next = there.min_by_key(|member| {
             let tag = name_tag(&member.process.name);
             (tag.wrapping_sub(own).wrapping_sub(1), &member.process.name)
@@ -349,7 +391,9 @@
         };
         let known = &self.members[place];
         // One that this member never heard, or not for long, may be an invention: what is known of it protects nothing.
-        let vouched = known.heard().is_some_and(|at| now < at.saturating_add(VOUCHED));
+        let vouched = known
+            .heard()
+            .is_some_and(|at| now < at.saturating_add(VOUCHED));
         if vouched && !direct && record.incarnation > known.incarnation.saturating_add(JUMP) {
             return News::Refused;
         }
@@ -365,7 +409,11 @@
             return News::None;
         }
         if !newer && record.state == public {
-            return if public == State::Suspect { self.confirm(place, record.by) } else { News::None };
+            return if public == State::Suspect {
+                self.confirm(place, record.by)
+            } else {
+                News::None
+            };
         }
         if !newer && known.private && record.state < from {
             // It failed here already, for this member alone; the others come to it in their own time.
@@ -375,7 +423,11 @@
         let site = self.site(record);
         self.change(place, |member| {
             let suspicion = member.suspicion.take();
-            let (since, heard, facts) = (member.since, member.heard, std::mem::take(&mut member.facts));
+            let (since, heard, facts) = (
+                member.since,
+                member.heard,
+                std::mem::take(&mut member.facts),
+            );
             *member = Member::new(record, site, now);
             if !other {
                 (member.heard, member.facts) = (heard, facts);
@@ -443,7 +495,8 @@
             }
         }
         let over = |member: &Member| {
-            !member.state.is_present() && now.saturating_sub(member.since) >= Self::kept(member.state, forget)
+            !member.state.is_present()
+                && now.saturating_sub(member.since) >= Self::kept(member.state, forget)
         };
         let mut gone = Vec::new();
         let mut place = 0;
@@ -463,11 +516,17 @@
 
     /// Takes in a fact of a process that is known, if it is news.
     pub fn learn(&mut self, told: &Told, now: Ms) -> bool {
-        let Some(place) = self.process(&told.teller) else { return false };
+        let Some(place) = self.process(&told.teller) else {
+            return false;
+        };
         let facts = &mut self.members[place].facts;
         let at = now.saturating_sub(u64::from(told.age) * 100);
-        let fact =
-            Fact { kind: told.kind, number: told.number, told: at, bytes: told.bytes.as_slice().into() };
+        let fact = Fact {
+            kind: told.kind,
+            number: told.number,
+            told: at,
+            bytes: told.bytes.as_slice().into(),
+        };
         let known = facts.iter().position(|known| known.kind == told.kind);
         match known {
             // Numbers may come round: what is half the range ahead is older.
--- a/crates/sandtrack-membership/src/timing.rs
+++ b/crates/sandtrack-membership/src/timing.rs
@@ -92,7 +92,11 @@
     // In a small fleet there are not so many who could.
     let most = (CONFIRM + 1).min(members.saturating_sub(1)).max(1) as f64;
     let accusers = (accusers.max(1) as f64).min(most);
-    let part = if most > 1.0 { accusers.ln() / most.ln() } else { 1.0 };
+    let part = if most > 1.0 {
+        accusers.ln() / most.ln()
+    } else {
+        1.0
+    };
     (least * (3.0 - 2.0 * part)).round() as Ms
 }
 
@@ -111,7 +115,11 @@
 
 impl Pace {
     pub fn new(rate: f64, now: Ms) -> Self {
-        Pace { rate, saved: rate, at: now }
+        Pace {
+            rate,
+            saved: rate,
+            at: now,
+        }
     }
 
     /// Takes one, or says no; `keep`: this part of what is saved is for others.
@@ -138,7 +146,11 @@
         assert!(times.windows(2).all(|two| two[0] >= two[1]), "{times:?}");
         assert_eq!((times[0], times[3], times[4]), (3 * least, least, least));
         assert!(suspicion_least(10_000) < 4_000);
-        assert_eq!(suspicion(3, 2), suspicion_least(3), "nobody else is there who could accuse it");
+        assert_eq!(
+            suspicion(3, 2),
+            suspicion_least(3),
+            "nobody else is there who could accuse it"
+        );
         assert_eq!(suspicion(2, 1), suspicion_least(2));
     }
 
--- a/crates/sandtrack-membership/src/view.rs
+++ b/crates/sandtrack-membership/src/view.rs
@@ -67,8 +67,16 @@
 fn judge(sight: &Sight, from: View) -> (View, &'static str) {
     let cut_off = from == View::CutOff;
     let well = from == View::Whole;
-    let (cut, silent) = if cut_off { (CUT_BACK, SILENT_BACK) } else { (CUT, SILENT) };
-    let (doubt, score) = if well { (DOUBT, SCORE) } else { (DOUBT_BACK, SCORE_BACK + 1) };
+    let (cut, silent) = if cut_off {
+        (CUT_BACK, SILENT_BACK)
+    } else {
+        (CUT, SILENT)
+    };
+    let (doubt, score) = if well {
+        (DOUBT, SCORE)
+    } else {
+        (DOUBT_BACK, SCORE_BACK + 1)
+    };
     let others = sight.expected > 1;
     if sight.name_taken {
         return (View::CutOff, "another process has its name");
@@ -98,7 +106,14 @@
     if others && few {
         return (View::Doubtful, "a good part of the members is not heard");
     }
-    (View::Whole, if others { "nearly all are heard" } else { "it is alone" })
+    (
+        View::Whole,
+        if others {
+            "nearly all are heard"
+        } else {
+            "it is alone"
+        },
+    )
 }
 
 /// The view as it stands.
@@ -114,7 +129,12 @@
 impl Standing {
     pub fn new(now: Ms) -> Self {
         let reason = "it has not been told who is there";
-        Standing { view: View::Doubtful, reason, since: now, better: None }
+        Standing {
+            view: View::Doubtful,
+            reason,
+            since: now,
+            better: None,
+        }
     }
 
     pub fn view(&self) -> View {
@@ -185,8 +205,16 @@
         let whole = (sight(30, 30), 5_000);
         assert_eq!(after(&[whole, (sight(20, 30), 200)]), View::Whole);
         assert_eq!(after(&[whole, (sight(17, 30), 200)]), View::Doubtful);
-        assert_eq!(after(&[whole, (sight(15, 30), 200)]), View::CutOff, "the other half may be the fleet");
-        assert_eq!(after(&[(sight(1, 1), 5_000)]), View::Whole, "alone, and nobody else was ever heard of");
+        assert_eq!(
+            after(&[whole, (sight(15, 30), 200)]),
+            View::CutOff,
+            "the other half may be the fleet"
+        );
+        assert_eq!(
+            after(&[(sight(1, 1), 5_000)]),
+            View::Whole,
+            "alone, and nobody else was ever heard of"
+        );
     }
 
     /// Without the margins and the wait a member at the edge would change its view with each probe.
@@ -195,8 +223,15 @@
         let (whole, cut) = ((sight(30, 30), 5_000), (sight(10, 30), 200));
         assert_eq!(after(&[whole, cut, (sight(30, 30), 1_900)]), View::CutOff);
         assert_eq!(after(&[whole, cut, (sight(30, 30), 2_200)]), View::Whole);
-        assert_eq!(after(&[whole, cut, (sight(16, 30), 20_000)]), View::CutOff, "by a hair is not better");
-        assert_eq!(after(&[whole, (sight(17, 30), 200), (sight(19, 30), 20_000)]), View::Doubtful);
+        assert_eq!(
+            after(&[whole, cut, (sight(16, 30), 20_000)]),
+            View::CutOff,
+            "by a hair is not better"
+        );
+        assert_eq!(
+            after(&[whole, (sight(17, 30), 200), (sight(19, 30), 20_000)]),
+            View::Doubtful
+        );
         let mut edge = vec![whole];
         edge.extend((0..20).flat_map(|_| [(sight(15, 30), 100), (sight(30, 30), 1_000)]));
         assert_eq!(after(&edge), View::CutOff, "it does not flap");
@@ -217,6 +252,10 @@
         assert_eq!(with(|s| s.score = 4), View::Doubtful);
         assert_eq!(with(|s| s.score = 3), View::Whole);
         assert_eq!(with(|s| s.joined = false), View::Doubtful);
-        assert_eq!(with(|s| (s.joined, s.joining) = (false, 10_000)), View::CutOff, "no seed answers");
+        assert_eq!(
+            with(|s| (s.joined, s.joining) = (false, 10_000)),
+            View::CutOff,
+            "no seed answers"
+        );
     }
 }
--- a/crates/sandtrack-membership/src/wire.rs
+++ b/crates/sandtrack-membership/src/wire.rs
@@ -89,10 +89,26 @@
 }
 
 impl Record {
-    pub fn new(process: Process, incarnation: u64, state: State, place: &Place, speaks: u8) -> Self {
+    pub fn new(
+        process: Process,
+        incarnation: u64,
+        state: State,
+        place: &Place,
+        speaks: u8,
+    ) -> Self {
         let address = (u32::from(*place.address.ip()), place.address.port());
         let (zone, region) = (place.site.zone.clone(), place.site.region.clone());
-        Record { process, incarnation, state, address, zone, region, speaks, by: 0, age_s: 0 }
+        Record {
+            process,
+            incarnation,
+            state,
+            address,
+            zone,
+            region,
+            speaks,
+            by: 0,
+            age_s: 0,
+        }
     }
 
     pub fn address(&self) -> SocketAddrV4 {
@@ -124,7 +140,10 @@
 
 impl Place {
     pub fn new(address: SocketAddrV4, zone: SmolStr, region: SmolStr) -> Self {
-        Place { address, site: Arc::new(Site { zone, region }) }
+        Place {
+            address,
+            site: Arc::new(Site { zone, region }),
+        }
     }
 }
 
@@ -201,7 +220,11 @@
 
 impl Message {
     pub fn ask(seq: u32, target: Process, address: SocketAddrV4) -> Self {
-        Message::Ask { seq, target, address: (u32::from(*address.ip()), address.port()) }
+        Message::Ask {
+            seq,
+            target,
+            address: (u32::from(*address.ip()), address.port()),
+        }
     }
 }
 
@@ -256,13 +279,28 @@
 
 impl Writer {
     pub fn new(
-        cluster: u32, identity: &Identity, process: &Process, incarnation: u64, message: &Message,
+        cluster: u32,
+        identity: &Identity,
+        process: &Process,
+        incarnation: u64,
+        message: &Message,
     ) -> Self {
-        let address = (u32::from(*identity.advertise.ip()), identity.advertise.port());
-        let sender = Sender { process: process.clone(), incarnation, address, speaks: SPEAKS };
+        let address = (
+            u32::from(*identity.advertise.ip()),
+            identity.advertise.port(),
+        );
+        let sender = Sender {
+            process: process.clone(),
+            incarnation,
+            address,
+            speaks: SPEAKS,
+        };
         let mut bytes = vec![MAGIC, NEEDS, 0, 0, 0, 0];
         bytes.extend(cluster.to_le_bytes());
-        let mut writer = Writer { bytes, most: identity.datagram };
+        let mut writer = Writer {
+            bytes,
+            most: identity.datagram,
+        };
         writer.bytes.extend(packed(&sender));
         // The message always has room: the least datagram holds the longest names.
         let room = writer.add(SECTION_MESSAGE, &packed(message));
@@ -357,16 +395,26 @@
     }
     let named = |message: &Message| match message {
         Message::Ping { to, .. } => valid_name(&to.name),
-        Message::Ask { target, address, .. } => {
+        Message::Ask {
+            target, address, ..
+        } => {
             let address = SocketAddrV4::new(Ipv4Addr::from(address.0), address.1);
             valid_name(&target.name) && valid_address(address)
         }
         Message::Compare { hashes } => hashes.len().is_power_of_two() && hashes.len() <= BUCKETS,
-        Message::Table { buckets, .. } => buckets.is_power_of_two() && usize::from(*buckets) <= BUCKETS,
+        Message::Table { buckets, .. } => {
+            buckets.is_power_of_two() && usize::from(*buckets) <= BUCKETS
+        }
         _ => true,
     };
     let valid = valid_name(&from.process.name)
         && valid_address(from.address())
         && from.incarnation <= INCARNATION_MOST;
-    Some(Datagram { from, message: message.filter(named)?, records, facts }).filter(|_| valid)
+    Some(Datagram {
+        from,
+        message: message.filter(named)?,
+        records,
+        facts,
+    })
+    .filter(|_| valid)
 }
--- a/crates/sandtrack-membership/tests/guards.rs
+++ b/crates/sandtrack-membership/tests/guards.rs
@@ -14,7 +14,16 @@
 
 fn record(name: &str, nonce: u32, incarnation: u64, state: State) -> Record {
     let place = Place::new(address(9), "z".into(), "r".into());
-    Record::new(Process { name: name.into(), nonce }, incarnation, state, &place, 1)
+    Record::new(
+        Process {
+            name: name.into(),
+            nonce,
+        },
+        incarnation,
+        state,
+        &place,
+        1,
+    )
 }
 
 /// A table that holds "a" of nonce 5 in that state.
@@ -40,7 +49,11 @@
                 let held = after(table(3, known), &record("a", 5, incarnation, told)).0;
                 let news = incarnation == 4 || incarnation == 3 && told > known;
                 // Who is held for there is not taken for failed by a word: it has its time to refute.
-                let told = if told == Failed && known.is_present() { Suspect } else { told };
+                let told = if told == Failed && known.is_present() {
+                    Suspect
+                } else {
+                    told
+                };
                 assert_eq!(
                     held,
                     if news { told } else { known },
@@ -59,15 +72,27 @@
         (Alive, 3, 5),
         "though its draw is higher"
     );
-    assert_eq!(after(table(3, Joining), &record("a", 1, 3, Alive)), (Alive, 3, 1));
+    assert_eq!(
+        after(table(3, Joining), &record("a", 1, 3, Alive)),
+        (Alive, 3, 1)
+    );
     assert_eq!(
         after(table(3, Alive), &record("a", 9, 3, Alive)),
         (Alive, 3, 9),
         "the draw, so that all agree"
     );
-    assert_eq!(after(table(3, Alive), &record("a", 1, 3, Alive)), (Alive, 3, 5));
-    assert_eq!(after(table(3, Failed), &record("a", 1, 4, Joining)), (Joining, 4, 1));
-    assert_eq!(after(table(3, Alive), &record("a", 1, 2, Left)), (Alive, 3, 5));
+    assert_eq!(
+        after(table(3, Alive), &record("a", 1, 3, Alive)),
+        (Alive, 3, 5)
+    );
+    assert_eq!(
+        after(table(3, Failed), &record("a", 1, 4, Joining)),
+        (Joining, 4, 1)
+    );
+    assert_eq!(
+        after(table(3, Alive), &record("a", 1, 2, Left)),
+        (Alive, 3, 5)
+    );
 }
 
 #[test]
@@ -78,7 +103,11 @@
     assert_eq!(heard.apply(&far, 2_000, FORGET, false), News::Refused);
     assert_ne!(heard.apply(&far, 2_000, FORGET, true), News::Refused);
     let mut silent = table(3, State::Alive);
-    assert_ne!(silent.apply(&far, 2_000, FORGET, false), News::Refused, "nobody vouches for it");
+    assert_ne!(
+        silent.apply(&far, 2_000, FORGET, false),
+        News::Refused,
+        "nobody vouches for it"
+    );
 }
 
 /// Else what ended would be taught anew for ever, or fill the memory.
@@ -88,7 +117,10 @@
     let hashes = left.hashes(64);
     assert!(left.sweep(200_000, FORGET).is_empty());
     assert_eq!(left.hashes(64), hashes);
-    assert!(left.sweep(250_000, FORGET).is_empty(), "it is known still ...");
+    assert!(
+        left.sweep(250_000, FORGET).is_empty(),
+        "it is known still ..."
+    );
     assert_eq!(left.hashes(64), vec![0; 64], "... and not told on");
     assert_eq!(left.of_buckets(u64::MAX, 64).count(), 0);
     assert_eq!(left.sweep(400_000, FORGET).len(), 1);
@@ -99,19 +131,42 @@
 
     let mut full = Table::new();
     for n in 0..MEMBERS_MOST + 10 {
-        full.apply(&record(&format!("m{n}"), 1, 1, State::Alive), 0, FORGET, false);
+        full.apply(
+            &record(&format!("m{n}"), 1, 1, State::Alive),
+            0,
+            FORGET,
+            false,
+        );
     }
-    assert_eq!((full.len(), full.count(State::Alive)), (MEMBERS_MOST, MEMBERS_MOST));
+    assert_eq!(
+        (full.len(), full.count(State::Alive)),
+        (MEMBERS_MOST, MEMBERS_MOST)
+    );
 }
 
 #[test]
 fn of_two_facts_of_a_kind_the_later_is_kept_also_where_numbers_come_round() {
     let mut table = table(3, State::Alive);
     let mut learns = |number: u32, byte: u8| {
-        let teller = Process { name: "a".into(), nonce: 5 };
-        table.learn(&Told { teller, kind: 700, number, age: 0, bytes: vec![byte] }, 1_000)
+        let teller = Process {
+            name: "a".into(),
+            nonce: 5,
+        };
+        table.learn(
+            &Told {
+                teller,
+                kind: 700,
+                number,
+                age: 0,
+                bytes: vec![byte],
+            },
+            1_000,
+        )
     };
-    assert!(learns(u32::MAX, 1) && learns(3, 2), "3 comes after the highest");
+    assert!(
+        learns(u32::MAX, 1) && learns(3, 2),
+        "3 comes after the highest"
+    );
     assert!(!learns(u32::MAX, 1) && !learns(3, 9));
     assert_eq!(*table.members[0].facts[0].bytes, [2]);
 }
@@ -131,7 +186,10 @@
 
 /// It says that somebody is suspected, or worse.
 fn accuses(datagram: &Datagram) -> bool {
-    datagram.records.iter().any(|record| record.state >= State::Suspect)
+    datagram
+        .records
+        .iter()
+        .any(|record| record.state >= State::Suspect)
 }
 
 /// A few members, of which the test sees every datagram and drops what it wants.
@@ -143,8 +201,14 @@
 
 impl Net {
     fn new(count: usize) -> Self {
-        let members = (0..count).map(|n| Fleet::new(identity(n), n as u64, 0)).collect();
-        let mut net = Net { members, now: 0, stopped: None };
+        let members = (0..count)
+            .map(|n| Fleet::new(identity(n), n as u64, 0))
+            .collect();
+        let mut net = Net {
+            members,
+            now: 0,
+            stopped: None,
+        };
         (0..count).for_each(|n| net.members[n].start(0));
         net.run(8_000, |_, _, _| true);
         net
@@ -157,11 +221,16 @@
                 if self.stopped == Some(from) {
                     continue;
                 }
-                if self.members[from].next_due().is_some_and(|due| due <= self.now) {
+                if self.members[from]
+                    .next_due()
+                    .is_some_and(|due| due <= self.now)
+                {
                     self.members[from].tick(self.now);
                 }
                 for (to, bytes) in self.members[from].take_datagrams() {
-                    let Some(to) = (0..self.members.len()).find(|n| address(*n) == to) else { continue };
+                    let Some(to) = (0..self.members.len()).find(|n| address(*n) == to) else {
+                        continue;
+                    };
                     let datagram = read(cluster_tag("guards"), &bytes).expect("one of ours");
                     if passes(from, to, &datagram) {
                         self.members[to].datagram(address(from), &bytes, self.now);
@@ -178,7 +247,13 @@
     /// One gets a datagram that says that it is of this member, and holds these records.
     fn tell(&mut self, to: usize, of: usize, incarnation: u64, records: &[Record]) {
         let of = self.process(of);
-        let mut writer = Writer::new(cluster_tag("guards"), &identity(1), &of, incarnation, &Message::Gossip);
+        let mut writer = Writer::new(
+            cluster_tag("guards"),
+            &identity(1),
+            &of,
+            incarnation,
+            &Message::Gossip,
+        );
         assert!(records.iter().all(|record| writer.record(record)));
         self.members[to].datagram(address(1), &writer.finish(), self.now);
     }
@@ -202,14 +277,31 @@
     }
 
     fn states(&self, of: &str) -> Vec<Option<State>> {
-        self.members.iter().map(|member| member.state_of(of)).collect()
+        self.members
+            .iter()
+            .map(|member| member.state_of(of))
+            .collect()
     }
 
     fn failures(&mut self) -> usize {
-        let failed = |note: &Note| matches!(note, Note::Member { to: State::Failed, .. });
+        let failed = |note: &Note| {
+            matches!(
+                note,
+                Note::Member {
+                    to: State::Failed,
+                    ..
+                }
+            )
+        };
         self.members
             .iter_mut()
-            .map(|member| member.take_notes().iter().filter(|note| failed(note)).count())
+            .map(|member| {
+                member
+                    .take_notes()
+                    .iter()
+                    .filter(|note| failed(note))
+                    .count()
+            })
             .sum()
     }
 }
@@ -219,7 +311,9 @@
 fn one_whose_own_datagrams_come_is_not_accused_for_answers_that_do_not() {
     let mut net = Net::new(3);
     net.failures();
-    net.run(20_000, |from, _, datagram| from != 2 || !matches!(datagram.message, Message::Ack { .. }));
+    net.run(20_000, |from, _, datagram| {
+        from != 2 || !matches!(datagram.message, Message::Ack { .. })
+    });
     assert_eq!(net.failures(), 0);
 }
 
@@ -227,7 +321,9 @@
 #[test]
 fn one_of_two_that_is_heard_is_not_even_suspected() {
     let mut net = Net::new(2);
-    net.run(20_000, |from, _, datagram| from != 1 || !matches!(datagram.message, Message::Ack { .. }));
+    net.run(20_000, |from, _, datagram| {
+        from != 1 || !matches!(datagram.message, Message::Ack { .. })
+    });
     assert_eq!(net.members[0].counts().suspicions, 0);
 }
 
@@ -240,7 +336,11 @@
         net.run(moment, |from, _, _| from != 1);
         net.stop(0, 30_000);
         net.run(1_500, |_, _, _| true);
-        assert_eq!(net.members[0].counts().suspicions, 0, "stopped after {moment} ms");
+        assert_eq!(
+            net.members[0].counts().suspicions,
+            0,
+            "stopped after {moment} ms"
+        );
     }
     for moment in (0..1_700).step_by(20) {
         let mut net = Net::new(6);
@@ -250,7 +350,11 @@
         net.run(moment, |_, _, datagram| !accuses(datagram));
         net.stop(0, 30_000);
         net.run(200, |_, _, datagram| !accuses(datagram));
-        assert_eq!(net.members[0].counts().failures, 0, "stopped after {moment} ms");
+        assert_eq!(
+            net.members[0].counts().failures,
+            0,
+            "stopped after {moment} ms"
+        );
     }
 }
 
@@ -262,12 +366,21 @@
     net.tell(0, 1, 1, &accused);
     assert_eq!(net.members[0].state_of("n2"), Some(State::Suspect));
     net.run(1_450, |_, _, datagram| !accuses(datagram));
-    assert_eq!(net.members[0].state_of("n2"), Some(State::Suspect), "its time is nearly over");
+    assert_eq!(
+        net.members[0].state_of("n2"),
+        Some(State::Suspect),
+        "its time is nearly over"
+    );
     net.run(3_000, |from, to, datagram| {
-        !accuses(datagram) || (from, to) == (0, 2) && matches!(datagram.message, Message::Ping { .. })
+        !accuses(datagram)
+            || (from, to) == (0, 2) && matches!(datagram.message, Message::Ping { .. })
     });
     assert_eq!(net.members[0].state_of("n2"), Some(State::Alive));
-    let accused: u64 = net.members.iter().map(|member| member.counts().failures).sum();
+    let accused: u64 = net
+        .members
+        .iter()
+        .map(|member| member.counts().failures)
+        .sum();
     assert_eq!(accused, 0);
 }
 
@@ -297,8 +410,15 @@
         Note::Refused { garbage, over, .. } => Some((*garbage, *over)),
         _ => None,
     };
-    let (garbage, over) = net.members[0].take_notes().iter().find_map(refused).expect("it is told");
-    assert!(garbage <= 2_000 && over >= 3_000, "{garbage} garbage, {over} over");
+    let (garbage, over) = net.members[0]
+        .take_notes()
+        .iter()
+        .find_map(refused)
+        .expect("it is told");
+    assert!(
+        garbage <= 2_000 && over >= 3_000,
+        "{garbage} garbage, {over} over"
+    );
     assert_eq!(net.members[0].state_of("n1"), Some(State::Alive));
 }
 
@@ -308,13 +428,23 @@
     let mut net = Net::new(4);
     let invented = record("n2", 1, 50, State::Alive);
     for n in [0, 1, 3] {
-        net.tell(n, if n == 1 { 0 } else { 1 }, 1, std::slice::from_ref(&invented));
+        net.tell(
+            n,
+            if n == 1 { 0 } else { 1 },
+            1,
+            std::slice::from_ref(&invented),
+        );
     }
     net.run(5_000, |_, _, _| true);
     for member in &net.members {
         let seen = member.members();
         let held = seen.iter().find(|seen| seen.name == "n2").expect("known");
-        assert_eq!((held.place.address, held.state), (address(2), State::Alive), "{}", member.name());
+        assert_eq!(
+            (held.place.address, held.state),
+            (address(2), State::Alive),
+            "{}",
+            member.name()
+        );
     }
 }
 
--- a/crates/sandtrack-membership/tests/wire.rs
+++ b/crates/sandtrack-membership/tests/wire.rs
@@ -2,8 +2,8 @@
 use proptest::prelude::*;
 use sandtrack_membership::config::{Identity, DATAGRAM_LEAST, FORGET, LABEL_MOST, NAME_MOST};
 use sandtrack_membership::wire::{
-    cluster_tag, read, Message, Place, Process, Record, Refused, State, Told, Writer, BUCKETS, FACT_MOST,
-    SPEAKS,
+    cluster_tag, read, Message, Place, Process, Record, Refused, State, Told, Writer, BUCKETS,
+    FACT_MOST, SPEAKS,
 };
 
 fn identity(datagram: usize) -> Identity {
@@ -20,7 +20,10 @@
 }
 
 fn process(name: &str) -> Process {
-    Process { name: name.into(), nonce: u32::MAX }
+    Process {
+        name: name.into(),
+        nonce: u32::MAX,
+    }
 }
 
 fn record(name: &str, state: State) -> Record {
@@ -33,7 +36,13 @@
 
 fn writer(datagram: usize, message: &Message) -> Writer {
     let who = identity(datagram);
-    Writer::new(cluster_tag("wire"), &who, &process(&who.name), 1 << 48, message)
+    Writer::new(
+        cluster_tag("wire"),
+        &who,
+        &process(&who.name),
+        1 << 48,
+        message,
+    )
 }
 
 /// The least bound must hold the longest of each, or a member could say nothing.
@@ -42,23 +51,51 @@
     let long = "n".repeat(NAME_MOST);
     let messages = [
         Message::Gossip,
-        Message::Ping { seq: u32::MAX, to: process(&long) },
-        Message::ask(u32::MAX, process(&long), "10.255.255.255:65535".parse().unwrap()),
-        Message::Welcome { pieces: u16::MAX, piece: u16::MAX },
-        Message::Compare { hashes: vec![u32::MAX; BUCKETS / 4] },
-        Message::Table { want: u64::MAX, buckets: 64 },
+        Message::Ping {
+            seq: u32::MAX,
+            to: process(&long),
+        },
+        Message::ask(
+            u32::MAX,
+            process(&long),
+            "10.255.255.255:65535".parse().unwrap(),
+        ),
+        Message::Welcome {
+            pieces: u16::MAX,
+            piece: u16::MAX,
+        },
+        Message::Compare {
+            hashes: vec![u32::MAX; BUCKETS / 4],
+        },
+        Message::Table {
+            want: u64::MAX,
+            buckets: 64,
+        },
     ];
     for message in messages {
         let bytes = writer(DATAGRAM_LEAST, &message).finish();
-        assert!(bytes.len() <= DATAGRAM_LEAST, "{message:?}: {}", bytes.len());
+        assert!(
+            bytes.len() <= DATAGRAM_LEAST,
+            "{message:?}: {}",
+            bytes.len()
+        );
         assert_eq!(read(cluster_tag("wire"), &bytes).unwrap().message, message);
     }
     let mut gossip = writer(DATAGRAM_LEAST, &Message::Gossip);
-    assert!(gossip.record(&record(&long, State::Failed)), "a record beside the header");
+    assert!(
+        gossip.record(&record(&long, State::Failed)),
+        "a record beside the header"
+    );
     assert!(!gossip.record(&record(&long, State::Failed)), "not two");
     assert!(gossip.finish().len() <= DATAGRAM_LEAST);
     let mut gossip = writer(DATAGRAM_LEAST, &Message::Gossip);
-    let told = Told { teller: process(&long), kind: 1, number: 1, age: 1, bytes: vec![0; 64] };
+    let told = Told {
+        teller: process(&long),
+        kind: 1,
+        number: 1,
+        age: 1,
+        bytes: vec![0; 64],
+    };
     assert!(gossip.fact(&told), "and so does a fact");
 }
 
@@ -67,17 +104,27 @@
     let bytes = writer(1200, &Message::Join).finish();
     assert_eq!(read(cluster_tag("other"), &bytes), Err(Refused::Foreign));
     for cut in 0..bytes.len() {
-        assert_eq!(read(cluster_tag("wire"), &bytes[..cut]), Err(Refused::Garbage), "cut at {cut}");
+        assert_eq!(
+            read(cluster_tag("wire"), &bytes[..cut]),
+            Err(Refused::Garbage),
+            "cut at {cut}"
+        );
     }
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 0x10;
-        assert!(read(cluster_tag("wire"), &changed).is_err(), "changed at {at}");
+        assert!(
+            read(cluster_tag("wire"), &changed).is_err(),
+            "changed at {at}"
+        );
     }
     let mut later = bytes.clone();
     later[1] = SPEAKS + 1;
     assert_eq!(read(cluster_tag("wire"), &later), Err(Refused::Later));
-    assert_eq!(read(cluster_tag("wire"), &[0xF1; 1201]), Err(Refused::Garbage));
+    assert_eq!(
+        read(cluster_tag("wire"), &[0xF1; 1201]),
+        Err(Refused::Garbage)
+    );
 }
 
 /// Seals what a sender of another version might write.
@@ -92,11 +139,17 @@
 #[test]
 fn what_a_later_version_adds_is_passed_over() {
     let unknown = sealed(&[200, 3, 1, 2, 3]);
-    assert_eq!(read(cluster_tag("wire"), &unknown).unwrap().message, Message::Gossip);
+    assert_eq!(
+        read(cluster_tag("wire"), &unknown).unwrap().message,
+        Message::Gossip
+    );
     let mut section = postcard::to_allocvec(&record("a", State::Alive)).unwrap();
     section.extend([7; 20]);
     let longer = sealed(&postcard::to_allocvec(&(2u8, section.as_slice())).unwrap());
-    assert_eq!(read(cluster_tag("wire"), &longer).unwrap().records, [record("a", State::Alive)]);
+    assert_eq!(
+        read(cluster_tag("wire"), &longer).unwrap().records,
+        [record("a", State::Alive)]
+    );
     let cut = sealed(&[2, 40, 1, 2]);
     assert_eq!(
         read(cluster_tag("wire"), &cut),
@@ -114,20 +167,38 @@
     };
     assert!(read_one(record("a", State::Alive)).is_ok());
     for name in ["", "line\nend", &"x".repeat(NAME_MOST + 1)] {
-        assert_eq!(read_one(record(name, State::Alive)), Err(Refused::Garbage), "{name:?}");
+        assert_eq!(
+            read_one(record(name, State::Alive)),
+            Err(Refused::Garbage),
+            "{name:?}"
+        );
     }
     let mut odd = record("a", State::Alive);
     odd.incarnation = (1 << 48) + 1;
     assert_eq!(read_one(odd), Err(Refused::Garbage));
-    for address in ["0.0.0.0:1", "255.255.255.255:1", "224.0.0.1:1", "10.0.0.1:0"] {
+    for address in [
+        "0.0.0.0:1",
+        "255.255.255.255:1",
+        "224.0.0.1:1",
+        "10.0.0.1:0",
+    ] {
         let place = Place::new(address.parse().unwrap(), "".into(), "".into());
         let odd = Record::new(process("a"), 1, State::Alive, &place, 1);
         assert_eq!(read_one(odd), Err(Refused::Garbage), "{address}");
     }
     let mut gossip = writer(1200, &Message::Gossip);
-    let told = Told { teller: process("a"), kind: 1, number: 1, age: 1, bytes: vec![0; FACT_MOST + 1] };
+    let told = Told {
+        teller: process("a"),
+        kind: 1,
+        number: 1,
+        age: 1,
+        bytes: vec![0; FACT_MOST + 1],
+    };
     assert!(gossip.fact(&told));
-    assert_eq!(read(cluster_tag("wire"), &gossip.finish()), Err(Refused::Garbage));
+    assert_eq!(
+        read(cluster_tag("wire"), &gossip.finish()),
+        Err(Refused::Garbage)
+    );
 }
 
 proptest! {
--- a/crates/sandtrack-model-checker/src/action.rs
+++ b/crates/sandtrack-model-checker/src/action.rs
@@ -84,7 +84,12 @@
     fn from_str(line: &str) -> Result<Self, NotAnAction> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let error = || NotAnAction(line.to_owned());
-        let number = |at: usize| words.get(at).and_then(|word| word.parse().ok()).ok_or_else(error);
+        let number = |at: usize| {
+            words
+                .get(at)
+                .and_then(|word| word.parse().ok())
+                .ok_or_else(error)
+        };
         let kept = |at: usize| match words.get(at) {
             Some(&"kept") => Ok(true),
             Some(&"lost") => Ok(false),
@@ -97,17 +102,26 @@
             "release" => Self::Release(number(1)?),
             "tick" => Self::Tick,
             "tick-one" => Self::TickOne(number(1)?),
-            "crash" => Self::Crash { node: number(1)?, kept: kept(2)? },
+            "crash" => Self::Crash {
+                node: number(1)?,
+                kept: kept(2)?,
+            },
             "power-loss" => Self::PowerLoss { kept: kept(1)? },
             "restart" => Self::Restart(number(1)?),
             "wipe" => Self::Wipe(number(1)?),
             "replace" => Self::Replace(number(1)?),
             "freeze" => Self::Freeze(number(1)?),
             "wake" => Self::Wake(number(1)?),
-            "cut" => Self::Cut { from: number(1)?, to: number(2)? },
+            "cut" => Self::Cut {
+                from: number(1)?,
+                to: number(2)?,
+            },
             "isolate" => Self::Isolate(number(1)?),
             "heal" => Self::Heal,
-            "send" => Self::Send { order: number(1)?, node: number(2)? },
+            "send" => Self::Send {
+                order: number(1)?,
+                node: number(2)?,
+            },
             _ => return Err(error()),
         })
     }
--- a/crates/sandtrack-model-checker/src/checker.rs
+++ b/crates/sandtrack-model-checker/src/checker.rs
@@ -76,12 +76,19 @@
 impl<M: Machine> ReplicationModel<M> {
     /// The model of a set-up; of all properties, or `only` of one.
     pub fn new(setup: &Setup, only: Option<String>) -> Self {
-        Self { initial: World::prepared(setup), only, deadline: None }
+        Self {
+            initial: World::prepared(setup),
+            only,
+            deadline: None,
+        }
     }
 
     /// The properties that a state breaks.
     pub fn broken(&self, world: &World<M>) -> Vec<&'static str> {
-        let broken = self.properties().into_iter().filter(|property| !(property.condition)(self, world));
+        let broken = self
+            .properties()
+            .into_iter()
+            .filter(|property| !(property.condition)(self, world));
         broken.map(|property| property.name).collect()
     }
 }
@@ -95,7 +102,10 @@
     }
 
     fn actions(&self, state: &World<M>, actions: &mut Vec<Action>) {
-        if self.deadline.is_none_or(|deadline| Instant::now() < deadline) {
+        if self
+            .deadline
+            .is_none_or(|deadline| Instant::now() < deadline)
+        {
             state.actions(actions);
         }
     }
@@ -117,7 +127,9 @@
             Property::always("repeat-is-never-refused", |_, world| {
                 properties::repeat_is_never_refused(world)
             }),
-            Property::always("versions-never-go-back", |_, world| properties::versions_never_go_back(world)),
+            Property::always("versions-never-go-back", |_, world| {
+                properties::versions_never_go_back(world)
+            }),
             Property::always("old-view-confirms-nothing", |_, world| {
                 properties::old_view_confirms_nothing(world)
             }),
@@ -143,7 +155,8 @@
     }
 
     fn within_boundary(&self, state: &World<M>) -> bool {
-        state.setup.scheduling == Scheduling::Ordered || state.queue.len() <= state.setup.most_events
+        state.setup.scheduling == Scheduling::Ordered
+            || state.queue.len() <= state.setup.most_events
     }
 }
 
@@ -175,12 +188,20 @@
 }
 
 /// Searches all states of a set-up within the bounds.
-pub fn search<M: Machine>(setup: &Setup, only: Option<String>, search: Search, bounds: Bounds) -> Report {
+pub fn search<M: Machine>(
+    setup: &Setup,
+    only: Option<String>,
+    search: Search,
+    bounds: Bounds,
+) -> Report {
     let mut model = ReplicationModel::<M>::new(setup, only);
     if bounds.seconds > 0 {
         model.deadline = Some(Instant::now() + Duration::from_secs(bounds.seconds));
     }
-    let mut builder = model.checker().threads(bounds.threads.max(1)).finish_when(HasDiscoveries::AnyFailures);
+    let mut builder = model
+        .checker()
+        .threads(bounds.threads.max(1))
+        .finish_when(HasDiscoveries::AnyFailures);
     if bounds.depth > 0 {
         builder = builder.target_max_depth(bounds.depth);
     }
@@ -195,17 +216,26 @@
             // Walks never come to an end by themselves.
             let builder = builder.timeout(Duration::from_secs(bounds.seconds.max(1)));
             let found = builder.spawn_simulation(seed, WalkChooser).join();
-            Report { whole: false, ..report(setup, bounds, began, &found) }
+            Report {
+                whole: false,
+                ..report(setup, bounds, began, &found)
+            }
         }
     }
 }
 
 fn report<M: Machine>(
-    setup: &Setup, bounds: Bounds, began: Instant, found: &impl Checker<ReplicationModel<M>>,
+    setup: &Setup,
+    bounds: Bounds,
+    began: Instant,
+    found: &impl Checker<ReplicationModel<M>>,
 ) -> Report {
     let took = began.elapsed();
-    let fell: BTreeMap<&'static str, Vec<Action>> =
-        found.discoveries().into_iter().map(|(name, path)| (name, path.into_actions())).collect();
+    let fell: BTreeMap<&'static str, Vec<Action>> = found
+        .discoveries()
+        .into_iter()
+        .map(|(name, path)| (name, path.into_actions()))
+        .collect();
     let in_states = bounds.states == 0 || found.state_count() < bounds.states;
     let in_depth = bounds.depth == 0 || found.max_depth() < bounds.depth;
     let in_time = bounds.seconds == 0 || took < Duration::from_secs(bounds.seconds);
--- a/crates/sandtrack-model-checker/src/duty.rs
+++ b/crates/sandtrack-model-checker/src/duty.rs
@@ -75,7 +75,10 @@
 
 impl Beat {
     fn claim(&self) -> Claim {
-        Claim { term: self.claim.0, holder: self.claim.1.clone() }
+        Claim {
+            term: self.claim.0,
+            holder: self.claim.1.clone(),
+        }
     }
 }
 
@@ -124,7 +127,8 @@
     fn live(&self) -> BTreeMap<String, PeerReport> {
         let live = |heard: &&Heard| !heard.leaving && self.clock - heard.at <= HOLDER_SILENT_MS;
         let live = self.heard.iter().filter(|(_, heard)| live(heard));
-        live.map(|(address, heard)| (address.clone(), heard.report.clone())).collect()
+        live.map(|(address, heard)| (address.clone(), heard.report.clone()))
+            .collect()
     }
 
     fn has_list(&self) -> bool {
@@ -150,7 +154,15 @@
         for process in &self.processes {
             format!("{process:?}").hash(state);
         }
-        (&self.links, &self.cuts, &self.budget, &self.holders, &self.givers, &self.broken).hash(state);
+        (
+            &self.links,
+            &self.cuts,
+            &self.budget,
+            &self.holders,
+            &self.givers,
+            &self.broken,
+        )
+            .hash(state);
     }
 }
 
@@ -163,8 +175,13 @@
 
 impl std::fmt::Debug for DutyWorld {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let claims = self.processes.iter().map(|process| process.election.claim());
-        let claims: Vec<String> = claims.map(|claim| format!("{} {}", claim.term, claim.holder)).collect();
+        let claims = self
+            .processes
+            .iter()
+            .map(|process| process.election.claim());
+        let claims: Vec<String> = claims
+            .map(|claim| format!("{} {}", claim.term, claim.holder))
+            .collect();
         write!(f, "{:.0} ms, claims {claims:?}", self.now)
     }
 }
@@ -172,13 +189,18 @@
 impl DutyWorld {
     /// All machines run and know the first holder, which has read the list.
     pub fn prepared(machines: usize, budget: Budget) -> Self {
-        let processes = (0..machines).map(|index| Process::new(index, 0.0)).collect();
+        let processes = (0..machines)
+            .map(|index| Process::new(index, 0.0))
+            .collect();
         let mut world = Self {
             processes,
             links: BTreeMap::new(),
             cuts: BTreeSet::new(),
             now: 0.0,
-            budget: Budget { ticks: u8::MAX, ..Budget::default() },
+            budget: Budget {
+                ticks: u8::MAX,
+                ..Budget::default()
+            },
             holders: BTreeSet::new(),
             givers: BTreeSet::new(),
             broken: BTreeSet::new(),
@@ -199,9 +221,17 @@
 
     /// The next frame to arrive.
     fn due(&self) -> Option<Action> {
-        let arrives = |link: &(usize, usize)| !self.cuts.contains(link) && !self.processes[link.1].frozen;
-        let filled = self.links.iter().filter(|(_, frames)| !frames.is_empty()).map(|(link, _)| *link);
-        filled.filter(arrives).map(|(from, to)| Action::Deliver { from, to }).next()
+        let arrives =
+            |link: &(usize, usize)| !self.cuts.contains(link) && !self.processes[link.1].frozen;
+        let filled = self
+            .links
+            .iter()
+            .filter(|(_, frames)| !frames.is_empty())
+            .map(|(link, _)| *link);
+        filled
+            .filter(arrives)
+            .map(|(from, to)| Action::Deliver { from, to })
+            .next()
     }
 
     /// All that may happen next. Time goes on when all that can arrive has arrived.
@@ -215,7 +245,8 @@
                 if self.budget.ticks > 0 {
                     actions.push(Action::Tick);
                 }
-                let frozen = (0..self.processes.len()).filter(|index| self.processes[*index].frozen);
+                let frozen =
+                    (0..self.processes.len()).filter(|index| self.processes[*index].frozen);
                 actions.extend(frozen.map(Action::Wake));
                 if !self.cuts.is_empty() {
                     actions.push(Action::Heal);
@@ -231,7 +262,9 @@
         let budget = &self.budget;
         let all = 0..self.processes.len();
         for from in all.clone().filter(|_| budget.cuts > 0) {
-            let others = all.clone().filter(|to| *to != from && !self.cuts.contains(&(from, *to)));
+            let others = all
+                .clone()
+                .filter(|to| *to != from && !self.cuts.contains(&(from, *to)));
             actions.extend(others.map(|to| Action::Cut { from, to }));
         }
         for index in all {
@@ -245,7 +278,11 @@
             if budget.freezes > 0 && !process.frozen {
                 actions.push(Action::Freeze(index));
             }
-            if budget.leaves > 0 && !process.frozen && !process.leaving && process.election.is_holder() {
+            if budget.leaves > 0
+                && !process.frozen
+                && !process.leaving
+                && process.election.is_holder()
+            {
                 actions.push(Action::Leave(index));
             }
         }
@@ -267,12 +304,14 @@
             }
             Action::Isolate(index) => {
                 let others = (0..self.processes.len()).filter(|other| *other != index);
-                self.cuts.extend(others.flat_map(|other| [(index, other), (other, index)]));
+                self.cuts
+                    .extend(others.flat_map(|other| [(index, other), (other, index)]));
             }
             Action::Heal => self.cuts.clear(),
             Action::Restart(index) => {
                 self.processes[index] = Process::new(index, self.now);
-                self.links.retain(|(from, to), _| *from != index && *to != index);
+                self.links
+                    .retain(|(from, to), _| *from != index && *to != index);
             }
             Action::Leave(index) => self.leave(index),
         }
@@ -306,10 +345,16 @@
             process.begin();
             if !process.leaving {
                 let live = process.live();
-                process.election.take_over(process.clock, &order, &live, &order);
+                process
+                    .election
+                    .take_over(process.clock, &order, &live, &order);
             }
             let holds = process.election.is_holder();
-            process.reading = if holds { (process.reading + 1).min(READING_TICKS) } else { 0 };
+            process.reading = if holds {
+                (process.reading + 1).min(READING_TICKS)
+            } else {
+                0
+            };
             self.beat(index);
         }
     }
@@ -324,26 +369,47 @@
             list: process.has_list(),
         };
         for to in (0..self.processes.len()).filter(|to| *to != index) {
-            self.links.entry((index, to)).or_default().push_back(beat.clone());
+            self.links
+                .entry((index, to))
+                .or_default()
+                .push_back(beat.clone());
         }
     }
 
     fn deliver(&mut self, from: usize, to: usize) {
-        let Some(beat) = self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front) else {
+        let Some(beat) = self
+            .links
+            .get_mut(&(from, to))
+            .and_then(VecDeque::pop_front)
+        else {
             return;
         };
         let (sender, claim) = (address(from), beat.claim());
         let process = &mut self.processes[to];
         process.begin();
         process.election.heard_claim(process.clock, &sender, &claim);
-        let report = PeerReport { claim: claim.clone(), silent: beat.silent };
-        process.heard.insert(sender, Heard { at: process.clock, report, leaving: beat.leaving });
+        let report = PeerReport {
+            claim: claim.clone(),
+            silent: beat.silent,
+        };
+        process.heard.insert(
+            sender,
+            Heard {
+                at: process.clock,
+                report,
+                leaving: beat.leaving,
+            },
+        );
         let takes = beat.list && process.election.takes_list_of(&address(from));
         if takes {
             let older = claim < *process.election.claim();
             self.givers.insert((claim.term, from));
             self.check(!older, Rule::ListOfOlderTerm);
-            let givers = self.givers.iter().filter(|(term, _)| *term == claim.term).count();
+            let givers = self
+                .givers
+                .iter()
+                .filter(|(term, _)| *term == claim.term)
+                .count();
             self.check(givers == 1, Rule::OneGiverATerm);
         }
     }
--- a/crates/sandtrack-model-checker/src/duty/search.rs
+++ b/crates/sandtrack-model-checker/src/duty/search.rs
@@ -43,12 +43,26 @@
     fn properties(&self) -> Vec<Property<Self>> {
         let [one, other, third] = PROPERTIES;
         let mut all: Vec<Property<Self>> = vec![
-            Property::always(one.0, |_, world: &DutyWorld| !world.broken.contains(&Rule::OneHolderATerm)),
-            Property::always(other.0, |_, world: &DutyWorld| !world.broken.contains(&Rule::OneGiverATerm)),
-            Property::always(third.0, |_, world: &DutyWorld| !world.broken.contains(&Rule::ListOfOlderTerm)),
+            Property::always(one.0, |_, world: &DutyWorld| {
+                !world.broken.contains(&Rule::OneHolderATerm)
+            }),
+            Property::always(other.0, |_, world: &DutyWorld| {
+                !world.broken.contains(&Rule::OneGiverATerm)
+            }),
+            Property::always(third.0, |_, world: &DutyWorld| {
+                !world.broken.contains(&Rule::ListOfOlderTerm)
+            }),
         ];
-        let rule = |name: &str| PROPERTIES.iter().find(|(known, _)| *known == name).map(|(_, rule)| *rule);
-        all.retain(|property| self.only.is_none_or(|only| rule(property.name) == Some(only)));
+        let rule = |name: &str| {
+            PROPERTIES
+                .iter()
+                .find(|(known, _)| *known == name)
+                .map(|(_, rule)| *rule)
+        };
+        all.retain(|property| {
+            self.only
+                .is_none_or(|only| rule(property.name) == Some(only))
+        });
         all
     }
 }
@@ -68,20 +82,29 @@
 
 /// The rule of a property.
 pub fn rule_of(property: &str) -> Option<Rule> {
-    PROPERTIES.iter().find(|(name, _)| *name == property).map(|(_, rule)| *rule)
+    PROPERTIES
+        .iter()
+        .find(|(name, _)| *name == property)
+        .map(|(_, rule)| *rule)
 }
 
 /// Searches breadth first, so that a counterexample is among the shortest; `states`: at most so many, 0 for all.
 pub fn search(machines: usize, budget: Budget, only: Option<Rule>, states: usize) -> Report {
-    let model = DutyModel { initial: DutyWorld::prepared(machines, budget), only };
+    let model = DutyModel {
+        initial: DutyWorld::prepared(machines, budget),
+        only,
+    };
     let mut builder = model.checker().finish_when(HasDiscoveries::AnyFailures);
     if states > 0 {
         builder = builder.target_state_count(states);
     }
     let began = Instant::now();
     let found = builder.spawn_bfs().join();
-    let fell: BTreeMap<&'static str, Vec<Action>> =
-        found.discoveries().into_iter().map(|(name, path)| (name, path.into_actions())).collect();
+    let fell: BTreeMap<&'static str, Vec<Action>> = found
+        .discoveries()
+        .into_iter()
+        .map(|(name, path)| (name, path.into_actions()))
+        .collect();
     Report {
         states: found.state_count(),
         unique: found.unique_state_count(),
--- a/crates/sandtrack-model-checker/src/history.rs
+++ b/crates/sandtrack-model-checker/src/history.rs
@@ -63,7 +63,13 @@
     }
 
     pub fn call_began(&mut self, call: u64, node: usize) {
-        self.open.insert(call, OpenCall { floor: self.newest, heard: 1 << node });
+        self.open.insert(
+            call,
+            OpenCall {
+                floor: self.newest,
+                heard: 1 << node,
+            },
+        );
     }
 
     /// Whether a message that a machine takes matters to an open call.
@@ -85,7 +91,12 @@
 
     /// A call got a definite answer from `node`.
     pub fn answered<M: Machine>(
-        &mut self, call: u64, place: usize, script: &[Order], told: Told, node: &Node<M>,
+        &mut self,
+        call: u64,
+        place: usize,
+        script: &[Order],
+        told: Told,
+        node: &Node<M>,
     ) {
         let Some(open) = self.open.remove(&call) else {
             return;
@@ -98,7 +109,14 @@
                 let same = shown.version != open.floor.version || shown == open.floor;
                 self.check(fresh && same, Rule::ReadBack);
             }
-            (Order::Change { based_on, version, mark }, Told::Taken) => {
+            (
+                Order::Change {
+                    based_on,
+                    version,
+                    mark,
+                },
+                Told::Taken,
+            ) => {
                 let clash = self.acknowledged.iter().filter(|other| **other != place).any(|other| {
                     matches!(script[*other], Order::Change { based_on: theirs, .. } if theirs == based_on)
                 });
@@ -109,7 +127,9 @@
                 self.acknowledge(place);
             }
             (Order::Evacuate { .. }, Told::Taken) => self.acknowledge(place),
-            (Order::Change { .. }, _) => self.check(!self.taken.contains(&place), Rule::RepeatRefused),
+            (Order::Change { .. }, _) => {
+                self.check(!self.taken.contains(&place), Rule::RepeatRefused)
+            }
             _ => self.check(false, Rule::RepeatRefused),
         }
     }
@@ -125,7 +145,12 @@
             return;
         };
         let heard = view.voters.iter().filter(|voter| {
-            let index = voter.address.trim_start_matches('m').parse::<usize>().unwrap_or(1) - 1;
+            let index = voter
+                .address
+                .trim_start_matches('m')
+                .parse::<usize>()
+                .unwrap_or(1)
+                - 1;
             open.heard & (1 << index) != 0
         });
         let majority = 2 * heard.count() > view.voters.len();
@@ -134,7 +159,12 @@
 
     /// A process applied a command; `epoch` of the entry where it is known.
     pub fn applied(
-        &mut self, number: u64, epoch: Option<u64>, command: &[u8], place: Option<usize>, won: bool,
+        &mut self,
+        number: u64,
+        epoch: Option<u64>,
+        command: &[u8],
+        place: Option<usize>,
+        won: bool,
     ) {
         let hash = hash_of(&command);
         let at = number as usize - 1;
@@ -163,10 +193,10 @@
         }
         if let Some(before) = self.views.get(&(view.epoch - 1)) {
             let hash = hash_of(view);
-            let votes = before
-                .voters
-                .iter()
-                .filter(|voter| self.accepted.contains(&(before.epoch, (*voter).clone(), hash)));
+            let votes = before.voters.iter().filter(|voter| {
+                self.accepted
+                    .contains(&(before.epoch, (*voter).clone(), hash))
+            });
             let majority = 2 * votes.count() > before.voters.len();
             self.check(majority, Rule::ViewWithoutMajority);
         }
@@ -178,8 +208,13 @@
     /// Whether a view names an identity that is dead and that an earlier view was without again.
     fn returns(&self, member: &Member, view: &View) -> bool {
         let names = |view: &View| view.chain.contains(member) || view.voters.contains(member);
-        let since = self.views.values().find(|view| names(view)).map(|view| view.epoch);
-        let left = since.is_some_and(|since| self.views.range(since..).any(|(_, view)| !names(view)));
+        let since = self
+            .views
+            .values()
+            .find(|view| names(view))
+            .map(|view| view.epoch);
+        let left =
+            since.is_some_and(|since| self.views.range(since..).any(|(_, view)| !names(view)));
         names(view) && left
     }
 
@@ -187,7 +222,10 @@
     fn shown_by<M: Machine>(node: &Node<M>) -> Option<((usize, u64), (u64, u64))> {
         let replica = node.replica.as_ref()?;
         let version = replica.machine().shown().version;
-        Some(((node.index, node.starts), (replica.applied_number(), version)))
+        Some((
+            (node.index, node.starts),
+            (replica.applied_number(), version),
+        ))
     }
 
     /// What a process has accepted on its disk.
@@ -209,7 +247,8 @@
 
     /// Whether a process shows something that is not noted, or breaks a rule.
     pub fn is_news<M: Machine>(&self, node: &Node<M>, script: &[Order], issued: u32) -> bool {
-        let shows = Self::shown_by(node).is_some_and(|(who, what)| self.shown.get(&who) != Some(&what));
+        let shows =
+            Self::shown_by(node).is_some_and(|(who, what)| self.shown.get(&who) != Some(&what));
         shows || !self.rules_of_state(node, script, issued).is_empty()
     }
 
@@ -217,22 +256,32 @@
     pub fn observe<M: Machine>(&mut self, node: &Node<M>, script: &[Order], issued: u32) {
         if let Some((who, now)) = Self::shown_by(node) {
             let before = self.shown.insert(who, now).unwrap_or_default();
-            self.check(now.0 >= before.0 && now.1 >= before.1, Rule::VersionWentBack);
+            self.check(
+                now.0 >= before.0 && now.1 >= before.1,
+                Rule::VersionWentBack,
+            );
         }
         let broken = self.rules_of_state(node, script, issued);
         self.broken.extend(broken);
     }
 
     /// The rules that the state of a process breaks by itself, where it has applied all that is committed.
-    fn rules_of_state<M: Machine>(&self, node: &Node<M>, script: &[Order], issued: u32) -> Vec<Rule> {
+    fn rules_of_state<M: Machine>(
+        &self,
+        node: &Node<M>,
+        script: &[Order],
+        issued: u32,
+    ) -> Vec<Rule> {
         let replica = node.replica.as_ref();
-        let current = replica.filter(|replica| replica.applied_number() == self.commits.len() as u64);
+        let current =
+            replica.filter(|replica| replica.applied_number() == self.commits.len() as u64);
         let Some(machine) = current.map(|replica| replica.machine()) else {
             return Vec::new();
         };
         let mut broken = Vec::new();
         let shown = machine.shown();
-        if shown.version < self.newest.version || shown.version == self.newest.version && shown != self.newest
+        if shown.version < self.newest.version
+            || shown.version == self.newest.version && shown != self.newest
         {
             broken.push(Rule::ReadBack);
         }
@@ -246,7 +295,10 @@
     fn is_overtaken(&self, evacuated: bool, script: &[Order], issued: u32) -> bool {
         let was_issued = |place: &usize| issued & (1 << place) != 0;
         let is_evacuation = |place: &usize| matches!(script[*place], Order::Evacuate { .. });
-        let last = (0..script.len()).rev().filter(was_issued).find(is_evacuation);
+        let last = (0..script.len())
+            .rev()
+            .filter(was_issued)
+            .find(is_evacuation);
         let acknowledged = last.filter(|place| self.acknowledged.contains(place));
         acknowledged.is_some_and(|place| script[place] != Order::Evacuate { begin: evacuated })
     }
--- a/crates/sandtrack-model-checker/src/interface.rs
+++ b/crates/sandtrack-model-checker/src/interface.rs
@@ -33,11 +33,22 @@
     fn look(&mut self, now: f64) -> Vec<Step>;
 
     /// A call was read whole.
-    fn call(&mut self, now: f64, call: u64, order: Order, arrival: Arrival, machine: &M) -> Option<Step>;
+    fn call(
+        &mut self,
+        now: f64,
+        call: u64,
+        order: Order,
+        arrival: Arrival,
+        machine: &M,
+    ) -> Option<Step>;
 
     /// The replica has answered a step.
     fn answer(
-        &mut self, now: f64, number: u64, result: Result<Vec<u8>, Refusal>, machine: &M,
+        &mut self,
+        now: f64,
+        number: u64,
+        result: Result<Vec<u8>, Refusal>,
+        machine: &M,
     ) -> Option<Step>;
 
     /// What is due after a tick.
--- a/crates/sandtrack-model-checker/src/machine.rs
+++ b/crates/sandtrack-model-checker/src/machine.rs
@@ -30,11 +30,27 @@
 /// Whether a command of the control state, as it is submitted, carries an order.
 fn carries(command: &Command, order: Order) -> bool {
     match (command, order) {
-        (Command::Configure { form: Form::Replace, based_on, body: text }, Order::Change { .. }) => {
-            let Order::Change { based_on: theirs, version, mark } = order else { return false };
+        (
+            Command::Configure {
+                form: Form::Replace,
+                based_on,
+                body: text,
+            },
+            Order::Change { .. },
+        ) => {
+            let Order::Change {
+                based_on: theirs,
+                version,
+                mark,
+            } = order
+            else {
+                return false;
+            };
             *based_on == theirs && *text == body(version, mark)
         }
-        (Command::SetEvacuation { begin, .. }, Order::Evacuate { begin: theirs }) => *begin == theirs,
+        (Command::SetEvacuation { begin, .. }, Order::Evacuate { begin: theirs }) => {
+            *begin == theirs
+        }
         _ => false,
     }
 }
@@ -57,7 +73,9 @@
 
     fn shown(&self) -> Shown {
         match self.whole() {
-            Some(sandtrack_protocol::frames::ToProxy::Configuration { document, .. }) => shown_in(&document),
+            Some(sandtrack_protocol::frames::ToProxy::Configuration { document, .. }) => {
+                shown_in(&document)
+            }
             _ => Shown::default(),
         }
     }
@@ -82,8 +100,13 @@
     fn apply(&mut self, number: u64, command: &[u8]) -> Vec<u8> {
         match borsh::from_slice(command) {
             Ok(Command::SetEvacuation { zone, begin, .. }) => {
-                let unstamped = Command::SetEvacuation { zone, begin, seen: u64::MAX };
-                self.0.apply(number, &borsh::to_vec(&unstamped).unwrap_or_default())
+                let unstamped = Command::SetEvacuation {
+                    zone,
+                    begin,
+                    seen: u64::MAX,
+                };
+                self.0
+                    .apply(number, &borsh::to_vec(&unstamped).unwrap_or_default())
             }
             _ => self.0.apply(number, command),
         }
@@ -155,7 +178,10 @@
                 if change.0 != self.shown.version || change.1 <= self.shown.version {
                     return vec![OTHER, self.shown.version as u8];
                 }
-                self.shown = Shown { version: change.1, mark: change.2 };
+                self.shown = Shown {
+                    version: change.1,
+                    mark: change.2,
+                };
                 self.taken.push_back(change);
             }
             [BEGIN] => self.evacuated = true,
@@ -170,7 +196,11 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let mut bytes = vec![self.shown.version as u8, self.shown.mark as u8, u8::from(self.evacuated)];
+        let mut bytes = vec![
+            self.shown.version as u8,
+            self.shown.mark as u8,
+            u8::from(self.evacuated),
+        ];
         for (based_on, version, mark) in &self.taken {
             bytes.extend([*based_on as u8, *version as u8, *mark as u8]);
         }
@@ -181,9 +211,18 @@
         let [version, mark, evacuated, taken @ ..] = snapshot else {
             return false;
         };
-        self.shown = Shown { version: u64::from(*version), mark: char::from(*mark) };
+        self.shown = Shown {
+            version: u64::from(*version),
+            mark: char::from(*mark),
+        };
         self.evacuated = *evacuated == 1;
-        let change = |three: &[u8]| (u64::from(three[0]), u64::from(three[1]), char::from(three[2]));
+        let change = |three: &[u8]| {
+            (
+                u64::from(three[0]),
+                u64::from(three[1]),
+                char::from(three[2]),
+            )
+        };
         self.taken = taken.chunks_exact(3).map(change).collect();
         true
     }
@@ -193,9 +232,11 @@
     /// The bytes of a submit; `None` for a read.
     pub(crate) fn command(order: Order) -> Option<Vec<u8>> {
         match order {
-            Order::Change { based_on, version, mark } => {
-                Some(vec![CHANGE, based_on as u8, version as u8, mark as u8])
-            }
+            Order::Change {
+                based_on,
+                version,
+                mark,
+            } => Some(vec![CHANGE, based_on as u8, version as u8, mark as u8]),
             Order::Evacuate { begin } => Some(vec![if begin { BEGIN } else { FINISH }]),
             Order::Read => None,
         }
@@ -204,9 +245,10 @@
     /// The answer to an order, decoded.
     pub(crate) fn told(order: Order, answer: &[u8]) -> Told {
         match answer {
-            [version, mark] if order == Order::Read => {
-                Told::Read(Shown { version: u64::from(*version), mark: char::from(*mark) })
-            }
+            [version, mark] if order == Order::Read => Told::Read(Shown {
+                version: u64::from(*version),
+                mark: char::from(*mark),
+            }),
             [TAKEN, _] => Told::Taken,
             [OTHER, _] => Told::OtherVersion,
             _ => Told::Invalid,
@@ -222,7 +264,9 @@
 
 impl Interface<Register> for Direct {
     fn new(_now: f64) -> Self {
-        Self { open: BTreeMap::new() }
+        Self {
+            open: BTreeMap::new(),
+        }
     }
 
     fn look(&mut self, _now: f64) -> Vec<Step> {
@@ -230,20 +274,38 @@
     }
 
     fn call(
-        &mut self, _now: f64, call: u64, order: Order, _arrival: Arrival, _machine: &Register,
+        &mut self,
+        _now: f64,
+        call: u64,
+        order: Order,
+        _arrival: Arrival,
+        _machine: &Register,
     ) -> Option<Step> {
         self.open.insert(call, order);
         Some(match Register::command(order) {
-            Some(command) => Step::Submit { number: call, command },
-            None => Step::Read { number: call, question: Vec::new() },
+            Some(command) => Step::Submit {
+                number: call,
+                command,
+            },
+            None => Step::Read {
+                number: call,
+                question: Vec::new(),
+            },
         })
     }
 
     fn answer(
-        &mut self, _now: f64, number: u64, result: Result<Vec<u8>, Refusal>, _machine: &Register,
+        &mut self,
+        _now: f64,
+        number: u64,
+        result: Result<Vec<u8>, Refusal>,
+        _machine: &Register,
     ) -> Option<Step> {
         let order = self.open.remove(&number)?;
-        Some(Step::Tell { call: number, told: result.ok().map(|answer| Register::told(order, &answer)) })
+        Some(Step::Tell {
+            call: number,
+            told: result.ok().map(|answer| Register::told(order, &answer)),
+        })
     }
 
     fn late(&mut self, _now: f64) -> Vec<Step> {
@@ -259,7 +321,9 @@
     const CALL_TICKS: f64 = 12.0;
 
     fn place_of(script: &[Order], command: &[u8]) -> Option<usize> {
-        script.iter().position(|order| Self::command(*order).as_deref() == Some(command))
+        script
+            .iter()
+            .position(|order| Self::command(*order).as_deref() == Some(command))
     }
 
     fn is_taken(outcome: &[u8]) -> bool {
--- a/crates/sandtrack-model-checker/src/main.rs
+++ b/crates/sandtrack-model-checker/src/main.rs
@@ -16,8 +16,15 @@
 #[derive(Clone, Debug)]
 enum Command {
     Check(Check),
-    Duty { machines: usize, property: Option<String>, states: usize, budget: Budget },
-    Replay { file: PathBuf },
+    Duty {
+        machines: usize,
+        property: Option<String>,
+        states: usize,
+        budget: Budget,
+    },
+    Replay {
+        file: PathBuf,
+    },
     Setups,
 }
 
@@ -39,23 +46,50 @@
 }
 
 fn check() -> impl Parser<Command> {
-    let setup = long("setup").help("one of `setups`").argument("NAME").fallback("everything".to_owned());
-    let property = long("property").help("only this one").argument("NAME").optional();
+    let setup = long("setup")
+        .help("one of `setups`")
+        .argument("NAME")
+        .fallback("everything".to_owned());
+    let property = long("property")
+        .help("only this one")
+        .argument("NAME")
+        .optional();
     let machine = long("machine")
         .help("register (the fast one), control (the real control state) or control-unstamped (without the check of the stamp)")
         .argument::<String>("KIND")
         .parse(|name| Kind::named(&name).ok_or("register, control or control-unstamped"))
         .fallback(Kind::Register);
-    let search = long("search").help("bfs, dfs or walks").argument("HOW").fallback("bfs".to_owned());
+    let search = long("search")
+        .help("bfs, dfs or walks")
+        .argument("HOW")
+        .fallback("bfs".to_owned());
     let seed = long("seed").help("of the walks").argument("N").fallback(1);
     let depth = long("depth").help("0: no bound").argument("N").fallback(0);
-    let states = long("states").help("0: no bound").argument("N").fallback(1_000_000);
-    let seconds = long("seconds").help("0: no bound").argument("N").fallback(60);
+    let states = long("states")
+        .help("0: no bound")
+        .argument("N")
+        .fallback(1_000_000);
+    let seconds = long("seconds")
+        .help("0: no bound")
+        .argument("N")
+        .fallback(60);
     let threads = long("threads").argument("N").fallback(1);
-    let deviations = long("deviations").help("instead of the set-up's").argument("N").optional();
-    let ticks = long("ticks").help("instead of the set-up's").argument("N").optional();
-    let sends = long("sends").help("instead of the set-up's").argument("N").optional();
-    let out = long("out").help("folder for counterexamples").argument("FOLDER").optional();
+    let deviations = long("deviations")
+        .help("instead of the set-up's")
+        .argument("N")
+        .optional();
+    let ticks = long("ticks")
+        .help("instead of the set-up's")
+        .argument("N")
+        .optional();
+    let sends = long("sends")
+        .help("instead of the set-up's")
+        .argument("N")
+        .optional();
+    let out = long("out")
+        .help("folder for counterexamples")
+        .argument("FOLDER")
+        .optional();
     construct!(Check {
         setup,
         property,
@@ -76,25 +110,59 @@
 
 fn duty() -> impl Parser<Command> {
     let machines = long("machines").argument("N").fallback(3);
-    let property = long("property").help("only this one").argument("NAME").optional();
-    let states = long("states").help("0: no bound").argument("N").fallback(500_000);
+    let property = long("property")
+        .help("only this one")
+        .argument("NAME")
+        .optional();
+    let states = long("states")
+        .help("0: no bound")
+        .argument("N")
+        .fallback(500_000);
     let ticks = long("ticks").argument("N").fallback(12);
-    let deviations = long("deviations").help("all faults together").argument("N").fallback(2);
+    let deviations = long("deviations")
+        .help("all faults together")
+        .argument("N")
+        .fallback(2);
     let freezes = long("freezes").argument("N").fallback(1);
     let cuts = long("cuts").argument("N").fallback(1);
     let isolations = long("isolations").argument("N").fallback(1);
     let restarts = long("restarts").argument("N").fallback(1);
     let leaves = long("leaves").argument("N").fallback(1);
-    let budget = construct!(Budget { ticks, deviations, freezes, cuts, isolations, restarts, leaves });
-    construct!(Command::Duty { machines, property, states, budget })
+    let budget = construct!(Budget {
+        ticks,
+        deviations,
+        freezes,
+        cuts,
+        isolations,
+        restarts,
+        leaves
+    });
+    construct!(Command::Duty {
+        machines,
+        property,
+        states,
+        budget
+    })
 }
 
 fn options() -> OptionParser<Command> {
-    let check = check().to_options().command("check").help("search a set-up's states");
+    let check = check()
+        .to_options()
+        .command("check")
+        .help("search a set-up's states");
     let file = positional("FILE");
-    let replay = construct!(Command::Replay { file }).to_options().command("replay").help("play a trace");
-    let duty = duty().to_options().command("duty").help("search the states of the duty to read the list");
-    let setups = bpaf::pure(Command::Setups).to_options().command("setups").help("list the set-ups");
+    let replay = construct!(Command::Replay { file })
+        .to_options()
+        .command("replay")
+        .help("play a trace");
+    let duty = duty()
+        .to_options()
+        .command("duty")
+        .help("search the states of the duty to read the list");
+    let setups = bpaf::pure(Command::Setups)
+        .to_options()
+        .command("setups")
+        .help("list the set-ups");
     construct!([check, duty, replay, setups]).to_options()
 }
 
@@ -110,8 +178,12 @@
         "walks" => Search::Walks { seed: check.seed },
         _ => return Err("bfs, dfs or walks".to_owned()),
     };
-    let bounds =
-        Bounds { depth: check.depth, states: check.states, seconds: check.seconds, threads: check.threads };
+    let bounds = Bounds {
+        depth: check.depth,
+        states: check.states,
+        seconds: check.seconds,
+        threads: check.threads,
+    };
     let report = match check.machine {
         Kind::Register => search::<Register>(&setup, check.property.clone(), how, bounds),
         Kind::Control => search::<ControlState>(&setup, check.property.clone(), how, bounds),
@@ -128,7 +200,11 @@
     };
     std::fs::create_dir_all(folder).map_err(|error| error.to_string())?;
     for (name, actions) in &report.fell {
-        let trace = Trace { setup: setup.clone(), kind: check.machine, actions: actions.clone() };
+        let trace = Trace {
+            setup: setup.clone(),
+            kind: check.machine,
+            actions: actions.clone(),
+        };
         let path = folder.join(format!("{name}.trace"));
         std::fs::write(&path, trace.to_text()).map_err(|error| error.to_string())?;
         println!("  {}", path.display());
@@ -149,7 +225,12 @@
 fn run(command: &Command) -> Result<bool, String> {
     match command {
         Command::Check(check) => run_check(check),
-        Command::Duty { machines, property, states, budget } => {
+        Command::Duty {
+            machines,
+            property,
+            states,
+            budget,
+        } => {
             let only = match property {
                 Some(name) => Some(rule_of(name).ok_or("no such property")?),
                 None => None,
--- a/crates/sandtrack-model-checker/src/node.rs
+++ b/crates/sandtrack-model-checker/src/node.rs
@@ -108,7 +108,8 @@
         settings.seed = self.index as u64 * 1000 + self.starts;
         settings.incarnation_if_new = self.index as u64 * 1000 + 100 + self.starts;
         settings.timings = timings::<M>();
-        let (replica, effects) = Replica::new(settings, self.disk.clone(), M::default(), self.clock);
+        let (replica, effects) =
+            Replica::new(settings, self.disk.clone(), M::default(), self.clock);
         self.member = Some(replica.member().clone());
         self.replica = Some(replica);
         self.interface = M::Interface::new(self.clock);
@@ -128,7 +129,8 @@
         self.give(input, &mut outputs);
         if is_tick {
             let late = self.interface.late(self.clock);
-            late.into_iter().for_each(|step| self.step(step, &mut outputs));
+            late.into_iter()
+                .for_each(|step| self.step(step, &mut outputs));
         }
         outputs
     }
@@ -141,8 +143,12 @@
         }
         self.look(&mut outputs);
         let machine = self.replica.as_ref().map(Replica::machine);
-        let step = machine.and_then(|machine| self.interface.call(self.clock, call, order, arrival, machine));
-        step.into_iter().for_each(|step| self.step(step, &mut outputs));
+        let step = machine.and_then(|machine| {
+            self.interface
+                .call(self.clock, call, order, arrival, machine)
+        });
+        step.into_iter()
+            .for_each(|step| self.step(step, &mut outputs));
         outputs
     }
 
@@ -153,8 +159,20 @@
 
     fn step(&mut self, step: Step, outputs: &mut Vec<Output>) {
         match step {
-            Step::Submit { number, command } => self.give(Input::Submit { call: number, command }, outputs),
-            Step::Read { number, question } => self.give(Input::Read { call: number, question }, outputs),
+            Step::Submit { number, command } => self.give(
+                Input::Submit {
+                    call: number,
+                    command,
+                },
+                outputs,
+            ),
+            Step::Read { number, question } => self.give(
+                Input::Read {
+                    call: number,
+                    question,
+                },
+                outputs,
+            ),
             Step::Tell { call, told } => outputs.push(Output::Told { call, told }),
         }
     }
@@ -178,7 +196,8 @@
         }
         for (number, result) in answers {
             let machine = self.replica.as_ref().map(Replica::machine);
-            let step = machine.and_then(|machine| self.interface.answer(self.clock, number, result, machine));
+            let step = machine
+                .and_then(|machine| self.interface.answer(self.clock, number, result, machine));
             step.into_iter().for_each(|step| self.step(step, outputs));
         }
     }
@@ -222,7 +241,10 @@
                 let _ = replica.write_state(&mut writer);
                 writer.finish().hash(&mut hasher);
                 self.interface.fingerprint_into(&mut hasher);
-                self.write.as_ref().map(|write| write.ticket).hash(&mut hasher);
+                self.write
+                    .as_ref()
+                    .map(|write| write.ticket)
+                    .hash(&mut hasher);
             }
             None => (&self.disk, &self.member).hash(&mut hasher),
         }
--- a/crates/sandtrack-model-checker/src/operators.rs
+++ b/crates/sandtrack-model-checker/src/operators.rs
@@ -51,28 +51,48 @@
     fn step(&mut self, step: operator_calls::Step) -> Option<Step> {
         // Plain data in memory: it can always be written.
         match step {
-            operator_calls::Step::Submit { call: number, command } => {
-                Some(Step::Submit { number, command: borsh::to_vec(&command).unwrap_or_default() })
-            }
-            operator_calls::Step::Read { call: number, question } => {
-                Some(Step::Read { number, question: borsh::to_vec(&question).unwrap_or_default() })
-            }
-            operator_calls::Step::Reply { call: number, reply } => {
+            operator_calls::Step::Submit {
+                call: number,
+                command,
+            } => Some(Step::Submit {
+                number,
+                command: borsh::to_vec(&command).unwrap_or_default(),
+            }),
+            operator_calls::Step::Read {
+                call: number,
+                question,
+            } => Some(Step::Read {
+                number,
+                question: borsh::to_vec(&question).unwrap_or_default(),
+            }),
+            operator_calls::Step::Reply {
+                call: number,
+                reply,
+            } => {
                 let (call, order) = self.numbers.remove(&number)?;
-                Some(Step::Tell { call, told: told(order, &reply) })
+                Some(Step::Tell {
+                    call,
+                    told: told(order, &reply),
+                })
             }
             operator_calls::Step::Status { .. } => None,
         }
     }
 
     fn steps(&mut self, steps: Vec<operator_calls::Step>) -> Vec<Step> {
-        steps.into_iter().filter_map(|step| self.step(step)).collect()
+        steps
+            .into_iter()
+            .filter_map(|step| self.step(step))
+            .collect()
     }
 }
 
 impl<M: ControlMachine> Interface<M> for Operators {
     fn new(now: f64) -> Self {
-        Self { calls: OperatorCalls::new(now), numbers: BTreeMap::new() }
+        Self {
+            calls: OperatorCalls::new(now),
+            numbers: BTreeMap::new(),
+        }
     }
 
     fn look(&mut self, now: f64) -> Vec<Step> {
@@ -80,17 +100,32 @@
         self.steps(steps)
     }
 
-    fn call(&mut self, now: f64, call: u64, order: Order, arrival: Arrival, machine: &M) -> Option<Step> {
+    fn call(
+        &mut self,
+        now: f64,
+        call: u64,
+        order: Order,
+        arrival: Arrival,
+        machine: &M,
+    ) -> Option<Step> {
         let number = self.calls.begin(arrival);
         self.numbers.insert(number, (call, order));
-        let step = self.calls.call(now, number, &message(order), &Knowledge(machine));
+        let step = self
+            .calls
+            .call(now, number, &message(order), &Knowledge(machine));
         self.step(step)
     }
 
     fn answer(
-        &mut self, now: f64, number: u64, result: Result<Vec<u8>, Refusal>, machine: &M,
+        &mut self,
+        now: f64,
+        number: u64,
+        result: Result<Vec<u8>, Refusal>,
+        machine: &M,
     ) -> Option<Step> {
-        let step = self.calls.answer(now, number, result, &Knowledge(machine))?;
+        let step = self
+            .calls
+            .answer(now, number, result, &Knowledge(machine))?;
         self.step(step)
     }
 
@@ -107,15 +142,34 @@
 /// An operator's call as it is on the wire.
 fn message(order: Order) -> Message {
     let (method, target, headers, body) = match order {
-        Order::Change { based_on, version, mark } => {
+        Order::Change {
+            based_on,
+            version,
+            mark,
+        } => {
             let headers = vec![("Based-On-Version".to_owned(), based_on.to_string())];
-            ("POST", "/v1/configuration/replace".to_owned(), headers, body(version, mark))
+            (
+                "POST",
+                "/v1/configuration/replace".to_owned(),
+                headers,
+                body(version, mark),
+            )
         }
         Order::Evacuate { begin } => {
             let verb = if begin { "begin" } else { "finish" };
-            ("POST", format!("/v1/evacuation/{ZONE}/{verb}"), Vec::new(), Vec::new())
+            (
+                "POST",
+                format!("/v1/evacuation/{ZONE}/{verb}"),
+                Vec::new(),
+                Vec::new(),
+            )
         }
-        Order::Read => ("GET", "/v1/configuration/read".to_owned(), Vec::new(), Vec::new()),
+        Order::Read => (
+            "GET",
+            "/v1/configuration/read".to_owned(),
+            Vec::new(),
+            Vec::new(),
+        ),
     };
     let head = Head {
         method: method.to_owned(),
--- a/crates/sandtrack-model-checker/src/order.rs
+++ b/crates/sandtrack-model-checker/src/order.rs
@@ -8,7 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
     /// A configuration that builds on `based_on`; `mark` tells the bytes of two of one version apart.
-    Change { based_on: u64, version: u64, mark: char },
+    Change {
+        based_on: u64,
+        version: u64,
+        mark: char,
+    },
     /// The zone is evacuated, or is so no longer. Not conditional.
     Evacuate { begin: bool },
     /// The configuration is read back.
@@ -38,12 +42,12 @@
 
 /// A configuration's text.
 pub(crate) fn body(version: u64, mark: char) -> Vec<u8> {
-    let limits = r#"{"header_size_bytes":1,"body_size_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1}"#;
+    let limits =
+        r#"{"header_size_bytes":1,"body_size_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1}"#;
     let route = format!(
         r#"{{"name":"{mark}","host":"h","path_prefix":"/","kind":"read_only","timeout_ms":1,"target_latency_ms":1,"priority":0,"attempts":1,"service":"s"}}"#
     );
-    let service =
-        r#"{"name":"s","health_path":"/","connection_limit":1,"cold_start_s":0.0,"cold_rate_s":0.0}"#;
+    let service = r#"{"name":"s","health_path":"/","connection_limit":1,"cold_start_s":0.0,"cold_rate_s":0.0}"#;
     format!(r#"{{"version_number":{version},"routes":[{route}],"services":[{service}],"limits":{limits}}}"#)
         .into_bytes()
 }
@@ -51,9 +55,18 @@
 /// The version and the mark of a configuration's text; a foreign text has the mark `?`.
 pub(crate) fn shown_in(text: &str) -> Shown {
     let Ok(document) = Document::parse(text.as_bytes()) else {
-        return Shown { version: 0, mark: '?' };
+        return Shown {
+            version: 0,
+            mark: '?',
+        };
     };
-    let name = document.list("routes").and_then(|routes| routes.first()).map(|route| route.name.clone());
+    let name = document
+        .list("routes")
+        .and_then(|routes| routes.first())
+        .map(|route| route.name.clone());
     let mark = name.and_then(|name| name.chars().next()).unwrap_or('?');
-    Shown { version: document.version, mark }
+    Shown {
+        version: document.version,
+        mark,
+    }
 }
--- a/crates/sandtrack-model-checker/src/properties.rs
+++ b/crates/sandtrack-model-checker/src/properties.rs
@@ -57,7 +57,10 @@
 /// LATER, "an order that was overtaken": once the last evacuation that was ordered is acknowledged, no older order takes
 /// effect. Doesn't hold for [`crate::machine::Register`], whose evacuations have no identity.
 pub fn overtaken_order_has_no_effect<M: Machine>(world: &World<M>) -> bool {
-    !world.history.broken.contains(&Rule::OvertakenOrderTookEffect)
+    !world
+        .history
+        .broken
+        .contains(&Rule::OvertakenOrderTookEffect)
 }
 
 /// DEPLOY, `tolerated_losses`: while losses keep their distance, a majority of the newest view's voters lives, and a
@@ -70,18 +73,29 @@
         return true;
     };
     let voters = view.voters.iter().filter(|voter| lives(world, voter));
-    2 * voters.count() > view.voters.len() && world.nodes.iter().any(|node| is_complete(world, view, node))
+    2 * voters.count() > view.voters.len()
+        && world
+            .nodes
+            .iter()
+            .any(|node| is_complete(world, view, node))
 }
 
 fn lives<M: Machine>(world: &World<M>, member: &Member) -> bool {
-    let node = world.nodes.iter().find(|node| node.member.as_ref() == Some(member));
+    let node = world
+        .nodes
+        .iter()
+        .find(|node| node.member.as_ref() == Some(member));
     node.is_some_and(|node| node.place == Place::Present && !is_lost(world, node))
 }
 
 fn is_lost<M: Machine>(world: &World<M>, node: &Node<M>) -> bool {
     let index = node.index;
-    let apart = |other: usize| world.cuts.contains(&(index, other)) || world.cuts.contains(&(other, index));
-    let mut others = world.nodes.iter().filter(|other| other.index != index && other.place == Place::Present);
+    let apart =
+        |other: usize| world.cuts.contains(&(index, other)) || world.cuts.contains(&(other, index));
+    let mut others = world
+        .nodes
+        .iter()
+        .filter(|other| other.index != index && other.place == Place::Present);
     let awake = node.replica.is_some() && !node.frozen;
     !awake || others.all(|other| apart(other.index))
 }
@@ -90,7 +104,10 @@
     let Some(replica) = node.replica.as_ref().filter(|_| !is_lost(world, node)) else {
         return false;
     };
-    let position = view.chain.iter().position(|member| member == replica.member());
+    let position = view
+        .chain
+        .iter()
+        .position(|member| member == replica.member());
     let facts = replica.durable_facts();
     position.is_some_and(|position| position == 0 || facts.aligned >= view.since[position])
         && facts.end >= world.history.commits.len() as u64
--- a/crates/sandtrack-model-checker/src/setup.rs
+++ b/crates/sandtrack-model-checker/src/setup.rs
@@ -64,7 +64,11 @@
 const PATIENCE_TICKS: u8 = 4;
 
 fn change(based_on: u64, mark: char) -> Order {
-    Order::Change { based_on, version: based_on + 1, mark }
+    Order::Change {
+        based_on,
+        version: based_on + 1,
+        mark,
+    }
 }
 
 /// Two operators pick the same number for different changes; then one reads.
@@ -73,7 +77,11 @@
 }
 
 fn evacuation() -> Vec<Order> {
-    vec![change(0, 'a'), Order::Evacuate { begin: true }, Order::Evacuate { begin: false }]
+    vec![
+        change(0, 'a'),
+        Order::Evacuate { begin: true },
+        Order::Evacuate { begin: false },
+    ]
 }
 
 /// The zone is evacuated; the finish may be late, and is overtaken by a begin that finds the zone evacuated still.
@@ -108,17 +116,78 @@
     /// All set-ups, by name.
     pub fn all() -> Vec<Self> {
         let none = Budget::default();
-        let calls = Budget { deviations: 2, ticks: 12, sends: 4, ..none };
+        let calls = Budget {
+            deviations: 2,
+            ticks: 12,
+            sends: 4,
+            ..none
+        };
         vec![
-            Self::base("calls", Budget { holds: 2, duplicates: 1, ..calls }),
-            Self::base("crash", Budget { crashes: 2, holds: 1, ..calls }),
-            Self::base("power", Budget { power_losses: 2, crashes: 1, holds: 1, ..calls }),
-            Self::base("freeze", Budget { freezes: 2, holds: 1, ticks: 16, ..calls }),
-            Self::base("cuts", Budget { cuts: 2, isolations: 1, ticks: 16, ..calls }),
-            Self::base("wipe", Budget { wipes: 1, holds: 1, crashes: 1, ticks: 16, ..calls }),
+            Self::base(
+                "calls",
+                Budget {
+                    holds: 2,
+                    duplicates: 1,
+                    ..calls
+                },
+            ),
+            Self::base(
+                "crash",
+                Budget {
+                    crashes: 2,
+                    holds: 1,
+                    ..calls
+                },
+            ),
+            Self::base(
+                "power",
+                Budget {
+                    power_losses: 2,
+                    crashes: 1,
+                    holds: 1,
+                    ..calls
+                },
+            ),
+            Self::base(
+                "freeze",
+                Budget {
+                    freezes: 2,
+                    holds: 1,
+                    ticks: 16,
+                    ..calls
+                },
+            ),
+            Self::base(
+                "cuts",
+                Budget {
+                    cuts: 2,
+                    isolations: 1,
+                    ticks: 16,
+                    ..calls
+                },
+            ),
+            Self::base(
+                "wipe",
+                Budget {
+                    wipes: 1,
+                    holds: 1,
+                    crashes: 1,
+                    ticks: 16,
+                    ..calls
+                },
+            ),
             Self {
                 spares: 1,
-                ..Self::base("replace", Budget { replacements: 1, holds: 1, freezes: 1, ticks: 18, ..calls })
+                ..Self::base(
+                    "replace",
+                    Budget {
+                        replacements: 1,
+                        holds: 1,
+                        freezes: 1,
+                        ticks: 18,
+                        ..calls
+                    },
+                )
             },
             Self::base(
                 "everything",
@@ -160,7 +229,14 @@
                 script: evacuation(),
                 ..Self::base(
                     "late-order",
-                    Budget { deviations: 1, freezes: 1, holds: 1, ticks: 12, sends: 3, ..none },
+                    Budget {
+                        deviations: 1,
+                        freezes: 1,
+                        holds: 1,
+                        ticks: 12,
+                        sends: 3,
+                        ..none
+                    },
                 )
             },
             Self {
@@ -169,19 +245,42 @@
                 patience: Some(PATIENCE_TICKS),
                 ..Self::base(
                     "overtaken-order",
-                    Budget { deviations: 2, holds: 1, crashes: 1, freezes: 1, ticks: 5, sends: 2, ..none },
+                    Budget {
+                        deviations: 2,
+                        holds: 1,
+                        crashes: 1,
+                        freezes: 1,
+                        ticks: 5,
+                        sends: 2,
+                        ..none
+                    },
                 )
             },
             Self {
                 apart: Some((1, 2)),
                 ..Self::base(
                     "rival-views",
-                    Budget { deviations: 2, crashes: 1, holds: 2, cuts: 1, ticks: 6, ..none },
+                    Budget {
+                        deviations: 2,
+                        crashes: 1,
+                        holds: 2,
+                        cuts: 1,
+                        ticks: 6,
+                        ..none
+                    },
                 )
             },
             Self {
                 apart: Some((1, 2)),
-                ..Self::base("rival-views-wipe", Budget { deviations: 1, wipes: 1, ticks: 6, ..none })
+                ..Self::base(
+                    "rival-views-wipe",
+                    Budget {
+                        deviations: 1,
+                        wipes: 1,
+                        ticks: 6,
+                        ..none
+                    },
+                )
             },
             Self {
                 scheduling: Scheduling::Free,
--- a/crates/sandtrack-model-checker/src/trace.rs
+++ b/crates/sandtrack-model-checker/src/trace.rs
@@ -28,7 +28,9 @@
     }
 
     pub fn named(name: &str) -> Option<Self> {
-        [Self::Register, Self::Control, Self::Unstamped].into_iter().find(|kind| kind.name() == name)
+        [Self::Register, Self::Control, Self::Unstamped]
+            .into_iter()
+            .find(|kind| kind.name() == name)
     }
 }
 
@@ -71,32 +73,56 @@
     /// # Errors
     /// Where a line is not understood.
     pub fn parse(text: &str) -> Result<Self, TraceError> {
-        let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
+        let lines = text
+            .lines()
+            .map(|line| line.split('#').next().unwrap_or_default().trim());
         let mut lines = lines.filter(|line| !line.is_empty());
-        let setup = lines.next().and_then(|line| Setup::named(line.strip_prefix("setup ")?));
+        let setup = lines
+            .next()
+            .and_then(|line| Setup::named(line.strip_prefix("setup ")?));
         let setup = setup.ok_or(TraceError::Header("setup"))?;
-        let kind = lines.next().and_then(|line| Kind::named(line.strip_prefix("machine ")?));
+        let kind = lines
+            .next()
+            .and_then(|line| Kind::named(line.strip_prefix("machine ")?));
         let kind = kind.ok_or(TraceError::Header("machine"))?;
-        let actions = lines.map(str::parse).collect::<Result<Vec<Action>, NotAnAction>>()?;
-        Ok(Self { setup, kind, actions })
+        let actions = lines
+            .map(str::parse)
+            .collect::<Result<Vec<Action>, NotAnAction>>()?;
+        Ok(Self {
+            setup,
+            kind,
+            actions,
+        })
     }
 
     /// Plays the trace until a property falls; `told` hears of each action with the state before it.
     ///
     /// # Errors
     /// Where an action can't be taken.
-    pub fn play<M: Machine>(&self, mut told: impl FnMut(&Action, &World<M>)) -> Result<Outcome, TraceError> {
+    pub fn play<M: Machine>(
+        &self,
+        mut told: impl FnMut(&Action, &World<M>),
+    ) -> Result<Outcome, TraceError> {
         let model = ReplicationModel::<M>::new(&self.setup, None);
         let mut world = World::<M>::prepared(&self.setup);
         for (at, action) in self.actions.iter().enumerate() {
             told(action, &world);
             let next = world.after(*action);
-            world = next.ok_or(TraceError::NotPossible { step: at + 1, action: *action })?;
+            world = next.ok_or(TraceError::NotPossible {
+                step: at + 1,
+                action: *action,
+            })?;
             let broken = model.broken(&world);
             if !broken.is_empty() {
-                return Ok(Outcome { steps: at + 1, broken });
+                return Ok(Outcome {
+                    steps: at + 1,
+                    broken,
+                });
             }
         }
-        Ok(Outcome { steps: self.actions.len(), broken: Vec::new() })
+        Ok(Outcome {
+            steps: self.actions.len(),
+            broken: Vec::new(),
+        })
     }
 }
--- a/crates/sandtrack-model-checker/src/world.rs
+++ b/crates/sandtrack-model-checker/src/world.rs
@@ -59,7 +59,15 @@
             event.hash.hash(state);
         }
         self.queue.len().hash(state);
-        (&self.cuts, self.calm, &self.budget, &self.sent, &self.waiting, &self.history).hash(state);
+        (
+            &self.cuts,
+            self.calm,
+            &self.budget,
+            &self.sent,
+            &self.waiting,
+            &self.history,
+        )
+            .hash(state);
     }
 }
 
@@ -86,7 +94,10 @@
     /// # Panics
     /// Where the set-up can't be prepared.
     pub fn prepared(setup: &Setup) -> Self {
-        let ordered = Setup { scheduling: Scheduling::Ordered, ..setup.clone() };
+        let ordered = Setup {
+            scheduling: Scheduling::Ordered,
+            ..setup.clone()
+        };
         let mut world = Self::new(ordered);
         for index in 0..setup.machines {
             world.start(index, true);
@@ -111,11 +122,23 @@
     }
 
     fn new(setup: Setup) -> Self {
-        let plenty = Budget { ticks: u8::MAX, sends: u8::MAX, ..Budget::default() };
-        let place = |index| if index < setup.machines { Place::Present } else { Place::Spare };
+        let plenty = Budget {
+            ticks: u8::MAX,
+            sends: u8::MAX,
+            ..Budget::default()
+        };
+        let place = |index| {
+            if index < setup.machines {
+                Place::Present
+            } else {
+                Place::Spare
+            }
+        };
         let all = 0..setup.machines + setup.spares;
         Self {
-            nodes: all.map(|index| Arc::new(Node::new(index, place(index)))).collect(),
+            nodes: all
+                .map(|index| Arc::new(Node::new(index, place(index))))
+                .collect(),
             queue: Vec::new(),
             held: Vec::new(),
             cuts: BTreeSet::new(),
@@ -142,12 +165,17 @@
 
     /// The first event that happens to a machine that is not frozen.
     pub fn due(&self) -> Option<usize> {
-        self.queue.iter().position(|event| !self.nodes[event.node()].frozen)
+        self.queue
+            .iter()
+            .position(|event| !self.nodes[event.node()].frozen)
     }
 
     /// Whether a machine is down, frozen or cut off, or a message is held back.
     pub fn troubled(&self) -> bool {
-        let down = self.nodes.iter().any(|node| node.place == Place::Present && !node.is_awake());
+        let down = self
+            .nodes
+            .iter()
+            .any(|node| node.place == Place::Present && !node.is_awake());
         down || !self.cuts.is_empty() || !self.held.is_empty()
     }
 }
--- a/crates/sandtrack-model-checker/src/world/callers.rs
+++ b/crates/sandtrack-model-checker/src/world/callers.rs
@@ -26,9 +26,14 @@
         if self.budget.sends == 0 {
             return;
         }
-        for order in (self.setup.prepared..self.setup.script.len()).filter(|order| self.may_send(*order)) {
+        for order in
+            (self.setup.prepared..self.setup.script.len()).filter(|order| self.may_send(*order))
+        {
             let there = self.nodes.iter().filter(|node| node.replica.is_some());
-            actions.extend(there.map(|node| Action::Send { order, node: node.index }));
+            actions.extend(there.map(|node| Action::Send {
+                order,
+                node: node.index,
+            }));
         }
     }
 
@@ -47,10 +52,13 @@
         if self.waiting.is_some() {
             return false;
         }
-        let before_acknowledged =
-            (0..order).filter(is_evacuation).all(|other| self.history.acknowledged.contains(&other));
+        let before_acknowledged = (0..order)
+            .filter(is_evacuation)
+            .all(|other| self.history.acknowledged.contains(&other));
         let may_follow = before_acknowledged || self.setup.patience.is_some();
-        let no_later = (order + 1..script.len()).filter(is_evacuation).all(|other| self.sent[other] == 0);
+        let no_later = (order + 1..script.len())
+            .filter(is_evacuation)
+            .all(|other| self.sent[other] == 0);
         may_follow && no_later
     }
 
@@ -65,9 +73,16 @@
         let clock = self.nodes[node].clock;
         let arrival = match self.nodes[node].frozen {
             true => ArrivalTime::Queued { since: clock },
-            false => ArrivalTime::Accepted { queued_since: clock, at: clock },
+            false => ArrivalTime::Accepted {
+                queued_since: clock,
+                at: clock,
+            },
         };
-        self.queue.push(Queued::new(Event::Call { node, call, arrival }));
+        self.queue.push(Queued::new(Event::Call {
+            node,
+            call,
+            arrival,
+        }));
     }
 
     /// A tick has passed; the operator goes elsewhere once its patience is over, and hears no answer any more.
@@ -98,7 +113,9 @@
             return;
         }
         let order = self.setup.script[order_of(call)];
-        let outputs = self.change(index, |node| node.call(call, order, arrival.read(node.clock)));
+        let outputs = self.change(index, |node| {
+            node.call(call, order, arrival.read(node.clock))
+        });
         self.carry_out(index, outputs);
     }
 
@@ -117,7 +134,11 @@
     }
 
     pub(super) fn issued(&self) -> u32 {
-        let sent = self.sent.iter().enumerate().filter(|(_, times)| **times > 0);
+        let sent = self
+            .sent
+            .iter()
+            .enumerate()
+            .filter(|(_, times)| **times > 0);
         sent.map(|(order, _)| 1 << order).sum()
     }
 }
--- a/crates/sandtrack-model-checker/src/world/event.rs
+++ b/crates/sandtrack-model-checker/src/world/event.rs
@@ -17,10 +17,7 @@
         message: Message,
     },
     /// The disk confirms a write.
-    Written {
-        node: usize,
-        ticket: u64,
-    },
+    Written { node: usize, ticket: u64 },
     /// A call in a machine's socket.
     Call {
         node: usize,
@@ -43,15 +40,24 @@
     /// For a machine that reads the call at `now`.
     pub fn read(self, now: f64) -> Arrival {
         match self {
-            Self::Accepted { queued_since, at } => Arrival { queued_since, accepted: at },
-            Self::Queued { since } => Arrival { queued_since: since, accepted: now },
+            Self::Accepted { queued_since, at } => Arrival {
+                queued_since,
+                accepted: at,
+            },
+            Self::Queued { since } => Arrival {
+                queued_since: since,
+                accepted: now,
+            },
         }
     }
 
     /// The machine woke at `now`.
     fn accepted(self, now: f64) -> Self {
         match self {
-            Self::Queued { since } => Self::Accepted { queued_since: since, at: now },
+            Self::Queued { since } => Self::Accepted {
+                queued_since: since,
+                at: now,
+            },
             accepted => accepted,
         }
     }
@@ -76,7 +82,11 @@
         let hash = match &event {
             Event::Message { from, to, message } => hash_of(&(0, from, to, hash_of_bytes(message))),
             Event::Written { node, ticket } => hash_of(&(1, node, ticket)),
-            Event::Call { node, call, arrival } => hash_of(&(2, node, call, arrival.bits())),
+            Event::Call {
+                node,
+                call,
+                arrival,
+            } => hash_of(&(2, node, call, arrival.bits())),
         };
         Arc::new(Self { event, hash })
     }
@@ -84,9 +94,15 @@
     /// The same once its machine woke at `now`; `None` where that changes nothing.
     pub(super) fn after_wake(&self, index: usize, now: f64) -> Option<Arc<Self>> {
         match self.event {
-            Event::Call { node, call, arrival } if node == index => {
-                Some(Self::new(Event::Call { node, call, arrival: arrival.accepted(now) }))
-            }
+            Event::Call {
+                node,
+                call,
+                arrival,
+            } if node == index => Some(Self::new(Event::Call {
+                node,
+                call,
+                arrival: arrival.accepted(now),
+            })),
             _ => None,
         }
     }
@@ -106,7 +122,9 @@
                 format!("{} -> {}: {message}", address(*from), address(*to))
             }
             Event::Written { node, .. } => format!("disk of {} is done", address(*node)),
-            Event::Call { node, call, .. } => format!("call {} at {}", order_of(*call), address(*node)),
+            Event::Call { node, call, .. } => {
+                format!("call {} at {}", order_of(*call), address(*node))
+            }
         }
     }
 
--- a/crates/sandtrack-model-checker/src/world/machines.rs
+++ b/crates/sandtrack-model-checker/src/world/machines.rs
@@ -27,7 +27,11 @@
 
     pub(super) fn tick_all(&mut self) {
         self.now += 1;
-        self.calm = if self.troubled() { 0 } else { self.calm.saturating_add(1).min(32) };
+        self.calm = if self.troubled() {
+            0
+        } else {
+            self.calm.saturating_add(1).min(32)
+        };
         self.give_up();
         let now = f64::from(self.now) * TICK;
         for index in 0..self.nodes.len() {
@@ -45,7 +49,10 @@
     }
 
     pub(super) fn start(&mut self, index: usize, first_start: bool) {
-        let present = self.nodes.iter().filter(|node| node.place == Place::Present);
+        let present = self
+            .nodes
+            .iter()
+            .filter(|node| node.place == Place::Present);
         let seeds: Vec<String> = present.take(3).map(|node| address(node.index)).collect();
         let now = f64::from(self.now) * TICK;
         let effects = self.change(index, |node| {
@@ -75,7 +82,10 @@
     pub(super) fn replace(&mut self, index: usize) {
         self.wipe(index);
         self.change(index, |node| node.place = Place::Removed);
-        let spare = self.nodes.iter().position(|node| node.place == Place::Spare);
+        let spare = self
+            .nodes
+            .iter()
+            .position(|node| node.place == Place::Spare);
         if let Some(spare) = spare {
             self.change(spare, |node| node.place = Place::Present);
             self.start(spare, false);
@@ -99,7 +109,11 @@
                 Effect::Send { to, message } => self.transmit(index, &to, message),
                 Effect::Write { ticket, records } => self.write(index, ticket, records, false),
                 Effect::Rewrite { ticket, records } => self.write(index, ticket, records, true),
-                Effect::Applied { number, command, outcome } => {
+                Effect::Applied {
+                    number,
+                    command,
+                    outcome,
+                } => {
                     self.applied(index, number, &command, &outcome);
                 }
                 Effect::Restored { .. } => {}
@@ -115,9 +129,24 @@
         }
     }
 
-    pub(super) fn write(&mut self, index: usize, ticket: u64, records: Vec<Vec<u8>>, replaces: bool) {
-        self.change(index, |node| node.write = Some(PendingWrite { ticket, records, replaces }));
-        self.queue.push(Queued::new(Event::Written { node: index, ticket }));
+    pub(super) fn write(
+        &mut self,
+        index: usize,
+        ticket: u64,
+        records: Vec<Vec<u8>>,
+        replaces: bool,
+    ) {
+        self.change(index, |node| {
+            node.write = Some(PendingWrite {
+                ticket,
+                records,
+                replaces,
+            })
+        });
+        self.queue.push(Queued::new(Event::Written {
+            node: index,
+            ticket,
+        }));
     }
 
     fn applied(&mut self, index: usize, number: u64, command: &[u8], outcome: &[u8]) {
@@ -127,6 +156,7 @@
         let script = &self.setup.script;
         let place = M::place_of(script, command);
         let won = M::is_taken(outcome);
-        self.history_mut().applied(number, epoch, command, place, won);
+        self.history_mut()
+            .applied(number, epoch, command, place, won);
     }
 }
--- a/crates/sandtrack-model-checker/src/world/network.rs
+++ b/crates/sandtrack-model-checker/src/world/network.rs
@@ -18,16 +18,29 @@
                 if self.history.awaits(*to) {
                     self.history_mut().heard(*to);
                 }
-                self.input(*to, Input::Received { from: address(*from), message: message.clone() });
+                self.input(
+                    *to,
+                    Input::Received {
+                        from: address(*from),
+                        message: message.clone(),
+                    },
+                );
             }
             Event::Written { node, ticket } => {
-                let is_it = self.nodes[*node].write.as_ref().is_some_and(|write| write.ticket == *ticket);
+                let is_it = self.nodes[*node]
+                    .write
+                    .as_ref()
+                    .is_some_and(|write| write.ticket == *ticket);
                 if is_it && self.nodes[*node].is_awake() {
                     self.change(*node, Node::store);
                     self.input(*node, Input::Written { ticket: *ticket });
                 }
             }
-            Event::Call { node, call, arrival } => self.read_call(*node, *call, *arrival),
+            Event::Call {
+                node,
+                call,
+                arrival,
+            } => self.read_call(*node, *call, *arrival),
         }
     }
 
--- a/crates/sandtrack-model-checker/src/world/possible.rs
+++ b/crates/sandtrack-model-checker/src/world/possible.rs
@@ -84,7 +84,11 @@
     }
 
     fn recoveries(&self, actions: &mut Vec<Action>) {
-        for node in self.nodes.iter().filter(|node| node.place == Place::Present) {
+        for node in self
+            .nodes
+            .iter()
+            .filter(|node| node.place == Place::Present)
+        {
             if node.frozen {
                 actions.push(Action::Wake(node.index));
             } else if node.replica.is_none() {
@@ -99,20 +103,36 @@
     fn faults(&self, actions: &mut Vec<Action>) {
         let budget = &self.budget;
         if budget.cuts > 0 {
-            let here = self.nodes.iter().filter(|node| node.place == Place::Present).map(|node| node.index);
-            let pairs = here.clone().flat_map(|from| here.clone().map(move |to| (from, to)));
+            let here = self
+                .nodes
+                .iter()
+                .filter(|node| node.place == Place::Present)
+                .map(|node| node.index);
+            let pairs = here
+                .clone()
+                .flat_map(|from| here.clone().map(move |to| (from, to)));
             let pairs = pairs.filter(|(from, to)| from != to && !self.cuts.contains(&(*from, *to)));
             actions.extend(pairs.map(|(from, to)| Action::Cut { from, to }));
         }
-        if self.setup.calm_between_losses.is_some_and(|calm| self.calm < calm || self.troubled()) {
+        if self
+            .setup
+            .calm_between_losses
+            .is_some_and(|calm| self.calm < calm || self.troubled())
+        {
             return;
         }
         for node in self.nodes.iter().filter(|node| node.replica.is_some()) {
             let index = node.index;
             if budget.crashes > 0 {
-                actions.push(Action::Crash { node: index, kept: false });
+                actions.push(Action::Crash {
+                    node: index,
+                    kept: false,
+                });
                 if node.write.is_some() {
-                    actions.push(Action::Crash { node: index, kept: true });
+                    actions.push(Action::Crash {
+                        node: index,
+                        kept: true,
+                    });
                 }
             }
             if budget.wipes > 0 {
--- a/crates/sandtrack-model-checker/src/world/steps.rs
+++ b/crates/sandtrack-model-checker/src/world/steps.rs
@@ -78,7 +78,8 @@
             }
             Action::Isolate(index) => {
                 let others = (0..self.nodes.len()).filter(|other| *other != index);
-                self.cuts.extend(others.flat_map(|other| [(index, other), (other, index)]));
+                self.cuts
+                    .extend(others.flat_map(|other| [(index, other), (other, index)]));
             }
             Action::Heal => self.cuts.clear(),
             Action::Send { order, node } => self.send(order, node),
@@ -99,7 +100,11 @@
             Action::TickOne(_) if self.setup.scheduling == Scheduling::Free => {
                 return budget.single_ticks = budget.single_ticks.saturating_sub(1);
             }
-            Action::Deliver(_) | Action::Release(_) | Action::Restart(_) | Action::Wake(_) | Action::Heal => {
+            Action::Deliver(_)
+            | Action::Release(_)
+            | Action::Restart(_)
+            | Action::Wake(_)
+            | Action::Heal => {
                 return;
             }
             Action::TickOne(_) => &mut budget.single_ticks,
--- a/crates/sandtrack-model-checker/tests/bounded.rs
+++ b/crates/sandtrack-model-checker/tests/bounded.rs
@@ -15,7 +15,12 @@
 
 /// All states of the set-up, no property falls.
 fn holds<M: Machine>(setup: &Setup) -> Report {
-    let bounds = Bounds { depth: 0, states: 0, seconds: 0, threads: 1 };
+    let bounds = Bounds {
+        depth: 0,
+        states: 0,
+        seconds: 0,
+        threads: 1,
+    };
     let report = search::<M>(setup, None, Search::DepthFirst, bounds);
     println!("{report}");
     assert!(report.fell.is_empty(), "{report}");
@@ -64,7 +69,10 @@
 fn the_same_search_sees_the_same_states() {
     let setup = small("calls", 1, 1, 1);
     let (one, other) = (holds::<Register>(&setup), holds::<Register>(&setup));
-    assert_eq!((one.states, one.unique, one.depth), (other.states, other.unique, other.depth));
+    assert_eq!(
+        (one.states, one.unique, one.depth),
+        (other.states, other.unique, other.depth)
+    );
 }
 
 #[test]
@@ -76,7 +84,12 @@
 #[test]
 fn an_overtaken_order_has_no_effect_on_the_real_control_state() {
     let setup = Setup::named("overtaken-order").expect("a set-up");
-    let bounds = Bounds { depth: 0, states: 10_000, seconds: 0, threads: 1 };
+    let bounds = Bounds {
+        depth: 0,
+        states: 10_000,
+        seconds: 0,
+        threads: 1,
+    };
     let report = search::<ControlState>(&setup, None, Search::DepthFirst, bounds);
     println!("{report}");
     assert!(report.fell.is_empty(), "{report}");
--- a/crates/sandtrack-model-checker/tests/duty.rs
+++ b/crates/sandtrack-model-checker/tests/duty.rs
@@ -3,12 +3,26 @@
 use sandtrack_model_checker::duty::Budget;
 
 /// One of each kind, one of them in all.
-const ONE_FAULT: Budget =
-    Budget { ticks: 12, deviations: 1, freezes: 1, cuts: 1, isolations: 1, restarts: 1, leaves: 1 };
+const ONE_FAULT: Budget = Budget {
+    ticks: 12,
+    deviations: 1,
+    freezes: 1,
+    cuts: 1,
+    isolations: 1,
+    restarts: 1,
+    leaves: 1,
+};
 
 /// A machine that is cut off restarts: it knows of no holder.
-const RESTART_CUT_OFF: Budget =
-    Budget { ticks: 10, deviations: 2, freezes: 0, cuts: 0, isolations: 1, restarts: 1, leaves: 0 };
+const RESTART_CUT_OFF: Budget = Budget {
+    ticks: 10,
+    deviations: 2,
+    freezes: 0,
+    cuts: 0,
+    isolations: 1,
+    restarts: 1,
+    leaves: 0,
+};
 
 fn holds(machines: usize, budget: Budget, property: &str) {
     let rule = rule_of(property).expect("a property");
--- a/crates/sandtrack-model-checker/tests/replay.rs
+++ b/crates/sandtrack-model-checker/tests/replay.rs
@@ -5,7 +5,10 @@
 use sandtrack_model_checker::trace::{Trace, TraceError};
 
 fn counterexample(name: &str) -> Trace {
-    let path = format!("{}/counterexamples/{name}.trace", env!("CARGO_MANIFEST_DIR"));
+    let path = format!(
+        "{}/counterexamples/{name}.trace",
+        env!("CARGO_MANIFEST_DIR")
+    );
     let text = std::fs::read_to_string(path).expect("the file is there");
     Trace::parse(&text).expect("it is a trace")
 }
@@ -32,7 +35,10 @@
 fn an_action_that_is_not_possible_is_told() {
     let mut trace = counterexample("late-order");
     trace.actions = vec![Action::Restart(0)];
-    let error = TraceError::NotPossible { step: 1, action: Action::Restart(0) };
+    let error = TraceError::NotPossible {
+        step: 1,
+        action: Action::Restart(0),
+    };
     assert_eq!(trace.play::<Register>(|_, _| {}), Err(error));
 }
 
@@ -40,10 +46,14 @@
 #[test]
 fn an_overtaken_order_takes_effect_only_without_its_stamp() {
     let trace = counterexample("overtaken-order-unstamped");
-    let unstamped = trace.play::<Unstamped>(|_, _| {}).expect("it can be played");
+    let unstamped = trace
+        .play::<Unstamped>(|_, _| {})
+        .expect("it can be played");
     assert_eq!(unstamped.broken, ["overtaken-order-has-no-effect"]);
     assert_eq!(unstamped.steps, trace.actions.len());
-    let real = trace.play::<ControlState>(|_, _| {}).expect("it can be played");
+    let real = trace
+        .play::<ControlState>(|_, _| {})
+        .expect("it can be played");
     assert!(real.broken.is_empty(), "{real:?}");
     assert_eq!(real.steps, trace.actions.len());
 }
@@ -70,7 +80,10 @@
         let trace = counterexample(&format!("mutated/{name}"));
         match trace.play::<Register>(|_, _| {}) {
             Ok(outcome) => assert!(outcome.broken.is_empty(), "{name}: {outcome:?}"),
-            Err(error) => assert!(matches!(error, TraceError::NotPossible { .. }), "{name}: {error}"),
+            Err(error) => assert!(
+                matches!(error, TraceError::NotPossible { .. }),
+                "{name}: {error}"
+            ),
         }
     }
 }
--- a/crates/sandtrack-net/src/byte_budget.rs
+++ b/crates/sandtrack-net/src/byte_budget.rs
@@ -19,13 +19,19 @@
     /// A budget of so many bytes.
     #[must_use]
     pub fn new(bound: usize) -> ByteBudget {
-        ByteBudget { bound, held: Rc::default() }
+        ByteBudget {
+            bound,
+            held: Rc::default(),
+        }
     }
 
     /// Room for a message of which nothing is held yet.
     #[must_use]
     pub fn message(&self) -> Held {
-        Held { budget: self.clone(), bytes: 0 }
+        Held {
+            budget: self.clone(),
+            bytes: 0,
+        }
     }
 
     /// Bytes that are held now.
@@ -47,8 +53,15 @@
     #[must_use]
     pub fn grow_to(&mut self, length: usize) -> bool {
         let more = length.saturating_sub(self.bytes);
-        let reserved = if length > SHORT { (self.budget.bound as f64 * RESERVED) as usize } else { 0 };
-        let room = self.budget.bound.saturating_sub(self.budget.held() + reserved);
+        let reserved = if length > SHORT {
+            (self.budget.bound as f64 * RESERVED) as usize
+        } else {
+            0
+        };
+        let room = self
+            .budget
+            .bound
+            .saturating_sub(self.budget.held() + reserved);
         if more > room {
             return false;
         }
@@ -62,7 +75,11 @@
     pub fn extend(&mut self, message: &mut Vec<u8>, bytes: &[u8]) -> bool {
         let length = message.len() + bytes.len();
         if length > message.capacity() {
-            let capacity = if length > SHORT { length.next_multiple_of(SHORT) } else { length };
+            let capacity = if length > SHORT {
+                length.next_multiple_of(SHORT)
+            } else {
+                length
+            };
             if !self.grow_to(capacity) {
                 return false;
             }
@@ -75,6 +92,8 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held().saturating_sub(self.bytes));
+        self.budget
+            .held
+            .set(self.budget.held().saturating_sub(self.bytes));
     }
 }
--- a/crates/sandtrack-net/src/http.rs
+++ b/crates/sandtrack-net/src/http.rs
@@ -87,7 +87,13 @@
 
     /// One whose heads may be `head_max` bytes long: the ring that it reads from holds more than that.
     pub fn with_head_max(side: Side, head_max: usize) -> Self {
-        Parser { side, state: State::Head { searched: 0 }, trailer: 0, interim: 0, head_max }
+        Parser {
+            side,
+            state: State::Head { searched: 0 },
+            trailer: 0,
+            interim: 0,
+            head_max,
+        }
     }
 
     /// From now on heads may be `head_max` bytes long: the ring that it reads from holds more than that.
@@ -124,12 +130,16 @@
                         return Ok(None);
                     }
                     let from = searched.saturating_sub(3);
-                    let end = bytes[from..].windows(4).position(|four| four == b"\r\n\r\n");
+                    let end = bytes[from..]
+                        .windows(4)
+                        .position(|four| four == b"\r\n\r\n");
                     let Some(end) = end.map(|at| from + at) else {
                         if bytes.len() > self.head_max {
                             return Err(Bad::HeadTooLong);
                         }
-                        self.state = State::Head { searched: bytes.len() };
+                        self.state = State::Head {
+                            searched: bytes.len(),
+                        };
                         return Ok(None);
                     };
                     if end > self.head_max {
@@ -156,27 +166,44 @@
                     return Ok(Some(Part::End));
                 }
                 State::Length(left) => {
-                    let Some(data) = take(ring, left) else { return Ok(None) };
+                    let Some(data) = take(ring, left) else {
+                        return Ok(None);
+                    };
                     self.state = State::Length(left - data.len());
                     return Ok(Some(Part::Data(data)));
                 }
                 State::UntilEnd => return Ok(take(ring, usize::MAX).map(Part::Data)),
                 State::ChunkSize => {
-                    let Some(line) = take_line(ring)? else { return Ok(None) };
+                    let Some(line) = take_line(ring)? else {
+                        return Ok(None);
+                    };
                     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
-                    let digits = std::str::from_utf8(digits).map_err(|_| Bad::Malformed)?.trim();
-                    let hex = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+                    let digits = std::str::from_utf8(digits)
+                        .map_err(|_| Bad::Malformed)?
+                        .trim();
+                    let hex =
+                        !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
                     if !hex || digits.trim_start_matches('0').len() > 8 {
                         return Err(Bad::Malformed);
                     }
                     let size = usize::from_str_radix(digits, 16).map_err(|_| Bad::Malformed)?;
                     self.trailer = 0;
-                    self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
+                    self.state = if size == 0 {
+                        State::Trailer
+                    } else {
+                        State::Chunk(size)
+                    };
                 }
                 State::Chunk(left) => {
-                    let Some(data) = take(ring, left) else { return Ok(None) };
+                    let Some(data) = take(ring, left) else {
+                        return Ok(None);
+                    };
                     let left = left - data.len();
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+                    self.state = if left == 0 {
+                        State::ChunkEnd
+                    } else {
+                        State::Chunk(left)
+                    };
                     return Ok(Some(Part::Data(data)));
                 }
                 State::ChunkEnd => match take_line(ring)? {
@@ -230,7 +257,15 @@
 impl Collector {
     pub fn new(side: Side) -> Self {
         let parser = Parser::new(side);
-        Collector { parser, streamed: false, side, head: None, body: Vec::new(), told: 0, keep_alive: false }
+        Collector {
+            parser,
+            streamed: false,
+            side,
+            head: None,
+            body: Vec::new(),
+            told: 0,
+            keep_alive: false,
+        }
     }
 
     pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Taken>, Bad> {
@@ -280,12 +315,16 @@
 
     /// The other side has ended: the end of a body, where that is how it ends.
     pub fn ended(&mut self, ring: &mut Ring) -> Option<Taken> {
-        self.parser.ended(ring).then(|| self.next(ring).ok().flatten()).flatten()
+        self.parser
+            .ended(ring)
+            .then(|| self.next(ring).ok().flatten())
+            .flatten()
     }
 
     /// A body of a told length that is told as it comes has all been told: its end is taken here, and not told again.
     pub fn finish(&mut self) -> bool {
-        let over = self.head.is_none() && self.body.is_empty() && self.parser.state == State::Length(0);
+        let over =
+            self.head.is_none() && self.body.is_empty() && self.parser.state == State::Length(0);
         if over {
             self.parser.state = State::Head { searched: 0 };
         }
@@ -295,12 +334,18 @@
     /// What is collected is a good answer whose length is not told.
     pub fn is_open(&self) -> bool {
         let told = matches!(self.parser.state, State::Length(_) | State::Over);
-        !told && self.side == Side::Response && self.head.as_ref().is_some_and(|head| head.status == 200)
+        !told
+            && self.side == Side::Response
+            && self.head.as_ref().is_some_and(|head| head.status == 200)
     }
 
     /// It is told as it comes from now on, and not collected: its head first, if it is open.
     pub fn pass_on(&mut self) -> Option<Taken> {
-        self.is_open().then(|| self.head.take().map(|head| Taken::Begun { head, length: None }))?
+        self.is_open().then(|| {
+            self.head
+                .take()
+                .map(|head| Taken::Begun { head, length: None })
+        })?
     }
 
     /// The head has come, and not all of the body.
@@ -314,7 +359,10 @@
 
     /// Whether the other side holds the body back until it is told to go on; told once a message.
     pub fn take_expectation(&mut self) -> bool {
-        self.head.as_mut().filter(|_| self.body.is_empty()).is_some_and(take_expectation)
+        self.head
+            .as_mut()
+            .filter(|_| self.body.is_empty())
+            .is_some_and(take_expectation)
     }
 
     /// Whether the connection stays open after the message that was begun last.
@@ -354,10 +402,20 @@
 
 fn take_line(ring: &mut Ring) -> Result<Option<Vec<u8>>, Bad> {
     let bytes = ring.peek();
-    let Some(end) = bytes.iter().take(LINE_MAX + 1).position(|byte| *byte == b'\n') else {
-        return if bytes.len() > LINE_MAX { Err(Bad::Malformed) } else { Ok(None) };
+    let Some(end) = bytes
+        .iter()
+        .take(LINE_MAX + 1)
+        .position(|byte| *byte == b'\n')
+    else {
+        return if bytes.len() > LINE_MAX {
+            Err(Bad::Malformed)
+        } else {
+            Ok(None)
+        };
+    };
+    let Some(line) = bytes[..end].strip_suffix(b"\r") else {
+        return Err(Bad::Malformed);
     };
-    let Some(line) = bytes[..end].strip_suffix(b"\r") else { return Err(Bad::Malformed) };
     let line = line.to_vec();
     ring.consume(end + 1);
     Ok(Some(line))
@@ -365,12 +423,16 @@
 
 fn is_token(text: &str) -> bool {
     !text.is_empty()
-        && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte))
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte))
 }
 
 /// Whether a header says where a message ends.
 fn frames(name: &str) -> bool {
-    ["content-length", "transfer-encoding", "connection"].iter().any(|frame| name.eq_ignore_ascii_case(frame))
+    ["content-length", "transfer-encoding", "connection"]
+        .iter()
+        .any(|frame| name.eq_ignore_ascii_case(frame))
 }
 
 fn parse_head(side: Side, bytes: &[u8]) -> Result<Head, Bad> {
@@ -398,13 +460,20 @@
         }
         let (name, value) = line.split_once(':').ok_or(Bad::Malformed)?;
         // Blanks between a name and its colon are removed from a response, and make a request bad (RFC 9112, 5.1).
-        let name = if side == Side::Response { name.trim_end_matches([' ', '\t']) } else { name };
+        let name = if side == Side::Response {
+            name.trim_end_matches([' ', '\t'])
+        } else {
+            name
+        };
         let value = value.trim_matches([' ', '\t']);
         if !is_token(name) {
             return Err(Bad::Malformed);
         }
         kept = false;
-        if value.chars().any(|c| c.is_control() && c != '\t' || c == char::REPLACEMENT_CHARACTER) {
+        if value
+            .chars()
+            .any(|c| c.is_control() && c != '\t' || c == char::REPLACEMENT_CHARACTER)
+        {
             // What frames the message must be read, on either side.
             if side == Side::Request || frames(name) {
                 return Err(Bad::Malformed);
@@ -438,7 +507,11 @@
         Side::Response => {
             let (version, status) = (word()?, word()?);
             let digits = status.len() == 3 && status.bytes().all(|byte| byte.is_ascii_digit());
-            head.status = status.parse().ok().filter(|code| digits && *code >= 100).ok_or(Bad::Malformed)?;
+            head.status = status
+                .parse()
+                .ok()
+                .filter(|code| digits && *code >= 100)
+                .ok_or(Bad::Malformed)?;
             version
         }
     };
@@ -457,7 +530,11 @@
     let mut length = None;
     for value in head.headers.all("content-length") {
         let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-        let value: usize = value.parse().ok().filter(|_| digits).ok_or(Bad::Malformed)?;
+        let value: usize = value
+            .parse()
+            .ok()
+            .filter(|_| digits)
+            .ok_or(Bad::Malformed)?;
         if length.is_some_and(|earlier| earlier != value || side == Side::Request) {
             return Err(Bad::Malformed);
         }
@@ -465,7 +542,9 @@
     }
     let mut codings = head.headers.all("transfer-encoding");
     match (codings.next(), codings.next(), length) {
-        (Some(coding), None, None) if coding.eq_ignore_ascii_case("chunked") => Ok(State::ChunkSize),
+        (Some(coding), None, None) if coding.eq_ignore_ascii_case("chunked") => {
+            Ok(State::ChunkSize)
+        }
         (Some(_), ..) => Err(Bad::Malformed),
         (None, _, _) if head.status == 204 || head.status == 304 => Ok(State::Length(0)),
         (None, _, Some(length)) => Ok(State::Length(length)),
--- a/crates/sandtrack-net/src/log_output.rs
+++ b/crates/sandtrack-net/src/log_output.rs
@@ -46,7 +46,9 @@
 fn takes_bytes(output: &impl AsFd) -> bool {
     let mut asked = [PollFd::new(output, PollFlags::OUT)];
     match poll(&mut asked, Some(&Timespec::default())) {
-        Ok(_) => asked[0].revents().intersects(PollFlags::OUT | PollFlags::ERR | PollFlags::NVAL),
+        Ok(_) => asked[0]
+            .revents()
+            .intersects(PollFlags::OUT | PollFlags::ERR | PollFlags::NVAL),
         Err(_) => true,
     }
 }
--- a/crates/sandtrack-net/src/ring.rs
+++ b/crates/sandtrack-net/src/ring.rs
@@ -13,7 +13,10 @@
 
 impl Ring {
     pub fn new(bound: usize) -> Self {
-        Ring { bytes: VecDeque::new(), bound }
+        Ring {
+            bytes: VecDeque::new(),
+            bound,
+        }
     }
 
     pub fn len(&self) -> usize {
--- a/crates/sandtrack-net/src/socket.rs
+++ b/crates/sandtrack-net/src/socket.rs
@@ -52,7 +52,9 @@
 pub async fn read_into(stream: &Async<TcpStream>, ring: &mut Ring) -> io::Result<usize> {
     let mut bytes = [0; 8192];
     let room = ring.room().min(bytes.len());
-    let count = stream.read_with(|mut socket| socket.read(&mut bytes[..room])).await?;
+    let count = stream
+        .read_with(|mut socket| socket.read(&mut bytes[..room]))
+        .await?;
     if !ring.push(&bytes[..count]) {
         return Err(io::ErrorKind::OutOfMemory.into());
     }
@@ -62,7 +64,9 @@
 /// Writes all that the buffer holds, in one call where the socket takes it.
 pub async fn write_all(stream: &Async<TcpStream>, ring: &mut Ring) -> io::Result<()> {
     while !ring.is_empty() {
-        let count = stream.write_with(|mut socket| socket.write_vectored(&ring.slices())).await?;
+        let count = stream
+            .write_with(|mut socket| socket.write_vectored(&ring.slices()))
+            .await?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
@@ -76,7 +80,11 @@
 /// # Errors
 /// What the socket said.
 pub async fn write_message(stream: &Async<TcpStream>, head: &[u8], body: &[u8]) -> io::Result<()> {
-    let (with_head, mut rest) = if body.len() <= SHORT { (body, &[][..]) } else { (&[][..], body) };
+    let (with_head, mut rest) = if body.len() <= SHORT {
+        (body, &[][..])
+    } else {
+        (&[][..], body)
+    };
     let mut output = Ring::new(head.len() + with_head.len());
     if !(output.push(head) && output.push(with_head)) {
         return Err(io::ErrorKind::OutOfMemory.into());
@@ -99,9 +107,15 @@
 
 /// The same of [`write_message`].
 pub async fn write_message_within(
-    stream: &Async<TcpStream>, head: &[u8], body: &[u8], patience: Duration,
+    stream: &Async<TcpStream>,
+    head: &[u8],
+    body: &[u8],
+    patience: Duration,
 ) -> bool {
-    within(patience, async { write_message(stream, head, body).await.is_ok() }).await
+    within(patience, async {
+        write_message(stream, head, body).await.is_ok()
+    })
+    .await
 }
 
 async fn within(patience: Duration, write: impl Future<Output = bool>) -> bool {
--- a/crates/sandtrack-net/src/text_server.rs
+++ b/crates/sandtrack-net/src/text_server.rs
@@ -18,8 +18,9 @@
 /// # Errors
 /// Where it is no address, or can't be listened on.
 pub fn listen(address: &str) -> io::Result<Async<TcpListener>> {
-    let address: SocketAddr =
-        address.parse().map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
+    let address: SocketAddr = address
+        .parse()
+        .map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
     Async::<TcpListener>::bind(address)
 }
 
@@ -38,7 +39,9 @@
         Timer::after(PATIENCE).await;
         None
     };
-    let Some(target) = future::or(read_target(stream), late).await else { return };
+    let Some(target) = future::or(read_target(stream), late).await else {
+        return;
+    };
     let kind = [("Content-Type", "text/plain; version=0.0.4")].into_iter();
     let bytes = match target.split('?').next() == Some(path) {
         true => message::response(200, kind, text().as_bytes(), true),
--- a/crates/sandtrack-net/tests/byte_budget.rs
+++ b/crates/sandtrack-net/tests/byte_budget.rs
@@ -8,10 +8,16 @@
 fn long_messages_leave_room_for_short_ones() {
     let budget = ByteBudget::new(BOUND);
     let mut long: Vec<_> = (0..4).map(|_| budget.message()).collect();
-    let taken = long.iter_mut().filter_map(|held| held.grow_to(4 * SHORT).then_some(())).count();
+    let taken = long
+        .iter_mut()
+        .filter_map(|held| held.grow_to(4 * SHORT).then_some(()))
+        .count();
     assert_eq!(taken, 3, "a quarter is for short ones");
     let mut short: Vec<_> = (0..5).map(|_| budget.message()).collect();
-    let taken = short.iter_mut().filter_map(|held| held.grow_to(SHORT).then_some(())).count();
+    let taken = short
+        .iter_mut()
+        .filter_map(|held| held.grow_to(SHORT).then_some(()))
+        .count();
     assert_eq!(taken, 4, "the bound holds for them too");
     assert_eq!(budget.held(), BOUND);
     drop(long);
@@ -25,9 +31,18 @@
     let (mut held, mut message) = (budget.message(), Vec::new());
     let piece = [7; 8000];
     while held.extend(&mut message, &piece) {
-        assert!(message.capacity() <= budget.held(), "{} of {}", message.capacity(), budget.held());
+        assert!(
+            message.capacity() <= budget.held(),
+            "{} of {}",
+            message.capacity(),
+            budget.held()
+        );
     }
-    assert!(message.len() + piece.len() > BOUND / 4 * 3, "it may grow to three quarters: {}", message.len());
+    assert!(
+        message.len() + piece.len() > BOUND / 4 * 3,
+        "it may grow to three quarters: {}",
+        message.len()
+    );
     assert!(message.iter().all(|byte| *byte == 7));
     drop(held);
     assert_eq!(budget.held(), 0);
--- a/crates/sandtrack-net/tests/file_change.rs
+++ b/crates/sandtrack-net/tests/file_change.rs
@@ -13,11 +13,20 @@
     assert!(file.is_new(), "it is longer");
     assert!(!file.is_new());
     let open = File::options().write(true).open(&path).expect("a file");
-    let modified = open.metadata().expect("its state").modified().expect("a time");
-    open.set_modified(modified + Duration::from_secs(3)).expect("a time");
+    let modified = open
+        .metadata()
+        .expect("its state")
+        .modified()
+        .expect("a time");
+    open.set_modified(modified + Duration::from_secs(3))
+        .expect("a time");
     assert!(file.is_new(), "it was written later");
-    open.set_modified(modified - Duration::from_secs(9)).expect("a time");
-    assert!(file.is_new(), "it was written earlier: the time of day may have stepped back");
+    open.set_modified(modified - Duration::from_secs(9))
+        .expect("a time");
+    assert!(
+        file.is_new(),
+        "it was written earlier: the time of day may have stepped back"
+    );
     std::fs::remove_file(&path).expect("it was there");
     assert!(!file.is_new());
     std::fs::write(&path, "back").expect("a file");
--- a/crates/sandtrack-net/tests/text_server.rs
+++ b/crates/sandtrack-net/tests/text_server.rs
@@ -8,7 +8,9 @@
     let mut stream = TcpStream::connect(address).expect("a connection");
     write!(stream, "GET {target} HTTP/1.1\r\nHost: figures\r\n\r\n").expect("written");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer up to its end");
+    stream
+        .read_to_string(&mut answer)
+        .expect("an answer up to its end");
     answer
 }
 
@@ -19,7 +21,11 @@
     let asking = std::thread::spawn(move || {
         // One that says nothing does not keep the others from being answered.
         let _silent = TcpStream::connect(address).expect("a connection");
-        [ask(address, "/metrics"), ask(address, "/metrics?all"), ask(address, "/else")]
+        [
+            ask(address, "/metrics"),
+            ask(address, "/metrics?all"),
+            ask(address, "/else"),
+        ]
     });
     let calls = std::cell::Cell::new(0);
     let text = || {
@@ -37,7 +43,10 @@
     };
     async_io::block_on(future::or(serving, asked));
     let [first, second, other] = asking.join().expect("answers");
-    assert!(first.starts_with("HTTP/1.1 200") && first.ends_with("calls 1\n"), "{first}");
+    assert!(
+        first.starts_with("HTTP/1.1 200") && first.ends_with("calls 1\n"),
+        "{first}"
+    );
     assert!(second.ends_with("calls 2\n"), "{second}");
     assert!(other.starts_with("HTTP/1.1 404"), "{other}");
 }
--- a/crates/sandtrack-protocol/src/codes.rs
+++ b/crates/sandtrack-protocol/src/codes.rs
@@ -10,7 +10,10 @@
     /// What it means, in the words of the table; empty for a code of a later program.
     #[must_use]
     pub fn meaning(self) -> &'static str {
-        TABLE.iter().find(|(known, _, _)| *known == self).map_or("", |(_, _, meaning)| *meaning)
+        TABLE
+            .iter()
+            .find(|(known, _, _)| *known == self)
+            .map_or("", |(_, _, meaning)| *meaning)
     }
 }
 
--- a/crates/sandtrack-protocol/src/configuration.rs
+++ b/crates/sandtrack-protocol/src/configuration.rs
@@ -92,11 +92,17 @@
 }
 
 fn bad(list: &str, item: &Item, field: &str) -> Invalid {
-    Invalid::new(codes::CONFIGURATION_FIELD, format!("{list} `{}`.{field}", item.name))
+    Invalid::new(
+        codes::CONFIGURATION_FIELD,
+        format!("{list} `{}`.{field}", item.name),
+    )
 }
 
 fn number(value: &OwnedValue, field: &str) -> Option<f64> {
-    value.get(field).and_then(ValueAsScalar::cast_f64).filter(|number| number.is_finite() && *number >= 0.0)
+    value
+        .get(field)
+        .and_then(ValueAsScalar::cast_f64)
+        .filter(|number| number.is_finite() && *number >= 0.0)
 }
 
 /// A time in ms. The configuration says how long at most, and a process need not tell times that it does not live to see: the
@@ -108,14 +114,25 @@
 fn route(item: &Item) -> Result<Route, Invalid> {
     let value = &item.value;
     let wrong = |field: &str| bad("routes", item, field);
-    let text = |field: &str| value.get_str(field).map(str::to_owned).ok_or_else(|| wrong(field));
+    let text = |field: &str| {
+        value
+            .get_str(field)
+            .map(str::to_owned)
+            .ok_or_else(|| wrong(field))
+    };
     let prefix = text("path_prefix")?;
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
-        return Err(Invalid::new(codes::BAD_PREFIX, format!("routes `{}`.path_prefix", item.name)));
+        return Err(Invalid::new(
+            codes::BAD_PREFIX,
+            format!("routes `{}`.path_prefix", item.name),
+        ));
     }
     let timeout = time(value, "timeout_ms").ok_or_else(|| wrong("timeout_ms"))?;
     if timeout <= 0.0 {
-        return Err(Invalid::new(codes::NO_TIMEOUT, format!("routes `{}`.timeout_ms", item.name)));
+        return Err(Invalid::new(
+            codes::NO_TIMEOUT,
+            format!("routes `{}`.timeout_ms", item.name),
+        ));
     }
     let kind = match value.get_str("kind") {
         Some("read_only") => Kind::ReadOnly,
@@ -127,7 +144,9 @@
     let mut split = Vec::new();
     if let Some(parts) = value.get_array("weighted_split") {
         for part in parts.iter() {
-            let service = part.get_str("service").ok_or_else(|| wrong("weighted_split"))?;
+            let service = part
+                .get_str("service")
+                .ok_or_else(|| wrong("weighted_split"))?;
             let weight = number(part, "weight").ok_or_else(|| wrong("weighted_split"))?;
             split.push((service.to_owned(), weight));
         }
@@ -135,9 +154,16 @@
         split.push((text("service")?, 1.0));
     }
     if split.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-        return Err(Invalid::new(codes::NO_WEIGHT, format!("routes `{}`.weighted_split", item.name)));
+        return Err(Invalid::new(
+            codes::NO_WEIGHT,
+            format!("routes `{}`.weighted_split", item.name),
+        ));
     }
-    let homes = value.get_array("home_regions").map(|homes| homes.iter()).into_iter().flatten();
+    let homes = value
+        .get_array("home_regions")
+        .map(|homes| homes.iter())
+        .into_iter()
+        .flatten();
     Ok(Route {
         name: item.name.clone(),
         host: text("host")?.to_ascii_lowercase(),
@@ -151,13 +177,17 @@
         sticky_sessions: value.get_bool("sticky_sessions").unwrap_or(false),
         resumable: value.get_bool("resumable").unwrap_or(false),
         gap_aim_ms: time(value, "gap_aim_ms"),
-        home_regions: homes.filter_map(|home| home.as_str().map(str::to_owned)).collect(),
+        home_regions: homes
+            .filter_map(|home| home.as_str().map(str::to_owned))
+            .collect(),
     })
 }
 
 fn service(item: &Item) -> Result<Service, Invalid> {
     let value = &item.value;
-    let engine = value.get("engine").filter(|engine| engine.as_object().is_some());
+    let engine = value
+        .get("engine")
+        .filter(|engine| engine.as_object().is_some());
     Ok(Service {
         name: item.name.clone(),
         health_path: value
@@ -181,15 +211,28 @@
     /// # Errors
     /// The first thing that makes it invalid (PROTOCOL.md), with its place.
     pub fn read(document: &Document) -> Result<Configuration, Invalid> {
-        let routes: Vec<Route> =
-            document.list("routes").unwrap_or_default().iter().map(route).collect::<Result<_, _>>()?;
-        let services: Vec<Service> =
-            document.list("services").unwrap_or_default().iter().map(service).collect::<Result<_, _>>()?;
-        let known: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
+        let routes: Vec<Route> = document
+            .list("routes")
+            .unwrap_or_default()
+            .iter()
+            .map(route)
+            .collect::<Result<_, _>>()?;
+        let services: Vec<Service> = document
+            .list("services")
+            .unwrap_or_default()
+            .iter()
+            .map(service)
+            .collect::<Result<_, _>>()?;
+        let known: HashSet<&str> = services
+            .iter()
+            .map(|service| service.name.as_str())
+            .collect();
         let mut places: HashMap<(&str, &str), &str> = HashMap::new();
         for route in &routes {
-            if let Some((missing, _)) =
-                route.split.iter().find(|(service, _)| !known.contains(service.as_str()))
+            if let Some((missing, _)) = route
+                .split
+                .iter()
+                .find(|(service, _)| !known.contains(service.as_str()))
             {
                 let place = format!("routes `{}`: service `{missing}`", route.name);
                 return Err(Invalid::new(codes::UNKNOWN_SERVICE, place));
@@ -204,7 +247,10 @@
         shared_keys(document)?;
         let limits = document.field("limits");
         let limit = |field: &str, default: f64, most: f64| {
-            limits.and_then(|limits| number(limits, field)).unwrap_or(default).min(most)
+            limits
+                .and_then(|limits| number(limits, field))
+                .unwrap_or(default)
+                .min(most)
         };
         Ok(Configuration {
             version: document.version,
@@ -222,16 +268,19 @@
     /// The route of a host and path: the longest prefix that begins the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.to_ascii_lowercase();
-        let matching =
-            self.routes.iter().filter(|route| route.host == host && path.starts_with(&route.path_prefix));
+        let matching = self
+            .routes
+            .iter()
+            .filter(|route| route.host == host && path.starts_with(&route.path_prefix));
         matching.max_by_key(|route| route.path_prefix.len())
     }
 
     /// The route of a request by its `Host` header, with or without a port, and its target, with or without a query.
     pub fn route_of_request(&self, host_header: &str, target: &str) -> Option<&Route> {
         let path = target.split(['?', '#']).next().unwrap_or_default();
-        let with_port =
-            host_header.rsplit_once(':').filter(|(_, port)| port.bytes().all(|byte| byte.is_ascii_digit()));
+        let with_port = host_header
+            .rsplit_once(':')
+            .filter(|(_, port)| port.bytes().all(|byte| byte.is_ascii_digit()));
         let host = with_port.map_or(host_header, |(name, _)| name);
         self.route(host, path)
     }
@@ -246,10 +295,24 @@
     for (list, items) in &document.lists {
         let mut keys = HashSet::new();
         for item in items {
-            let many = item.value.get_array("keys").map(|keys| keys.iter()).into_iter().flatten();
-            for key in item.value.get("key").into_iter().chain(many).filter_map(|key| key.as_str()) {
+            let many = item
+                .value
+                .get_array("keys")
+                .map(|keys| keys.iter())
+                .into_iter()
+                .flatten();
+            for key in item
+                .value
+                .get("key")
+                .into_iter()
+                .chain(many)
+                .filter_map(|key| key.as_str())
+            {
                 if !keys.insert(key.to_owned()) {
-                    return Err(Invalid::new(codes::SHARED_KEY, format!("{list} `{}`", item.name)));
+                    return Err(Invalid::new(
+                        codes::SHARED_KEY,
+                        format!("{list} `{}`", item.name),
+                    ));
                 }
             }
         }
--- a/crates/sandtrack-protocol/src/document.rs
+++ b/crates/sandtrack-protocol/src/document.rs
@@ -17,7 +17,11 @@
 
 impl Invalid {
     pub fn new(code: Code, place: impl Into<String>) -> Invalid {
-        Invalid { code, place: place.into(), what: code.meaning().to_owned() }
+        Invalid {
+            code,
+            place: place.into(),
+            what: code.meaning().to_owned(),
+        }
     }
 }
 
@@ -59,11 +63,16 @@
 
 fn version(value: &OwnedValue) -> Result<u64, Invalid> {
     let bad = || Invalid::new(codes::CONFIGURATION_FIELD, "version_number");
-    value.get_u64("version_number").filter(|version| *version > 0).ok_or_else(bad)
+    value
+        .get_u64("version_number")
+        .filter(|version| *version > 0)
+        .ok_or_else(bad)
 }
 
 fn items(list: &str, value: &OwnedValue) -> Result<Vec<Item>, Invalid> {
-    let array = value.as_array().ok_or_else(|| Invalid::new(codes::CONFIGURATION_FIELD, list))?;
+    let array = value
+        .as_array()
+        .ok_or_else(|| Invalid::new(codes::CONFIGURATION_FIELD, list))?;
     let mut items: Vec<Item> = Vec::with_capacity(array.len());
     let mut names = std::collections::HashSet::new();
     for (at, value) in array.iter().enumerate() {
@@ -72,7 +81,10 @@
         if !names.insert(name.to_owned()) {
             return Err(Invalid::new(codes::SAME_NAME, format!("{list} `{name}`")));
         }
-        items.push(Item { name: name.to_owned(), value: value.clone() });
+        items.push(Item {
+            name: name.to_owned(),
+            value: value.clone(),
+        });
     }
     Ok(items)
 }
@@ -85,11 +97,18 @@
     pub fn parse(text: &[u8]) -> Result<Document, Invalid> {
         let value = parse(text)?;
         let object = value.as_object();
-        let object = object.ok_or_else(|| Invalid::new(codes::CONFIGURATION_UNREADABLE, "document"))?;
-        let mut document = Document { version: version(&value)?, ..Document::default() };
+        let object =
+            object.ok_or_else(|| Invalid::new(codes::CONFIGURATION_UNREADABLE, "document"))?;
+        let mut document = Document {
+            version: version(&value)?,
+            ..Document::default()
+        };
         for (key, value) in object.iter().filter(|(key, _)| *key != "version_number") {
             // A list whose items are objects is one of named items.
-            if value.as_array().is_some_and(|array| array.iter().all(|item| item.as_object().is_some())) {
+            if value
+                .as_array()
+                .is_some_and(|array| array.iter().all(|item| item.as_object().is_some()))
+            {
                 document.lists.push((key.clone(), items(key, value)?));
             } else {
                 document.fields.push((key.clone(), value.clone()));
@@ -104,11 +123,17 @@
     }
 
     pub fn list(&self, name: &str) -> Option<&[Item]> {
-        self.lists.iter().find(|(list, _)| list == name).map(|(_, items)| items.as_slice())
+        self.lists
+            .iter()
+            .find(|(list, _)| list == name)
+            .map(|(_, items)| items.as_slice())
     }
 
     pub fn field(&self, name: &str) -> Option<&OwnedValue> {
-        self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value)
+        self.fields
+            .iter()
+            .find(|(field, _)| field == name)
+            .map(|(_, value)| value)
     }
 
     /// The document as it is read back.
@@ -123,7 +148,11 @@
             text.push(']');
         }
         for (name, value) in &self.fields {
-            text.push_str(&format!(",{}:{}", OwnedValue::from(name.as_str()).encode(), value.encode()));
+            text.push_str(&format!(
+                ",{}:{}",
+                OwnedValue::from(name.as_str()).encode(),
+                value.encode()
+            ));
         }
         text.push('}');
         text
@@ -186,14 +215,29 @@
             // one, items are taken out and put in again.
             let wanted: std::collections::HashSet<&str> =
                 items.iter().map(|item| item.name.as_str()).collect();
-            let stays = self.list(list).unwrap_or_default().iter().map(|item| item.name.as_str());
-            let comes = items.iter().map(|item| item.name.as_str()).filter(|name| !known.contains_key(name));
+            let stays = self
+                .list(list)
+                .unwrap_or_default()
+                .iter()
+                .map(|item| item.name.as_str());
+            let comes = items
+                .iter()
+                .map(|item| item.name.as_str())
+                .filter(|name| !known.contains_key(name));
             let order = stays.filter(|name| wanted.contains(name)).chain(comes);
-            let same = items.iter().zip(order).take_while(|(item, name)| item.name == *name).count();
+            let same = items
+                .iter()
+                .zip(order)
+                .take_while(|(item, name)| item.name == *name)
+                .count();
             for (at, item) in items.iter().enumerate() {
                 let before = known.get(item.name.as_str());
                 let mut push = |json| {
-                    changes.push(ItemChange { list: list.clone(), name: item.name.clone(), json });
+                    changes.push(ItemChange {
+                        list: list.clone(),
+                        name: item.name.clone(),
+                        json,
+                    });
                 };
                 if at >= same && before.is_some() {
                     push(None);
@@ -204,15 +248,33 @@
             }
         }
         for (list, items) in &self.lists {
-            let kept: std::collections::HashSet<&str> =
-                next.list(list).unwrap_or_default().iter().map(|item| item.name.as_str()).collect();
-            for item in items.iter().filter(|item| !kept.contains(item.name.as_str())) {
-                changes.push(ItemChange { list: list.clone(), name: item.name.clone(), json: None });
+            let kept: std::collections::HashSet<&str> = next
+                .list(list)
+                .unwrap_or_default()
+                .iter()
+                .map(|item| item.name.as_str())
+                .collect();
+            for item in items
+                .iter()
+                .filter(|item| !kept.contains(item.name.as_str()))
+            {
+                changes.push(ItemChange {
+                    list: list.clone(),
+                    name: item.name.clone(),
+                    json: None,
+                });
             }
         }
         let changed = |(name, value): &&(String, OwnedValue)| self.field(name) != Some(value);
-        let fields = next.fields.iter().filter(changed).map(|(name, value)| (name.clone(), value.encode()));
-        let gone = self.fields.iter().filter(|(name, _)| next.field(name).is_none());
+        let fields = next
+            .fields
+            .iter()
+            .filter(changed)
+            .map(|(name, value)| (name.clone(), value.encode()));
+        let gone = self
+            .fields
+            .iter()
+            .filter(|(name, _)| next.field(name).is_none());
         let gone = gone.map(|(name, _)| (name.clone(), String::new()));
         (changes, fields.chain(gone).collect())
     }
@@ -222,14 +284,20 @@
     /// # Errors
     /// Where an item's text is no JSON: the document is then as it was.
     pub fn apply(
-        &self, version: u64, items: &[ItemChange], fields: &[(String, String)],
+        &self,
+        version: u64,
+        items: &[ItemChange],
+        fields: &[(String, String)],
     ) -> Result<Document, Invalid> {
         let mut next = self.clone();
         next.version = version;
         for change in items {
             match &change.json {
                 Some(json) => {
-                    let item = Item { name: change.name.clone(), value: parse(json.as_bytes())? };
+                    let item = Item {
+                        name: change.name.clone(),
+                        value: parse(json.as_bytes())?,
+                    };
                     next.set(&change.list, item);
                 }
                 None => {
@@ -259,8 +327,12 @@
     pub fn parse(text: &[u8]) -> Result<Update, Invalid> {
         let value = parse(text)?;
         let object = value.as_object();
-        let object = object.ok_or_else(|| Invalid::new(codes::CONFIGURATION_UNREADABLE, "document"))?;
-        let mut update = Update { version: version(&value)?, ..Update::default() };
+        let object =
+            object.ok_or_else(|| Invalid::new(codes::CONFIGURATION_UNREADABLE, "document"))?;
+        let mut update = Update {
+            version: version(&value)?,
+            ..Update::default()
+        };
         let bad = |place: &str| Invalid::new(codes::CONFIGURATION_FIELD, place);
         for (key, value) in object.iter() {
             match key.as_str() {
@@ -271,12 +343,16 @@
                     }
                 }
                 "remove_names" => {
-                    for (list, value) in value.as_object().ok_or_else(|| bad("remove_names"))?.iter() {
+                    for (list, value) in
+                        value.as_object().ok_or_else(|| bad("remove_names"))?.iter()
+                    {
                         let names = value.as_array().ok_or_else(|| bad(list))?;
                         let names = names
                             .iter()
                             .map(|name| name.as_str().map(str::to_owned).ok_or_else(|| bad(list)));
-                        update.remove.push((list.clone(), names.collect::<Result<_, _>>()?));
+                        update
+                            .remove
+                            .push((list.clone(), names.collect::<Result<_, _>>()?));
                     }
                 }
                 _ => update.fields.push((key.clone(), value.clone())),
--- a/crates/sandtrack-protocol/src/frames.rs
+++ b/crates/sandtrack-protocol/src/frames.rs
@@ -39,7 +39,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ToControl {
     /// First frame of a session.
-    Hello { format: u16, info: ProxyInfo, state: ProxyState },
+    Hello {
+        format: u16,
+        info: ProxyInfo,
+        state: ProxyState,
+    },
     /// Each [`BEAT_MS`], and at once when something of it changes.
     State(ProxyState),
     /// A change did not fit what it has: it wants the whole configuration.
@@ -89,10 +93,18 @@
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum ToProxy {
     /// First frame: the session stands. `attached`: see [`ToProxy::Beat`].
-    Welcome { format: u16, control_node: String, attached: bool },
+    Welcome {
+        format: u16,
+        control_node: String,
+        attached: bool,
+    },
     /// The whole configuration, as the operator's JSON document. `number` counts committed changes: a proxy never goes
     /// back to a lower one in one life.
-    Configuration { number: u64, version: u64, document: String },
+    Configuration {
+        number: u64,
+        version: u64,
+        document: String,
+    },
     /// What changed between two committed numbers.
     Changes {
         from_number: u64,
@@ -104,10 +116,19 @@
     /// All zones that are to get nothing, whole each time.
     Evacuated { number: u64, zones: Vec<String> },
     /// All upstreams of the services, or only those that changed. `round` rises with each reading of the list.
-    Upstreams { whole: bool, round: u64, entries: Vec<UpstreamEntry>, gone: Vec<String> },
+    Upstreams {
+        whole: bool,
+        round: u64,
+        entries: Vec<UpstreamEntry>,
+        gone: Vec<String>,
+    },
     /// Who is there: addresses of the control nodes for sessions, nearest first, and how many proxies share the bounds
     /// that hold over all of them.
-    Census { control_nodes: Vec<String>, proxies: u32, rank: u32 },
+    Census {
+        control_nodes: Vec<String>,
+        proxies: u32,
+        rank: u32,
+    },
     /// Each [`BEAT_MS`]. `attached`: this control node hears a majority of those that agree on the view; a proxy of one
     /// that does not looks for another that does, and stays only if there is none.
     Beat { attached: bool },
@@ -143,12 +164,16 @@
 /// # Errors
 /// Where the bytes are no frames of this kind: the session is of no further use.
 pub fn take<T: BorshDeserialize>(bytes: &[u8]) -> Result<Option<(T, usize)>, FrameError> {
-    let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(head) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*head) as usize;
     if length > FRAME_MAX {
         return Err(FrameError::TooLong(length));
     }
-    let Some(content) = bytes.get(4..4 + length) else { return Ok(None) };
+    let Some(content) = bytes.get(4..4 + length) else {
+        return Ok(None);
+    };
     let value = T::try_from_slice(content).map_err(|_| FrameError::Unreadable)?;
     Ok(Some((value, 4 + length)))
 }
--- a/crates/sandtrack-protocol/src/metrics.rs
+++ b/crates/sandtrack-protocol/src/metrics.rs
@@ -43,10 +43,19 @@
 
     /// One figure of the family begun last. Values of labels are escaped.
     pub fn figure(&mut self, name: &str, labels: &[(&str, &str)], value: impl Display) {
-        let escape = |value: &str| value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
+        let escape = |value: &str| {
+            value
+                .replace('\\', "\\\\")
+                .replace('"', "\\\"")
+                .replace('\n', "\\n")
+        };
         let pair = |(label, value): &(&str, &str)| format!("{label}=\"{}\"", escape(value));
         let pairs: Vec<String> = labels.iter().map(pair).collect();
-        let labels = if pairs.is_empty() { String::new() } else { format!("{{{}}}", pairs.join(",")) };
+        let labels = if pairs.is_empty() {
+            String::new()
+        } else {
+            format!("{{{}}}", pairs.join(","))
+        };
         let _ = writeln!(self.0, "{name}{labels} {value}");
     }
 
@@ -59,15 +68,28 @@
     /// How many lines of the log were lost.
     pub fn logs(&mut self) {
         const HELP: &str = "Lines that the log did not take when they were written";
-        self.single("sandtrack_log_lines_lost_total", Kind::Counter, HELP, lost_lines());
+        self.single(
+            "sandtrack_log_lines_lost_total",
+            Kind::Counter,
+            HELP,
+            lost_lines(),
+        );
     }
 
     /// How often each invariant was violated in this process.
     pub fn invariants(&mut self) {
         const NAME: &str = "sandtrack_invariant_violations_total";
-        self.family(NAME, Kind::Counter, "Violations of each invariant; any is a fault of the program");
+        self.family(
+            NAME,
+            Kind::Counter,
+            "Violations of each invariant; any is a fault of the program",
+        );
         for invariant in sandtrack_invariants::Invariant::ALL {
-            self.figure(NAME, &[("invariant", invariant.name())], invariant.violations());
+            self.figure(
+                NAME,
+                &[("invariant", invariant.name())],
+                invariant.violations(),
+            );
         }
     }
 
--- a/crates/sandtrack-protocol/src/settings.rs
+++ b/crates/sandtrack-protocol/src/settings.rs
@@ -99,7 +99,8 @@
     /// # Errors
     /// Where the file can't be read, is no JSON, or lacks a field without which the process can't run.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
-        let bytes = std::fs::read(path).map_err(|error| SettingsError::Unreadable(error.to_string()))?;
+        let bytes =
+            std::fs::read(path).map_err(|error| SettingsError::Unreadable(error.to_string()))?;
         Settings::parse(bytes)
     }
 
@@ -111,11 +112,18 @@
         let value = simd_json::to_owned_value(&mut bytes)
             .map_err(|error| SettingsError::Unreadable(error.to_string()))?;
         let missing = |field: &str| SettingsError::Field(field.to_owned());
-        let text = |field: &str| value.get_str(field).map(str::to_owned).ok_or_else(|| missing(field));
+        let text = |field: &str| {
+            value
+                .get_str(field)
+                .map(str::to_owned)
+                .ok_or_else(|| missing(field))
+        };
         let strings = |field: &str| -> BTreeMap<String, String> {
             let object = value.get_object(field);
             let entries = object.into_iter().flat_map(|map| map.iter());
-            entries.filter_map(|(key, value)| Some((key.clone(), value.as_str()?.to_owned()))).collect()
+            entries
+                .filter_map(|(key, value)| Some((key.clone(), value.as_str()?.to_owned())))
+                .collect()
         };
         // What a file leaves out is in the table of fields.
         let number = |path: &str| {
@@ -124,11 +132,19 @@
         };
         let bound = |field: &str| number(&format!("bounds.{field}"));
         let ports = value.get_array("internal_port_range").and_then(|range| {
-            let port = |at: usize| range.get(at)?.as_u64().and_then(|port| u16::try_from(port).ok());
+            let port = |at: usize| {
+                range
+                    .get(at)?
+                    .as_u64()
+                    .and_then(|port| u16::try_from(port).ok())
+            };
             Some((port(0)?, port(1)?))
         });
         let seeds = value.get_array("seed_nodes").map(|seeds| seeds.iter());
-        let seeds = seeds.into_iter().flatten().filter_map(|seed| seed.as_str().map(str::to_owned));
+        let seeds = seeds
+            .into_iter()
+            .flatten()
+            .filter_map(|seed| seed.as_str().map(str::to_owned));
         Ok(Settings {
             node_name: text("node_name")?,
             role: text("role").unwrap_or_default(),
--- a/crates/sandtrack-protocol/src/settings_fields.rs
+++ b/crates/sandtrack-protocol/src/settings_fields.rs
@@ -32,12 +32,12 @@
             Kind::Flag => value.as_bool().is_some(),
             Kind::Number(_, least) => number.is_some_and(|number| number >= least),
             Kind::Positive(_) => number.is_some_and(|number| number > 0.0),
-            Kind::Texts => {
-                value.as_array().is_some_and(|texts| texts.iter().all(|text| text.as_str().is_some()))
-            }
-            Kind::TextsByName => {
-                value.as_object().is_some_and(|texts| texts.values().all(|text| text.as_str().is_some()))
-            }
+            Kind::Texts => value
+                .as_array()
+                .is_some_and(|texts| texts.iter().all(|text| text.as_str().is_some())),
+            Kind::TextsByName => value
+                .as_object()
+                .is_some_and(|texts| texts.values().all(|text| text.as_str().is_some())),
             Kind::Ports => value.as_array().is_some_and(|ports| {
                 let ports: Vec<u64> = ports.iter().filter_map(|port| port.as_u64()).collect();
                 matches!(ports[..], [first, last] if 0 < first && first < last && last <= 65535)
@@ -82,7 +82,12 @@
 }
 
 const fn field(path: &'static str, kind: Kind, without: Without, meaning: &'static str) -> Field {
-    Field { path, kind, without, meaning }
+    Field {
+        path,
+        kind,
+        without,
+        meaning,
+    }
 }
 
 const NOT_USED: &str = "read, not used yet";
@@ -236,7 +241,8 @@
 
 /// The value at a path.
 pub fn at<'a>(value: &'a OwnedValue, path: &str) -> Option<&'a OwnedValue> {
-    path.split('.').try_fold(value, |value, name| value.get(name))
+    path.split('.')
+        .try_fold(value, |value, name| value.get(name))
 }
 
 /// Whether a text is an `IP:PORT`.
--- a/crates/sandtrack-protocol/tests/codes.rs
+++ b/crates/sandtrack-protocol/tests/codes.rs
@@ -5,7 +5,8 @@
 
 /// The table of the page.
 fn table() -> String {
-    let row = |(code, name, meaning): &(Code, &str, &str)| format!("| {code} | `{name}` | {meaning} |\n");
+    let row =
+        |(code, name, meaning): &(Code, &str, &str)| format!("| {code} | `{name}` | {meaning} |\n");
     let rows: String = TABLE.iter().map(row).collect();
     format!("| code | name | meaning |\n| --- | --- | --- |\n{rows}")
 }
@@ -15,7 +16,10 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/system/codes.md");
     let page = std::fs::read_to_string(page).expect("the page");
     let table = table();
-    assert!(page.contains(&table), "docs/system/codes.md should have:\n{table}");
+    assert!(
+        page.contains(&table),
+        "docs/system/codes.md should have:\n{table}"
+    );
     let rows = page.lines().filter(|line| line.starts_with("| E")).count();
     assert_eq!(rows, TABLE.len(), "a row that is no code's");
 }
@@ -27,10 +31,16 @@
     let meanings: HashSet<&str> = TABLE.iter().map(|(_, _, meaning)| *meaning).collect();
     assert_eq!((names.len(), meanings.len()), (TABLE.len(), TABLE.len()));
     for (code, name, meaning) in TABLE {
-        assert!((101..600).contains(&code.0), "{name}: the hundreds tell the plane, and are an exit code");
+        assert!(
+            (101..600).contains(&code.0),
+            "{name}: the hundreds tell the plane, and are an exit code"
+        );
         assert_eq!(code.meaning(), *meaning);
         let is_plain = !meaning.contains(['|', '"', '\\', '\n']);
-        assert!(is_plain, "{name}: the meaning stands in tables and in JSON as it is");
+        assert!(
+            is_plain,
+            "{name}: the meaning stands in tables and in JSON as it is"
+        );
     }
 }
 
--- a/crates/sandtrack-protocol/tests/document.rs
+++ b/crates/sandtrack-protocol/tests/document.rs
@@ -9,10 +9,16 @@
 fn leads(from: &str, to: &str) {
     let (from, to) = (document(from), document(to));
     let (items, fields) = from.changes(&to);
-    let applied = from.apply(to.version, &items, &fields).expect("changes are JSON");
+    let applied = from
+        .apply(to.version, &items, &fields)
+        .expect("changes are JSON");
     assert_eq!(applied.version, to.version);
     for list in ["routes", "services", "tenants"] {
-        assert_eq!(applied.list(list).unwrap_or_default(), to.list(list).unwrap_or_default(), "{list}");
+        assert_eq!(
+            applied.list(list).unwrap_or_default(),
+            to.list(list).unwrap_or_default(),
+            "{list}"
+        );
     }
     for field in ["limits", "note"] {
         assert_eq!(applied.field(field), to.field(field), "{field}");
@@ -48,6 +54,8 @@
     let text = empty.updated(&update).to_json();
     assert_eq!(text.matches("\"tags\"").count(), 1, "{text}");
     let update = Update::parse(br#"{"version_number":3,"set_items":{"tags":[{"name":"y"}]}}"#);
-    let next = document(&text).updated(&update.expect("it is an update")).to_json();
+    let next = document(&text)
+        .updated(&update.expect("it is an update"))
+        .to_json();
     assert_eq!(next.matches("\"tags\"").count(), 1, "{next}");
 }
--- a/crates/sandtrack-protocol/tests/documents.rs
+++ b/crates/sandtrack-protocol/tests/documents.rs
@@ -21,7 +21,9 @@
 fn refusal(from: &str, to: &str) -> Option<Invalid> {
     assert!(EXAMPLE.contains(from), "{from}");
     let text = EXAMPLE.replacen(from, to, 1);
-    Document::parse(text.as_bytes()).and_then(|document| Configuration::read(&document)).err()
+    Document::parse(text.as_bytes())
+        .and_then(|document| Configuration::read(&document))
+        .err()
 }
 
 #[test]
@@ -40,24 +42,36 @@
 fn the_example_means_what_it_says() {
     let configuration = Configuration::read(&document(EXAMPLE)).expect("valid");
     assert_eq!(configuration.version, 7);
-    let route = configuration.route("FICU95.example", "/pufi791/2f").expect("a route");
+    let route = configuration
+        .route("FICU95.example", "/pufi791/2f")
+        .expect("a route");
     assert_eq!(
         (route.name.as_str(), route.kind, route.is_idempotent()),
         ("r-73d3zji", Kind::Streaming, true)
     );
-    assert_eq!((route.timeout_ms, route.target_latency_ms, route.gap_aim_ms), (5000.0, 800.0, Some(600.0)));
+    assert_eq!(
+        (route.timeout_ms, route.target_latency_ms, route.gap_aim_ms),
+        (5000.0, 800.0, Some(600.0))
+    );
     assert_eq!(
         (route.attempts, route.priority, route.home_regions.clone()),
         (2, 0, vec!["almaty".to_owned()])
     );
     assert_eq!(route.split, [("huvo11a".to_owned(), 1.0)]);
-    let split = configuration.route("ficu95.example", "/lohu930/2f").expect("a route");
+    let split = configuration
+        .route("ficu95.example", "/lohu930/2f")
+        .expect("a route");
     assert!(!split.is_idempotent() && split.home_regions.is_empty());
-    assert_eq!(split.split, [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 10.0)]);
+    assert_eq!(
+        split.split,
+        [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 10.0)]
+    );
     let service = configuration.service("huvo11a").expect("a service");
     assert_eq!((service.connection_limit, service.cold_rate_s), (330, 31.0));
     assert_matches!(&service.engine, Some(engine) if engine.slots == 48 && engine.stride == 5);
-    assert!(configuration.service("wuno96b").is_some_and(|service| service.engine.is_none()));
+    assert!(configuration
+        .service("wuno96b")
+        .is_some_and(|service| service.engine.is_none()));
     assert_eq!(configuration.limits.body_size_bytes, 4_194_304);
     for (host, path) in [
         ("other.example", "/lohu930/"),
@@ -74,13 +88,19 @@
 fn the_longest_prefix_of_the_host_has_the_request() {
     let nested = EXAMPLE.replacen("/pufi791/", "/lohu930/deep/", 1);
     let configuration = Configuration::read(&document(&nested)).expect("valid");
-    let name = |path: &str| configuration.route("ficu95.example", path).map(|route| route.name.clone());
+    let name = |path: &str| {
+        configuration
+            .route("ficu95.example", path)
+            .map(|route| route.name.clone())
+    };
     assert_eq!(name("/lohu930/deep/2f").as_deref(), Some("r-73d3zji"));
     assert_eq!(name("/lohu930/deep").as_deref(), Some("r-3hwrr6x"));
     assert_eq!(name("/lohu930/deeper/").as_deref(), Some("r-3hwrr6x"));
     let all = EXAMPLE.replacen("/pufi791/", "/", 1);
     let configuration = Configuration::read(&document(&all)).expect("valid");
-    assert!(configuration.route("ficu95.example", "/anything").is_some_and(|route| route.path_prefix == "/"));
+    assert!(configuration
+        .route("ficu95.example", "/anything")
+        .is_some_and(|route| route.path_prefix == "/"));
 }
 
 #[test]
@@ -111,18 +131,78 @@
             codes::NO_WEIGHT,
             "r-3hwrr6x",
         ),
-        (r#""weight":90"#, r#""weight":-90"#, codes::CONFIGURATION_FIELD, "weighted_split"),
-        (r#""weight":90"#, r#""weight":"90""#, codes::CONFIGURATION_FIELD, "weighted_split"),
-        (r#""timeout_ms":5000"#, r#""timeout_ms":0"#, codes::NO_TIMEOUT, "r-73d3zji"),
-        (r#""timeout_ms":5000"#, r#""timeout_ms":0.0"#, codes::NO_TIMEOUT, "r-73d3zji"),
-        (r#""timeout_ms":5000"#, r#""timeout_ms":-1"#, codes::CONFIGURATION_FIELD, "timeout_ms"),
-        (r#""timeout_ms":5000,"#, "", codes::CONFIGURATION_FIELD, "timeout_ms"),
-        (r#""version_number":7"#, r#""version_number":0"#, codes::CONFIGURATION_FIELD, "version_number"),
-        (r#""version_number":7"#, r#""version_number":-7"#, codes::CONFIGURATION_FIELD, "version_number"),
-        (r#""version_number":7"#, r#""version_number":7.5"#, codes::CONFIGURATION_FIELD, "version_number"),
-        (r#""name":"r-73d3zji""#, r#""name":"r-3hwrr6x""#, codes::SAME_NAME, "r-3hwrr6x"),
-        (r#""name":"wuno96b""#, r#""name":"huvo11a""#, codes::SAME_NAME, "huvo11a"),
-        (r#""name":"wuno96b""#, r#""name":"""#, codes::SAME_NAME, "services[1]"),
+        (
+            r#""weight":90"#,
+            r#""weight":-90"#,
+            codes::CONFIGURATION_FIELD,
+            "weighted_split",
+        ),
+        (
+            r#""weight":90"#,
+            r#""weight":"90""#,
+            codes::CONFIGURATION_FIELD,
+            "weighted_split",
+        ),
+        (
+            r#""timeout_ms":5000"#,
+            r#""timeout_ms":0"#,
+            codes::NO_TIMEOUT,
+            "r-73d3zji",
+        ),
+        (
+            r#""timeout_ms":5000"#,
+            r#""timeout_ms":0.0"#,
+            codes::NO_TIMEOUT,
+            "r-73d3zji",
+        ),
+        (
+            r#""timeout_ms":5000"#,
+            r#""timeout_ms":-1"#,
+            codes::CONFIGURATION_FIELD,
+            "timeout_ms",
+        ),
+        (
+            r#""timeout_ms":5000,"#,
+            "",
+            codes::CONFIGURATION_FIELD,
+            "timeout_ms",
+        ),
+        (
+            r#""version_number":7"#,
+            r#""version_number":0"#,
+            codes::CONFIGURATION_FIELD,
+            "version_number",
+        ),
+        (
+            r#""version_number":7"#,
+            r#""version_number":-7"#,
+            codes::CONFIGURATION_FIELD,
+            "version_number",
+        ),
+        (
+            r#""version_number":7"#,
+            r#""version_number":7.5"#,
+            codes::CONFIGURATION_FIELD,
+            "version_number",
+        ),
+        (
+            r#""name":"r-73d3zji""#,
+            r#""name":"r-3hwrr6x""#,
+            codes::SAME_NAME,
+            "r-3hwrr6x",
+        ),
+        (
+            r#""name":"wuno96b""#,
+            r#""name":"huvo11a""#,
+            codes::SAME_NAME,
+            "huvo11a",
+        ),
+        (
+            r#""name":"wuno96b""#,
+            r#""name":"""#,
+            codes::SAME_NAME,
+            "services[1]",
+        ),
         (r#""name":"wuno96b","#, "", codes::SAME_NAME, "services[1]"),
         ("/pufi791/", "/pufi791", codes::BAD_PREFIX, "r-73d3zji"),
         ("/pufi791/", "pufi791/", codes::BAD_PREFIX, "r-73d3zji"),
@@ -132,9 +212,24 @@
             codes::CONFIGURATION_FIELD,
             "host",
         ),
-        (r#""health_path":"/health","#, "", codes::CONFIGURATION_FIELD, "health_path"),
-        (r#""services":["#, r#""servers":["#, codes::CONFIGURATION_UNREADABLE, "services"),
-        (r#""home_regions":[]},{"#, r#""home_regions":[]}{"#, codes::CONFIGURATION_UNREADABLE, "document"),
+        (
+            r#""health_path":"/health","#,
+            "",
+            codes::CONFIGURATION_FIELD,
+            "health_path",
+        ),
+        (
+            r#""services":["#,
+            r#""servers":["#,
+            codes::CONFIGURATION_UNREADABLE,
+            "services",
+        ),
+        (
+            r#""home_regions":[]},{"#,
+            r#""home_regions":[]}{"#,
+            codes::CONFIGURATION_UNREADABLE,
+            "document",
+        ),
     ];
     for (from, to, code, place) in cases {
         let invalid = refusal(from, to).unwrap_or_else(|| panic!("{to} is taken"));
@@ -147,7 +242,10 @@
         1,
     );
     let invalid = Configuration::read(&document(&shared)).expect_err("a key of two");
-    assert_eq!((invalid.code, invalid.place.as_str()), (codes::SHARED_KEY, "tenants `b`"));
+    assert_eq!(
+        (invalid.code, invalid.place.as_str()),
+        (codes::SHARED_KEY, "tenants `b`")
+    );
 }
 
 #[test]
@@ -156,7 +254,15 @@
         let cut = Document::parse(&EXAMPLE.as_bytes()[..end]);
         assert_matches!(cut, Err(invalid) if invalid.code == codes::CONFIGURATION_UNREADABLE, "cut at {end}");
     }
-    for rubbish in [&b"\xff\xfe"[..], b"null", b"7", b"\"text\"", b"[]", b"{}x", b"{\"version_number\":1}{"] {
+    for rubbish in [
+        &b"\xff\xfe"[..],
+        b"null",
+        b"7",
+        b"\"text\"",
+        b"[]",
+        b"{}x",
+        b"{\"version_number\":1}{",
+    ] {
         assert!(Document::parse(rubbish).is_err(), "{rubbish:?}");
         assert!(Update::parse(rubbish).is_err(), "{rubbish:?}");
     }
@@ -171,18 +277,35 @@
     let before = document(EXAMPLE);
     let after = before.updated(&update);
     assert_eq!(after.version, 9);
-    let names: Vec<&str> =
-        after.list("routes").expect("routes").iter().map(|item| item.name.as_str()).collect();
+    let names: Vec<&str> = after
+        .list("routes")
+        .expect("routes")
+        .iter()
+        .map(|item| item.name.as_str())
+        .collect();
     assert_eq!(names, ["r-73d3zji", "r-new"]);
     assert_eq!(after.list("services"), before.list("services"));
     assert_eq!(after.list("tenants").map(<[_]>::len), Some(1));
-    assert_eq!(after.field("limits").and_then(|limits| limits.get_u64("idle_timeout_ms")), Some(1));
-    assert_eq!(before, document(EXAMPLE), "what it was made from is as it was");
+    assert_eq!(
+        after
+            .field("limits")
+            .and_then(|limits| limits.get_u64("idle_timeout_ms")),
+        Some(1)
+    );
+    assert_eq!(
+        before,
+        document(EXAMPLE),
+        "what it was made from is as it was"
+    );
     let both = Update::parse(
         br#"{"version_number":9,"set_items":{"routes":[{"name":"r-73d3zji","new":1}]},"remove_names":{"routes":["r-73d3zji"]}}"#,
     )
     .expect("an update");
-    assert_eq!(before.updated(&both).list("routes").map(<[_]>::len), Some(2), "what is set is there");
+    assert_eq!(
+        before.updated(&both).list("routes").map(<[_]>::len),
+        Some(2),
+        "what is set is there"
+    );
     for bad in [
         r#"{"set_items":{}}"#,
         r#"{"version_number":9,"set_items":[]}"#,
@@ -203,22 +326,38 @@
     .expect("an update");
     let after = before.updated(&update);
     let (items, fields) = before.changes(&after);
-    let told: Vec<(String, String, bool)> =
-        items.iter().map(|item| (item.list.clone(), item.name.clone(), item.json.is_some())).collect();
-    let expected = [("routes", "r-new", true), ("tenants", "t", true), ("routes", "r-3hwrr6x", false)];
-    assert_eq!(told, expected.map(|(list, name, set)| (list.to_owned(), name.to_owned(), set)));
+    let told: Vec<(String, String, bool)> = items
+        .iter()
+        .map(|item| (item.list.clone(), item.name.clone(), item.json.is_some()))
+        .collect();
+    let expected = [
+        ("routes", "r-new", true),
+        ("tenants", "t", true),
+        ("routes", "r-3hwrr6x", false),
+    ];
+    assert_eq!(
+        told,
+        expected.map(|(list, name, set)| (list.to_owned(), name.to_owned(), set))
+    );
     assert_eq!(fields.len(), 1);
     let applied = before.apply(12, &items, &fields).expect("it fits");
     assert_eq!(value(&applied.to_json()), value(&after.to_json()));
     assert_eq!(before.changes(&before), (Vec::new(), Vec::new()));
-    let bad = ItemChange { list: "routes".to_owned(), name: "x".to_owned(), json: Some("{".to_owned()) };
+    let bad = ItemChange {
+        list: "routes".to_owned(),
+        name: "x".to_owned(),
+        json: Some("{".to_owned()),
+    };
     assert!(before.apply(12, &[bad], &[]).is_err());
 }
 
 #[test]
 fn a_field_or_list_that_goes_is_a_change_as_well() {
-    let before =
-        document(&EXAMPLE.replacen(r#""limits""#, r#""extra":{"a":1},"tenants":[{"name":"t"}],"limits""#, 1));
+    let before = document(&EXAMPLE.replacen(
+        r#""limits""#,
+        r#""extra":{"a":1},"tenants":[{"name":"t"}],"limits""#,
+        1,
+    ));
     let after = document(EXAMPLE);
     let (items, fields) = before.changes(&after);
     let applied = before.apply(7, &items, &fields).expect("it fits");
@@ -240,5 +379,8 @@
     assert_eq!(configuration.routes[0].gap_aim_ms, Some(TIME_MOST_MS));
     assert_eq!(configuration.limits.idle_timeout_ms, TIME_MOST_MS);
     assert_eq!(configuration.limits.header_size_bytes as f64, SIZE_MOST);
-    assert!(document.to_json().contains("e300"), "what is read back is what was sent");
+    assert!(
+        document.to_json().contains("e300"),
+        "what is read back is what was sent"
+    );
 }
--- a/crates/sandtrack-protocol/tests/metrics.rs
+++ b/crates/sandtrack-protocol/tests/metrics.rs
@@ -19,5 +19,8 @@
     let mut text = MetricsText::default();
     text.invariants();
     let text = text.into_text();
-    assert!(text.contains("sandtrack_invariant_violations_total{invariant=\"runs_once\"} 0\n"), "{text}");
+    assert!(
+        text.contains("sandtrack_invariant_violations_total{invariant=\"runs_once\"} 0\n"),
+        "{text}"
+    );
 }
--- a/crates/sandtrack-protocol/tests/settings.rs
+++ b/crates/sandtrack-protocol/tests/settings.rs
@@ -8,25 +8,49 @@
 #[test]
 fn a_file_means_what_it_says() {
     let settings = Settings::parse(FILE.as_bytes().to_vec()).expect("settings");
-    assert_eq!(settings.internal_address("10.2.0.30", PEER_PORT), "10.2.0.30:7720");
-    assert_eq!(settings.internal_address(Settings::ip_of("10.2.0.30:8166"), SESSION_PORT), "10.2.0.30:7721");
+    assert_eq!(
+        settings.internal_address("10.2.0.30", PEER_PORT),
+        "10.2.0.30:7720"
+    );
+    assert_eq!(
+        settings.internal_address(Settings::ip_of("10.2.0.30:8166"), SESSION_PORT),
+        "10.2.0.30:7721"
+    );
     assert_eq!(settings.region_of("asahi-hall"), Some("kamikawa"));
     assert_eq!(settings.region_of("nowhere"), None);
     assert_eq!((settings.machines_borne, settings.zones_borne), (1, 1));
     assert!(settings.first_start && settings.loss_counted);
     assert_eq!(settings.data_directory.as_deref(), Some("/data/my-front"));
-    assert_eq!((settings.cloud_api.rate_per_s, settings.cloud_api.lag_ms), (47.0, 800.0));
-    assert_eq!((settings.bounds.grace_s, settings.bounds.retry_budget_ratio), (8.0, 0.2));
-    assert_eq!(settings.bounds.drain_ms, 4000.0, "what is left out has the most careful value");
+    assert_eq!(
+        (settings.cloud_api.rate_per_s, settings.cloud_api.lag_ms),
+        (47.0, 800.0)
+    );
+    assert_eq!(
+        (settings.bounds.grace_s, settings.bounds.retry_budget_ratio),
+        (8.0, 0.2)
+    );
+    assert_eq!(
+        settings.bounds.drain_ms, 4000.0,
+        "what is left out has the most careful value"
+    );
 }
 
 #[test]
 fn what_is_missing_is_named_with_its_code() {
-    for field in ["node_name", "ip_address", "zone", "region", "internal_port_range"] {
+    for field in [
+        "node_name",
+        "ip_address",
+        "zone",
+        "region",
+        "internal_port_range",
+    ] {
         let text = FILE.replacen(&format!("\"{field}\""), "\"other\"", 1);
         let error = Settings::parse(text.into_bytes()).expect_err(field);
         assert_eq!(error.code(), codes::SETTINGS_FIELD);
-        assert!(error.to_string().contains(field) && error.to_string().starts_with("E102"), "{error}");
+        assert!(
+            error.to_string().contains(field) && error.to_string().starts_with("E102"),
+            "{error}"
+        );
     }
     for bad in [
         r#""internal_port_range":[7720]"#,
--- a/crates/sandtrack-proxy/src/answers.rs
+++ b/crates/sandtrack-proxy/src/answers.rs
@@ -36,9 +36,20 @@
     }
 
     /// Passes a piece of a stream on; `begins`: behind this head; `ends`: nothing follows.
-    pub async fn relay(&self, begins: Option<&Head>, bytes: &[u8], ends: bool, patience: Millis) -> bool {
+    pub async fn relay(
+        &self,
+        begins: Option<&Head>,
+        bytes: &[u8],
+        ends: bool,
+        patience: Millis,
+    ) -> bool {
         let mut out = begins.map_or_else(Vec::new, |head| {
-            message::response_head(head.status, head.headers.end_to_end(), Flow::Chunks, self.close)
+            message::response_head(
+                head.status,
+                head.headers.end_to_end(),
+                Flow::Chunks,
+                self.close,
+            )
         });
         if !bytes.is_empty() {
             out.extend(message::chunk(bytes));
@@ -54,7 +65,10 @@
         let body = format!("{{\"code\":{},\"what\":\"{}\"}}", why.0, why.meaning());
         let id = (!id.is_empty()).then_some(("Request-Id", id));
         let again = come_back.map(|seconds| ("Retry-After", seconds));
-        let headers = [("Content-Type", "application/json")].into_iter().chain(id).chain(again);
+        let headers = [("Content-Type", "application/json")]
+            .into_iter()
+            .chain(id)
+            .chain(again);
         let bytes = message::response(status, headers, body.as_bytes(), self.close);
         self.write(&bytes, &[], CLIENT_PATIENCE).await
     }
