--- a/crates/sandtrack-proxy/src/attempt.rs
+++ b/crates/sandtrack-proxy/src/attempt.rs
@@ -27,7 +27,10 @@
 impl Drop for Reported<'_> {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
-        self.shared.balancer.borrow_mut().ended(now, self.place, self.ended);
+        self.shared
+            .balancer
+            .borrow_mut()
+            .ended(now, self.place, self.ended);
     }
 }
 
@@ -69,7 +72,10 @@
 impl Body {
     /// One of which nothing has come.
     fn of(shared: &Shared) -> Body {
-        Body { bytes: Vec::new(), held: shared.memory.answers.message() }
+        Body {
+            bytes: Vec::new(),
+            held: shared.memory.answers.message(),
+        }
     }
 
     /// Takes a piece; no where it is too long, or the process has no room for it.
@@ -87,7 +93,11 @@
 impl<'a> Attempt<'a> {
     /// Counts from here on as a send at its upstream.
     pub fn new(
-        shared: &'a Shared, request: &'a ProxyRequest, terms: Terms, place: usize, reuse: bool,
+        shared: &'a Shared,
+        request: &'a ProxyRequest,
+        terms: Terms,
+        place: usize,
+        reuse: bool,
         resume: Option<u64>,
     ) -> Attempt<'a> {
         let mut balancer = shared.balancer.borrow_mut();
@@ -111,7 +121,11 @@
             reuse,
             resume,
             connection: None,
-            reported: Reported { shared, place, ended: Ended::GivenUp },
+            reported: Reported {
+                shared,
+                place,
+                ended: Ended::GivenUp,
+            },
             estimate,
             asked: None,
             written: false,
@@ -147,7 +161,10 @@
     /// The collected answer.
     pub fn take_answer(&mut self) -> Option<(Head, Body)> {
         let head = self.head.take()?;
-        Some((head, std::mem::replace(&mut self.body, Body::of(self.shared))))
+        Some((
+            head,
+            std::mem::replace(&mut self.body, Body::of(self.shared)),
+        ))
     }
 
     /// The next thing that happens.
@@ -165,8 +182,14 @@
     pub fn heed(&self) {
         let Some(head) = &self.head else { return };
         let load = head.headers.get("server-load").and_then(Load::parse);
-        let cold = head.headers.get("cold-remaining").and_then(|value| value.trim().parse().ok());
-        self.shared.balancer.borrow_mut().told(self.shared.clock.now(), self.place(), load, cold);
+        let cold = head
+            .headers
+            .get("cold-remaining")
+            .and_then(|value| value.trim().parse().ok());
+        self.shared
+            .balancer
+            .borrow_mut()
+            .told(self.shared.clock.now(), self.place(), load, cold);
     }
 
     /// How long the first part of the answer took.
@@ -192,7 +215,10 @@
         self.reported.ended = ended;
         if let (Some(connection), Some(head)) = (self.connection.take(), &self.head) {
             let now = self.shared.clock.now();
-            self.shared.pool.borrow_mut().give(&self.upstream.identifier, connection, head, now);
+            self.shared
+                .pool
+                .borrow_mut()
+                .give(&self.upstream.identifier, connection, head, now);
         }
     }
 
@@ -200,8 +226,14 @@
         let (shared, clock) = (self.shared, self.shared.clock);
         let identifier = self.upstream.identifier.as_str();
         let now = clock.now();
-        let reuse = self.reuse || shared.balancer.borrow().is_proven_alive(now, self.reported.place);
-        let idle = reuse.then(|| shared.pool.borrow_mut().take(identifier, now)).flatten();
+        let reuse = self.reuse
+            || shared
+                .balancer
+                .borrow()
+                .is_proven_alive(now, self.reported.place);
+        let idle = reuse
+            .then(|| shared.pool.borrow_mut().take(identifier, now))
+            .flatten();
         if let Some(connection) = idle {
             let reused = connection.reused;
             self.connection = Some(connection);
@@ -212,19 +244,31 @@
             return SendEvent::NoConnection { share_full: true };
         }
         let place = self.reported.place;
-        let patience = shared.balancer.borrow().connect_timeout(self.request, place);
+        let patience = shared
+            .balancer
+            .borrow()
+            .connect_timeout(self.request, place);
         let patience = patience.min(self.request.left(now));
         match connect(&shared.pool, identifier, &self.upstream.address, patience).await {
             Ok(connection) => {
                 self.connection = Some(connection);
                 let elapsed = clock.now() - now;
-                shared.balancer.borrow_mut().note_trip(clock.now(), place, elapsed);
+                shared
+                    .balancer
+                    .borrow_mut()
+                    .note_trip(clock.now(), place, elapsed);
                 SendEvent::Connected { reused: false }
             }
             Err(error) => {
-                log::debug!("request {}: no connection to {identifier}: {error}", self.request.id);
+                log::debug!(
+                    "request {}: no connection to {identifier}: {error}",
+                    self.request.id
+                );
                 if error.kind() == std::io::ErrorKind::TimedOut {
-                    shared.balancer.borrow_mut().connect_timed_out(clock.now(), place);
+                    shared
+                        .balancer
+                        .borrow_mut()
+                        .connect_timed_out(clock.now(), place);
                 }
                 SendEvent::NoConnection { share_full: false }
             }
@@ -232,7 +276,9 @@
     }
 
     async fn write(&mut self) -> SendEvent {
-        let Some(connection) = &self.connection else { return SendEvent::WriteFailed };
+        let Some(connection) = &self.connection else {
+            return SendEvent::WriteFailed;
+        };
         let now = self.shared.clock.now();
         self.asked = Some(now);
         let left = self.request.left(now);
@@ -256,25 +302,39 @@
     /// The next part of the answer; of one that is collected, its head or its end.
     async fn read(&mut self) -> SendEvent {
         loop {
-            let Some(connection) = &mut self.connection else { return SendEvent::Broke(Broke::Connection) };
+            let Some(connection) = &mut self.connection else {
+                return SendEvent::Broke(Broke::Connection);
+            };
             let waited = next(connection, self.shared.clock, self.request.deadline).await;
             if matches!(waited, Waited::Part(_)) {
-                self.shared.balancer.borrow_mut().heard(self.shared.clock.now(), self.reported.place);
+                self.shared
+                    .balancer
+                    .borrow_mut()
+                    .heard(self.shared.clock.now(), self.reported.place);
             }
             let is_wordless = connection.reused && self.head.is_none();
             if is_wordless && matches!(waited, Waited::Broke(Broke::Connection)) {
                 let now = self.shared.clock.now();
-                self.shared.balancer.borrow_mut().idle_connection_broke(now, self.reported.place);
+                self.shared
+                    .balancer
+                    .borrow_mut()
+                    .idle_connection_broke(now, self.reported.place);
             }
             match waited {
                 Waited::Broke(broke) => return SendEvent::Broke(broke),
                 Waited::Time => return SendEvent::TimeOver,
-                Waited::Part(Part::Head(_)) if self.head.is_some() => return SendEvent::Broke(Broke::Spoilt),
+                Waited::Part(Part::Head(_)) if self.head.is_some() => {
+                    return SendEvent::Broke(Broke::Spoilt)
+                }
                 Waited::Part(Part::Head(head)) => return SendEvent::Head(self.took_head(head)),
                 Waited::Part(Part::End) => {
-                    return SendEvent::End { surplus: !connection.input.is_empty() };
+                    return SendEvent::End {
+                        surplus: !connection.input.is_empty(),
+                    };
+                }
+                Waited::Part(Part::Data(data)) if self.is_relayed() => {
+                    return SendEvent::Data(data)
                 }
-                Waited::Part(Part::Data(data)) if self.is_relayed() => return SendEvent::Data(data),
                 Waited::Part(Part::Data(data)) => {
                     if let Err(broke) = self.body.take(&data) {
                         return SendEvent::Broke(broke);
@@ -285,7 +345,9 @@
     }
 
     fn is_relayed(&self) -> bool {
-        self.head.as_ref().is_some_and(|head| self.terms.relays(head.status))
+        self.head
+            .as_ref()
+            .is_some_and(|head| self.terms.relays(head.status))
     }
 
     fn took_head(&mut self, head: Head) -> HeadFacts {
@@ -298,7 +360,10 @@
         };
         if is_anothers || facts.is_success() && !facts.sealed {
             let identifier = &self.upstream.identifier;
-            log::info!("request {}: {identifier} sent what is no answer to it", self.request.id);
+            log::info!(
+                "request {}: {identifier} sent what is no answer to it",
+                self.request.id
+            );
         }
         self.head = Some(head);
         facts
--- a/crates/sandtrack-proxy/src/balancer.rs
+++ b/crates/sandtrack-proxy/src/balancer.rs
@@ -161,7 +161,11 @@
         let listed: Vec<usize> = self.upstreams.listed().collect();
         for place in listed {
             let upstream = self.upstreams.get_mut(place);
-            upstream.region = self.regions.get(&upstream.entry.zone).cloned().unwrap_or_default();
+            upstream.region = self
+                .regions
+                .get(&upstream.entry.zone)
+                .cloned()
+                .unwrap_or_default();
         }
     }
 
@@ -171,24 +175,45 @@
     }
 
     pub fn state(&self) -> ProxyState {
-        let version = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
-        ProxyState { ready: self.is_ready(), leaving: self.leaving, version, open: self.open }
+        let version = self
+            .configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.version);
+        ProxyState {
+            ready: self.is_ready(),
+            leaving: self.leaving,
+            version,
+            open: self.open,
+        }
     }
 
     /// Takes what the control plane tells. Nothing goes back to a lower number.
     pub fn fold(&mut self, now: Millis, frame: ToProxy) -> Folded {
         match frame {
-            ToProxy::Configuration { number, document, .. } => {
+            ToProxy::Configuration {
+                number, document, ..
+            } => {
                 if self.document.is_none() || number > self.number {
                     match Document::parse(document.as_bytes()) {
                         Ok(document) => return self.adopt(now, number, document),
-                        Err(invalid) => log::error!("a configuration from control can't be read: {invalid}"),
+                        Err(invalid) => {
+                            log::error!("a configuration from control can't be read: {invalid}")
+                        }
                     }
                 }
             }
-            ToProxy::Changes { from_number, number, version, items, fields } => {
+            ToProxy::Changes {
+                from_number,
+                number,
+                version,
+                items,
+                fields,
+            } => {
                 if number > self.number {
-                    let held = self.document.as_ref().filter(|_| from_number == self.number);
+                    let held = self
+                        .document
+                        .as_ref()
+                        .filter(|_| from_number == self.number);
                     match held.map(|held| held.apply(version, &items, &fields)) {
                         Some(Ok(document)) => return self.adopt(now, number, document),
                         _ => return Folded::WantConfiguration,
@@ -201,12 +226,19 @@
                     self.evacuated = zones.into_iter().collect();
                 }
             }
-            ToProxy::Upstreams { whole, entries, gone, .. } => {
+            ToProxy::Upstreams {
+                whole,
+                entries,
+                gone,
+                ..
+            } => {
                 self.changed |= !self.listed_once;
                 self.listed_once = true;
                 if whole {
-                    let named: HashSet<&str> =
-                        entries.iter().map(|entry| entry.identifier.as_str()).collect();
+                    let named: HashSet<&str> = entries
+                        .iter()
+                        .map(|entry| entry.identifier.as_str())
+                        .collect();
                     let listed: Vec<usize> = self.upstreams.listed().collect();
                     for place in listed {
                         if !named.contains(self.upstreams.get(place).entry.identifier.as_str()) {
@@ -223,7 +255,11 @@
                 }
                 self.upstreams.sweep();
             }
-            ToProxy::Census { control_nodes, proxies, .. } => {
+            ToProxy::Census {
+                control_nodes,
+                proxies,
+                ..
+            } => {
                 self.proxies = proxies.max(1);
                 self.counted = true;
                 self.heard_control = now;
@@ -240,14 +276,21 @@
         match Configuration::read(&document) {
             Ok(configuration) => {
                 log::info!("configuration {} in force", configuration.version);
-                let before = self.configuration.as_ref().map_or(0, |before| before.version);
+                let before = self
+                    .configuration
+                    .as_ref()
+                    .map_or(0, |before| before.version);
                 let forward = configuration.version > before && number > self.number;
                 check(Invariant::GoesForward, forward || before == 0, || {
-                    format!("version {} of number {number} behind {before}", configuration.version)
+                    format!(
+                        "version {} of number {number} behind {before}",
+                        configuration.version
+                    )
                 });
                 self.number = number;
-                self.paces
-                    .retain(|(name, _), _| configuration.routes.iter().any(|route| route.name == *name));
+                self.paces.retain(|(name, _), _| {
+                    configuration.routes.iter().any(|route| route.name == *name)
+                });
                 self.document = Some(document);
                 self.configuration = Some(Rc::new(configuration));
                 self.changed = true;
@@ -261,15 +304,23 @@
     /// What is kept of services that the configuration does not have goes; what their requests earned, and the repeats that used it,
     /// with its window: a service may come back within it.
     fn forget_services(&mut self, now: Millis) {
-        let Some(configuration) = &self.configuration else { return };
+        let Some(configuration) = &self.configuration else {
+            return;
+        };
         let span = self.bounds.retry_window_s * 1000.0;
-        self.retries
-            .retain(|name, budget| configuration.service(name).is_some() || budget.is_used(now, span));
-        self.idle_distrusted_until.retain(|name, _| configuration.service(name).is_some());
-        self.far_used.retain(|(name, _), _| configuration.service(name).is_some());
-        self.tiers.retain(|name, _| configuration.service(name).is_some());
-        self.prompts.retain(|name, _| configuration.service(name).is_some());
-        self.prefill.retain_services(|name| configuration.service(name).is_some());
+        self.retries.retain(|name, budget| {
+            configuration.service(name).is_some() || budget.is_used(now, span)
+        });
+        self.idle_distrusted_until
+            .retain(|name, _| configuration.service(name).is_some());
+        self.far_used
+            .retain(|(name, _), _| configuration.service(name).is_some());
+        self.tiers
+            .retain(|name, _| configuration.service(name).is_some());
+        self.prompts
+            .retain(|name, _| configuration.service(name).is_some());
+        self.prefill
+            .retain_services(|name| configuration.service(name).is_some());
     }
 
     /// Among how many proxies a bound over all is shared, as far as this one may rely on it.
@@ -283,7 +334,10 @@
     /// Sends a second that a cold upstream gets from this proxy at most.
     pub fn cold_share(&self, now: Millis, place: usize) -> u32 {
         let upstream = self.upstreams.get(place);
-        let service = self.configuration.as_ref().and_then(|all| all.service(&upstream.entry.service));
+        let service = self
+            .configuration
+            .as_ref()
+            .and_then(|all| all.service(&upstream.entry.service));
         let rate = service.map_or(0.0, |service| service.cold_rate_s);
         if rate <= 0.0 {
             return u32::MAX;
@@ -295,10 +349,17 @@
     /// Connections to one upstream that this proxy may hold.
     pub fn connection_share(&self, place: usize) -> usize {
         let service = self.upstreams.get(place).entry.service.as_str();
-        let service = self.configuration.as_ref().and_then(|all| all.service(service));
+        let service = self
+            .configuration
+            .as_ref()
+            .and_then(|all| all.service(service));
         let limit = service.map_or(100.0, |service| f64::from(service.connection_limit));
         // What an upstream does not take it resets, and no rule is broken: until the number is known a usual one serves.
-        let proxies = if self.counted { f64::from(self.proxies) } else { USUAL };
+        let proxies = if self.counted {
+            f64::from(self.proxies)
+        } else {
+            USUAL
+        };
         ((limit * CONNECTIONS_USED / proxies) as usize).max(1)
     }
 
@@ -310,15 +371,23 @@
     /// A request for a service came.
     pub fn came(&mut self, now: Millis, request: &ProxyRequest) {
         let span = self.bounds.retry_window_s * 1000.0;
-        self.retries.entry(request.service.clone()).or_default().request(now, span);
+        self.retries
+            .entry(request.service.clone())
+            .or_default()
+            .request(now, span);
         self.note_prompt(now, request);
     }
 
     fn note_prompt(&mut self, now: Millis, request: &ProxyRequest) {
-        let Some((prompt, _)) = request.tokens else { return };
+        let Some((prompt, _)) = request.tokens else {
+            return;
+        };
         let homes = &request.route.home_regions;
         let nothing_seen = || PromptMix::new(&self.policy);
-        let mix = self.prompts.entry(request.service.clone()).or_insert_with(nothing_seen);
+        let mix = self
+            .prompts
+            .entry(request.service.clone())
+            .or_insert_with(nothing_seen);
         if request.shared_tokens() >= self.policy.kept_tokens {
             let own = prompt.saturating_sub(request.shared_tokens()) as f64;
             mix.long_prompt(now, own);
@@ -331,8 +400,11 @@
     pub fn may_repeat(&mut self, now: Millis, service: &str) -> bool {
         let sharers = self.sharers(now);
         let bounds = &self.bounds;
-        let (span, ratio, slack) =
-            (bounds.retry_window_s * 1000.0, bounds.retry_budget_ratio, bounds.retry_budget_slack);
+        let (span, ratio, slack) = (
+            bounds.retry_window_s * 1000.0,
+            bounds.retry_budget_ratio,
+            bounds.retry_budget_slack,
+        );
         let budget = self.retries.entry(service.to_owned()).or_default();
         budget.repeat(now, span, ratio, slack, sharers)
     }
@@ -343,9 +415,17 @@
     }
 
     /// A request that goes to an upstream has a long prompt: how long that takes to read there; none where it is short.
-    pub fn prompt_sent(&mut self, now: Millis, request: &ProxyRequest, place: usize) -> Option<Estimate> {
+    pub fn prompt_sent(
+        &mut self,
+        now: Millis,
+        request: &ProxyRequest,
+        place: usize,
+    ) -> Option<Estimate> {
         let is_long = request.shared_tokens() >= self.policy.kept_tokens;
-        is_long.then(|| self.prefill.sent(now, request, self.upstreams.get(place), &self.policy))
+        is_long.then(|| {
+            self.prefill
+                .sent(now, request, self.upstreams.get(place), &self.policy)
+        })
     }
 
     /// Long prompts that this proxy sent and that control was not told of yet.
@@ -367,7 +447,8 @@
             Ended::Faulty => upstream.rests_until = rest_until,
             // Where the way is not known yet, a failure says that it was not waited for long enough.
             Ended::Broken
-                if self.region_trips.get(&upstream.region).is_none() && upstream.heard_at.is_infinite() =>
+                if self.region_trips.get(&upstream.region).is_none()
+                    && upstream.heard_at.is_infinite() =>
             {
                 upstream.rests_until = rest_until;
                 upstream.next_probe = now;
@@ -415,13 +496,16 @@
         let upstream = self.upstreams.get(place);
         let own = self.policy.connect_patience_ms + 2.0 * upstream.average.get().unwrap_or(0.0);
         let aim = request.route.target_latency_ms;
-        self.region_trips.connect_timeout(&upstream.region, aim, &self.policy).max(own)
+        self.region_trips
+            .connect_timeout(&upstream.region, aim, &self.policy)
+            .max(own)
     }
 
     /// How long a probe of the upstream waits for its answer, in ms.
     pub fn probe_timeout(&self, now: Millis, place: usize) -> Millis {
         let upstream = self.upstreams.get(place);
-        self.region_trips.probe_timeout(now, &upstream.region, upstream.average.get(), &self.policy)
+        self.region_trips
+            .probe_timeout(now, &upstream.region, upstream.average.get(), &self.policy)
     }
 
     /// An upstream failed. Once its zone looks lost, those in use there are asked at once.
@@ -443,7 +527,10 @@
 
     /// Whether the zone of this upstream looks lost.
     pub(crate) fn is_in_silent_zone(&self, now: Millis, place: usize) -> bool {
-        self.policy.zone_outlook && self.zones.is_silent(now, &self.upstreams.get(place).entry.zone)
+        self.policy.zone_outlook
+            && self
+                .zones
+                .is_silent(now, &self.upstreams.get(place).entry.zone)
     }
 
     /// Whether it was heard so lately that an idle connection to it will do for what may run only once.
@@ -459,7 +546,8 @@
     /// with what may run only once for a while.
     pub fn idle_connection_broke(&mut self, now: Millis, place: usize) {
         let service = self.upstreams.get(place).entry.service.clone();
-        self.idle_distrusted_until.insert(service, now + self.policy.idle_distrust_ms);
+        self.idle_distrusted_until
+            .insert(service, now + self.policy.idle_distrust_ms);
     }
 
     /// An answer said how loaded its upstream is, or how long it stays cold.
@@ -475,22 +563,37 @@
 
     /// The first part of an answer came after `elapsed` ms; `estimate`: what a long prompt was to take.
     pub fn paced(
-        &mut self, request: &ProxyRequest, place: usize, elapsed: Millis, estimate: Option<&Estimate>,
+        &mut self,
+        request: &ProxyRequest,
+        place: usize,
+        elapsed: Millis,
+        estimate: Option<&Estimate>,
     ) {
         let region = &self.upstreams.get(place).region;
         if let Some(estimate) = estimate {
             let trip = self.region_trips.get(region).unwrap_or(0.0);
-            self.prefill.answered(&request.service, estimate, elapsed - trip, &self.policy);
+            self.prefill
+                .answered(&request.service, estimate, elapsed - trip, &self.policy);
         }
         let far = *region != self.region;
-        self.paces.entry((request.route.name.clone(), far)).or_default().add(elapsed);
+        self.paces
+            .entry((request.route.name.clone(), far))
+            .or_default()
+            .add(elapsed);
     }
 
     /// So long an upstream may be silent before the request is offered to another as well, in ms.
     pub fn patience(&self, request: &ProxyRequest, place: usize) -> Millis {
         let far = self.upstreams.get(place).region != self.region;
-        let pace = self.paces.get(&(request.route.name.clone(), far)).copied().unwrap_or_default();
-        let trip = self.region_trips.get(&self.upstreams.get(place).region).unwrap_or(0.0);
+        let pace = self
+            .paces
+            .get(&(request.route.name.clone(), far))
+            .copied()
+            .unwrap_or_default();
+        let trip = self
+            .region_trips
+            .get(&self.upstreams.get(place).region)
+            .unwrap_or(0.0);
         pace.patience(request.route.target_latency_ms, trip, &self.policy)
     }
 }
--- a/crates/sandtrack-proxy/src/balancer/probes.rs
+++ b/crates/sandtrack-proxy/src/balancer/probes.rs
@@ -12,7 +12,9 @@
 
     /// Upstreams to be probed now, with the path to ask; each is taken for being probed.
     pub fn probes_due(&mut self, now: Millis) -> Vec<(usize, String, String)> {
-        let Some(configuration) = self.configuration.clone() else { return Vec::new() };
+        let Some(configuration) = self.configuration.clone() else {
+            return Vec::new();
+        };
         // Those in use, and those that failed: a success is to restore them.
         let mut watched = Vec::new();
         for service in &configuration.services {
@@ -21,8 +23,9 @@
                 upstream.entry.service == service.name && !upstream.entry.draining
             };
             let of_it: Vec<usize> = self.upstreams.listed().filter(of_it).collect();
-            let (healthy, failed): (Vec<usize>, Vec<usize>) =
-                of_it.into_iter().partition(|place| self.upstreams.get(*place).run.is_empty());
+            let (healthy, failed): (Vec<usize>, Vec<usize>) = of_it
+                .into_iter()
+                .partition(|place| self.upstreams.get(*place).run.is_empty());
             let readers = self.readers(now, &service.name);
             let circle = self.circle(&healthy, &readers);
             let mut unmeasured = HashSet::new();
@@ -43,7 +46,11 @@
             let upstream = self.upstreams.get_mut(place);
             if let Some(service) = configuration.service(&upstream.entry.service) {
                 upstream.probing = true;
-                probes.push((place, upstream.entry.address.clone(), service.health_path.clone()));
+                probes.push((
+                    place,
+                    upstream.entry.address.clone(),
+                    service.health_path.clone(),
+                ));
             }
         }
         probes
@@ -55,7 +62,9 @@
         if upstream.region == self.region || self.policy.far_used_ms.is_infinite() {
             return true;
         }
-        let used = self.far_used.get(&(upstream.entry.service.clone(), upstream.region.clone()));
+        let used = self
+            .far_used
+            .get(&(upstream.entry.service.clone(), upstream.region.clone()));
         used.is_some_and(|at| now - at <= self.policy.far_used_ms)
     }
 
@@ -91,7 +100,10 @@
             .listed()
             .filter(|place| self.upstreams.get(*place).entry.service == service)
             .collect();
-        self.tiers.entry(service).or_default().regroup(self.upstreams.all_mut(), members);
+        self.tiers
+            .entry(service)
+            .or_default()
+            .regroup(self.upstreams.all_mut(), members);
         if !self.upstreams.get(place).listed {
             self.upstreams.sweep();
         }
--- a/crates/sandtrack-proxy/src/budget.rs
+++ b/crates/sandtrack-proxy/src/budget.rs
@@ -64,7 +64,14 @@
 
     /// Whether one more repeat fits `ratio` x requests + this proxy's part of `slack` in any window of `span` ms;
     /// it is counted if so. Requests are those of the last half window: what came before may not be counted by then.
-    pub fn repeat(&mut self, now: Millis, span: Millis, ratio: f64, slack: f64, proxies: u32) -> bool {
+    pub fn repeat(
+        &mut self,
+        now: Millis,
+        span: Millis,
+        ratio: f64,
+        slack: f64,
+        proxies: u32,
+    ) -> bool {
         let earned = self.requests.count(now, span) as f64 * ratio * RETRY_USED;
         let allowed = earned + slack * RETRY_USED / f64::from(proxies.max(1));
         let fits = (self.repeats.count(now, span) + 1) as f64 <= allowed;
--- a/crates/sandtrack-proxy/src/carry.rs
+++ b/crates/sandtrack-proxy/src/carry.rs
@@ -4,7 +4,8 @@
 use crate::balancer::Ended;
 use crate::events::GivenIds;
 use crate::exchange_state::{
-    is_promise, Action, AnswerId, Exchange, Final, Input, Phase, SendEvent, SendId, Terms, Watched, SENDS,
+    is_promise, Action, AnswerId, Exchange, Final, Input, Phase, SendEvent, SendId, Terms, Watched,
+    SENDS,
 };
 use crate::outcomes::Outcome;
 use crate::placement::Placed;
@@ -66,7 +67,9 @@
 
     /// Waits for the step's outcome; the send is paused with it.
     async fn event(&mut self) -> SendEvent {
-        let Lane::Stepping(step) = self else { return future::pending().await };
+        let Lane::Stepping(step) = self else {
+            return future::pending().await;
+        };
         let (attempt, event) = step.await;
         *self = Lane::Paused(attempt);
         event
@@ -105,7 +108,10 @@
 
 /// Carries the request and answers on `client`; whether that connection can be used on.
 pub async fn carry(shared: &Shared, request: &ProxyRequest, client: Client<'_>) -> bool {
-    shared.balancer.borrow_mut().came(shared.clock.now(), request);
+    shared
+        .balancer
+        .borrow_mut()
+        .came(shared.clock.now(), request);
     let terms = Terms {
         idempotent: request.is_idempotent(),
         streaming: request.is_stream(),
@@ -153,8 +159,14 @@
     /// Does what was decided; once all is over, whether the client's connection can be used on.
     async fn perform(&mut self, action: Action) -> Option<bool> {
         match action {
-            Action::Start { send, place, reuse, resume } => {
-                let attempt = Attempt::new(self.shared, self.request, self.terms, place, reuse, resume);
+            Action::Start {
+                send,
+                place,
+                reuse,
+                resume,
+            } => {
+                let attempt =
+                    Attempt::new(self.shared, self.request, self.terms, place, reuse, resume);
                 self.log.send_begins(attempt.identifier().to_owned());
                 self.lanes[send] = Lane::Paused(Box::new(attempt));
             }
@@ -171,12 +183,22 @@
                     attempt.note_pace();
                 }
             }
-            Action::Relay { send, begins, bytes, ends } => {
+            Action::Relay {
+                send,
+                begins,
+                bytes,
+                ends,
+            } => {
                 let patience = self.request.left(self.shared.clock.now()) + LAST_PIECE;
                 let rises = self.given.note(&bytes);
-                check(Invariant::EventsRise, rises, || format!("{} at {:?}", self.request.id, self.given));
+                check(Invariant::EventsRise, rises, || {
+                    format!("{} at {:?}", self.request.id, self.given)
+                });
                 self.note_piece(send, begins);
-                let head = self.lanes[send].attempt().and_then(Attempt::head).filter(|_| begins);
+                let head = self.lanes[send]
+                    .attempt()
+                    .and_then(Attempt::head)
+                    .filter(|_| begins);
                 if let Some(head) = head {
                     self.check_is_own(head);
                 }
@@ -219,7 +241,8 @@
     fn note_answer_begins(&mut self, send: SendId) {
         if let Some(attempt) = self.lanes[send].attempt() {
             if let Some(asked) = attempt.asked() {
-                self.log.answer_begins(attempt.identifier(), asked, attempt.is_far());
+                self.log
+                    .answer_begins(attempt.identifier(), asked, attempt.is_far());
             }
         }
     }
@@ -241,10 +264,18 @@
                 self.log.over(Outcome::Cut);
                 return false;
             }
-            Final::Own { status, why, promise } => {
+            Final::Own {
+                status,
+                why,
+                promise,
+            } => {
                 self.log.over(Outcome::Own(status, why));
-                let come_back = promise.then(|| come_back_after(self.request.route.target_latency_ms));
-                return self.client.own(status, &self.request.id, come_back.as_deref(), why).await;
+                let come_back =
+                    promise.then(|| come_back_after(self.request.route.target_latency_ms));
+                return self
+                    .client
+                    .own(status, &self.request.id, come_back.as_deref(), why)
+                    .await;
             }
         };
         match passed_on {
@@ -261,16 +292,18 @@
     fn check_is_own(&self, head: &Head) {
         let facts = head_facts(head, &self.request.id, &self.shared.policy);
         let is_own = facts.id == AnswerId::Own && (facts.sealed || !facts.is_success());
-        check(Invariant::AnswerIsItsRequests, is_own && !is_promise(facts.status), || {
-            format!("{} gets {facts:?}", self.request.id)
-        });
+        check(
+            Invariant::AnswerIsItsRequests,
+            is_own && !is_promise(facts.status),
+            || format!("{} gets {facts:?}", self.request.id),
+        );
     }
 
     /// Where it goes next, waiting for room for a while. Counts a send beyond the first against the budget.
     async fn find_place(&self) -> Input {
         let request = self.request;
-        let hold =
-            (request.route.target_latency_ms).min(request.left(request.arrived)) * self.shared.policy.hold;
+        let hold = (request.route.target_latency_ms).min(request.left(request.arrived))
+            * self.shared.policy.hold;
         let refuse_at = request.arrived + hold;
         loop {
             let now = self.shared.clock.now();
@@ -279,7 +312,11 @@
             }
             if let Some(place) = self.place(now, &self.tried) {
                 let paid = !self.exchange.needs_budget() || self.pay(now);
-                return if paid { Input::Placed(place) } else { Input::NoBudget };
+                return if paid {
+                    Input::Placed(place)
+                } else {
+                    Input::NoBudget
+                };
             }
             let refused = now >= refuse_at && self.exchange.refuses_early();
             if refused || now + self.shared.policy.look_again_ms >= request.deadline {
@@ -290,7 +327,12 @@
     }
 
     fn place(&self, now: Millis, tried: &[usize]) -> Option<usize> {
-        match self.shared.balancer.borrow_mut().place(now, self.request, tried) {
+        match self
+            .shared
+            .balancer
+            .borrow_mut()
+            .place(now, self.request, tried)
+        {
             Placed::Send(place) => Some(place),
             Placed::Wait | Placed::None => None,
         }
@@ -298,13 +340,20 @@
 
     /// One more send beyond the first, if the budget has it.
     fn pay(&self, now: Millis) -> bool {
-        self.shared.balancer.borrow_mut().may_repeat(now, &self.request.service)
+        self.shared
+            .balancer
+            .borrow_mut()
+            .may_repeat(now, &self.request.service)
     }
 
     /// What happens next to the sends under way.
     async fn next_input(&mut self) -> Input {
         loop {
-            let Carried { lanes: [first, second], watch, .. } = self;
+            let Carried {
+                lanes: [first, second],
+                watch,
+                ..
+            } = self;
             let first = async { Some(Input::Send(0, first.event().await)) };
             let second = async { Some(Input::Send(1, second.event().await)) };
             let look = async {
@@ -328,15 +377,28 @@
         let now = self.shared.clock.now();
         let watch = self.watch.as_mut()?;
         let place = watch.watched.place;
-        let healthy = self.shared.balancer.borrow().upstreams.get(place).run.is_healthy();
+        let healthy = self
+            .shared
+            .balancer
+            .borrow()
+            .upstreams
+            .get(place)
+            .run
+            .is_healthy();
         if now < watch.silent_at && healthy {
-            watch
-                .look
-                .set_at(self.shared.clock.at(watch.silent_at.min(now + self.shared.policy.suspect_look_ms)));
+            watch.look.set_at(
+                self.shared.clock.at(watch
+                    .silent_at
+                    .min(now + self.shared.policy.suspect_look_ms)),
+            );
             return None;
         }
         watch.silent_at = now;
-        watch.look.set_at(self.shared.clock.at(now + self.shared.policy.suspect_look_ms));
+        watch.look.set_at(
+            self.shared
+                .clock
+                .at(now + self.shared.policy.suspect_look_ms),
+        );
         self.shared.balancer.borrow_mut().suspect(now, place);
         if !self.exchange.may_race() || !self.shared.policy.races {
             return None;
@@ -370,10 +432,28 @@
             (now, now + self.shared.policy.suspect_look_ms)
         } else {
             let silent_at = now + self.patience(relaying, watched.place);
-            let healthy = self.shared.balancer.borrow().upstreams.get(watched.place).run.is_healthy();
-            (silent_at, if healthy { silent_at.min(now + self.shared.policy.suspect_look_ms) } else { now })
+            let healthy = self
+                .shared
+                .balancer
+                .borrow()
+                .upstreams
+                .get(watched.place)
+                .run
+                .is_healthy();
+            (
+                silent_at,
+                if healthy {
+                    silent_at.min(now + self.shared.policy.suspect_look_ms)
+                } else {
+                    now
+                },
+            )
         };
-        self.watch = Some(Watch { watched, silent_at, look: Timer::at(clock.at(look_at)) });
+        self.watch = Some(Watch {
+            watched,
+            silent_at,
+            look: Timer::at(clock.at(look_at)),
+        });
     }
 
     /// How long the send at this place may be silent from now on, in ms.
@@ -389,7 +469,14 @@
 /// A stream that pauses for longer is silent, in ms.
 fn longest_pause(shared: &Shared, request: &ProxyRequest, place: usize) -> Millis {
     let aim = request.route.gap_aim_ms.unwrap_or(GAP_AIM);
-    let average = shared.balancer.borrow().upstreams.get(place).average.get().unwrap_or(0.0);
+    let average = shared
+        .balancer
+        .borrow()
+        .upstreams
+        .get(place)
+        .average
+        .get()
+        .unwrap_or(0.0);
     aim * shared.policy.pause + 2.0 * average
 }
 
--- a/crates/sandtrack-proxy/src/events.rs
+++ b/crates/sandtrack-proxy/src/events.rs
@@ -129,11 +129,16 @@
 }
 
 fn has_data(event: &[u8]) -> bool {
-    event.split(|byte| *byte == b'\n').any(|line| line.starts_with(b"data"))
+    event
+        .split(|byte| *byte == b'\n')
+        .any(|line| line.starts_with(b"data"))
 }
 
 fn id_of(event: &[u8]) -> Option<u64> {
-    event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID)).and_then(id_of_line)
+    event
+        .split(|byte| *byte == b'\n')
+        .find(|line| line.starts_with(ID))
+        .and_then(id_of_line)
 }
 
 fn id_of_line(line: &[u8]) -> Option<u64> {
--- a/crates/sandtrack-proxy/src/exchange.rs
+++ b/crates/sandtrack-proxy/src/exchange.rs
@@ -37,9 +37,18 @@
 /// The head of the request as it is written to an upstream: unchanged but for what concerns one connection. `urgent`: the
 /// route's priority is told.
 pub fn written_head(
-    request: &ProxyRequest, identifier: &str, left: Millis, last_event: Option<u64>, urgent: bool,
+    request: &ProxyRequest,
+    identifier: &str,
+    left: Millis,
+    last_event: Option<u64>,
+    urgent: bool,
 ) -> Vec<u8> {
-    const OWN: [&str; 4] = ["deadline-remaining", "expected-instance", "priority", "expect"];
+    const OWN: [&str; 4] = [
+        "deadline-remaining",
+        "expected-instance",
+        "priority",
+        "expect",
+    ];
     let own = |name: &str| {
         OWN.iter().any(|own| name.eq_ignore_ascii_case(own))
             || last_event.is_some() && name.eq_ignore_ascii_case("last-event-id")
@@ -49,11 +58,23 @@
     let left = format!("{}", left.floor().max(1.0));
     let priority = request.route.priority.min(9).to_string();
     let last_event = last_event.map(|id| id.to_string());
-    let added = [("Deadline-Remaining", left.as_str()), ("Expected-Instance", identifier)];
-    let urgency = request.prefix.first().filter(|_| urgent).map(|_| ("Priority", priority.as_str()));
+    let added = [
+        ("Deadline-Remaining", left.as_str()),
+        ("Expected-Instance", identifier),
+    ];
+    let urgency = request
+        .prefix
+        .first()
+        .filter(|_| urgent)
+        .map(|_| ("Priority", priority.as_str()));
     let resumed = last_event.as_deref().map(|id| ("Last-Event-Id", id));
     let headers = kept.chain(added).chain(urgency).chain(resumed);
-    message::request_head_of(&request.method, &request.target, headers, request.body.len())
+    message::request_head_of(
+        &request.method,
+        &request.target,
+        headers,
+        request.body.len(),
+    )
 }
 
 /// Writes the request, all of it within `patience` ms.
--- a/crates/sandtrack-proxy/src/exchange_state.rs
+++ b/crates/sandtrack-proxy/src/exchange_state.rs
@@ -9,8 +9,8 @@
 use crate::balancer::Ended;
 use crate::events::{Scanned, Scanner};
 pub use messages::{
-    is_promise, may_use_idle, Action, AnswerId, Broke, Final, HeadFacts, Input, SendEvent, SendId, Terms,
-    SENDS,
+    is_promise, may_use_idle, Action, AnswerId, Broke, Final, HeadFacts, Input, SendEvent, SendId,
+    Terms, SENDS,
 };
 use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::codes::{self, Code};
@@ -119,7 +119,10 @@
             Phase::Relaying(send) if self.sends[1 - send].is_none() => send,
             _ => return None,
         };
-        self.sends[send].map(|of| Watched { send, place: of.place })
+        self.sends[send].map(|of| Watched {
+            send,
+            place: of.place,
+        })
     }
 
     /// A silent send may be raced by another.
@@ -142,7 +145,11 @@
             }
             (Phase::Placing, Input::NoRoom) => self.give_up(codes::NO_ROOM, &mut actions),
             (Phase::Placing, Input::NoBudget) => {
-                let why = if self.may_have_run { codes::UPSTREAM_FAILED } else { codes::NO_ROOM };
+                let why = if self.may_have_run {
+                    codes::UPSTREAM_FAILED
+                } else {
+                    codes::NO_ROOM
+                };
                 self.give_up(why, &mut actions);
             }
             (Phase::Placing, Input::TimeOver) => self.give_up(codes::DEADLINE, &mut actions),
@@ -153,7 +160,14 @@
             (_, Input::Send(send, event)) => self.on_send(send, event, &mut actions),
             (_, Input::ClientGone) => self.finish(Final::Cut, &mut actions),
             // Told too late: the exchange has gone on meanwhile.
-            (_, Input::Placed(_) | Input::Spare(_) | Input::NoRoom | Input::NoBudget | Input::TimeOver) => {}
+            (
+                _,
+                Input::Placed(_)
+                | Input::Spare(_)
+                | Input::NoRoom
+                | Input::NoBudget
+                | Input::TimeOver,
+            ) => {}
         }
         actions
     }
@@ -175,26 +189,57 @@
     }
 
     fn start(&mut self, place: usize, actions: &mut Vec<Action>) {
-        let Some(send) = self.sends.iter().position(Option::is_none) else { return };
+        let Some(send) = self.sends.iter().position(Option::is_none) else {
+            return;
+        };
         let is_first = !self.may_have_run && self.sends.iter().all(Option::is_none);
-        check(Invariant::RunsOnce, self.terms.idempotent || is_first, || format!("{self:?}"));
-        self.sends[send] = Some(Send { place, reused: false, stage: Stage::Connecting });
+        check(
+            Invariant::RunsOnce,
+            self.terms.idempotent || is_first,
+            || format!("{self:?}"),
+        );
+        self.sends[send] = Some(Send {
+            place,
+            reused: false,
+            stage: Stage::Connecting,
+        });
         self.sent += 1;
-        check(Invariant::AttemptsBounded, self.sent <= self.terms.attempts.max(1), || format!("{self:?}"));
-        let resume = if self.begun { self.scanner.resume_point() } else { None };
+        check(
+            Invariant::AttemptsBounded,
+            self.sent <= self.terms.attempts.max(1),
+            || format!("{self:?}"),
+        );
+        let resume = if self.begun {
+            self.scanner.resume_point()
+        } else {
+            None
+        };
         // An idle connection may be closed by its upstream while the request is written.
-        actions.push(Action::Start { send, place, reuse: self.terms.idempotent, resume });
+        actions.push(Action::Start {
+            send,
+            place,
+            reuse: self.terms.idempotent,
+            resume,
+        });
     }
 
     fn on_send(&mut self, id: SendId, event: SendEvent, actions: &mut Vec<Action>) {
         let Some(send) = self.sends[id] else { return };
         match (send.stage, event) {
             (Stage::Connecting, SendEvent::Connected { reused }) => {
-                self.sends[id] = Some(Send { reused, stage: Stage::Writing, ..send });
+                self.sends[id] = Some(Send {
+                    reused,
+                    stage: Stage::Writing,
+                    ..send
+                });
             }
             (Stage::Connecting, SendEvent::NoConnection { share_full }) => {
                 self.sent -= 1;
-                let ended = if share_full { Ended::TurnedAway } else { Ended::Broken };
+                let ended = if share_full {
+                    Ended::TurnedAway
+                } else {
+                    Ended::Broken
+                };
                 self.fail(id, ended, actions);
             }
             (Stage::Writing, SendEvent::Written) => self.advance(id, Stage::AwaitingHead),
@@ -255,11 +300,24 @@
         }
         actions.push(Action::Heed(id));
         let relays = self.terms.relays(facts.status) && !facts.not_run();
-        self.advance(id, if relays { Stage::AwaitingFirstPart(facts) } else { Stage::Collecting(facts) });
+        self.advance(
+            id,
+            if relays {
+                Stage::AwaitingFirstPart(facts)
+            } else {
+                Stage::Collecting(facts)
+            },
+        );
     }
 
     /// A whole answer came that is not relayed.
-    fn collected(&mut self, id: SendId, facts: HeadFacts, surplus: bool, actions: &mut Vec<Action>) {
+    fn collected(
+        &mut self,
+        id: SendId,
+        facts: HeadFacts,
+        surplus: bool,
+        actions: &mut Vec<Action>,
+    ) {
         if facts.not_run() {
             self.release(id, facts, surplus, Ended::TurnedAway, actions);
             return self.without_answer(actions);
@@ -303,7 +361,13 @@
         }
     }
 
-    fn end_stream(&mut self, id: SendId, facts: HeadFacts, surplus: bool, actions: &mut Vec<Action>) {
+    fn end_stream(
+        &mut self,
+        id: SendId,
+        facts: HeadFacts,
+        surplus: bool,
+        actions: &mut Vec<Action>,
+    ) {
         self.drop_rival(id, actions);
         let rest = self.scanner.rest();
         self.pass_on(id, rest, true, actions);
@@ -313,7 +377,12 @@
 
     fn pass_on(&mut self, send: SendId, bytes: Vec<u8>, ends: bool, actions: &mut Vec<Action>) {
         let begins = !std::mem::replace(&mut self.begun, true);
-        actions.push(Action::Relay { send, begins, bytes, ends });
+        actions.push(Action::Relay {
+            send,
+            begins,
+            bytes,
+            ends,
+        });
     }
 
     fn time_over(&mut self, id: SendId, send: Send, actions: &mut Vec<Action>) {
@@ -342,7 +411,12 @@
 
     /// The send is over with a whole answer.
     fn release(
-        &mut self, id: SendId, facts: HeadFacts, surplus: bool, ended: Ended, actions: &mut Vec<Action>,
+        &mut self,
+        id: SendId,
+        facts: HeadFacts,
+        surplus: bool,
+        ended: Ended,
+        actions: &mut Vec<Action>,
     ) {
         // Bytes behind a whole answer belong to no request.
         if surplus || !facts.keeps_open {
@@ -405,18 +479,26 @@
             _ if self.may_have_run => 502,
             _ => 503,
         };
-        Final::Own { status, why, promise: is_promise(status) }
+        Final::Own {
+            status,
+            why,
+            promise: is_promise(status),
+        }
     }
 
     fn finish(&mut self, answer: Final, actions: &mut Vec<Action>) {
         for id in 0..SENDS {
             self.abandon(id, actions);
         }
-        check(Invariant::OneFinalAnswer, self.phase != Phase::Over, || format!("{answer:?} by {self:?}"));
-        let promises = matches!(answer, Final::Own { promise: true, .. });
-        check(Invariant::PromiseIsTrue, !promises || !self.may_have_run, || {
+        check(Invariant::OneFinalAnswer, self.phase != Phase::Over, || {
             format!("{answer:?} by {self:?}")
         });
+        let promises = matches!(answer, Final::Own { promise: true, .. });
+        check(
+            Invariant::PromiseIsTrue,
+            !promises || !self.may_have_run,
+            || format!("{answer:?} by {self:?}"),
+        );
         self.phase = Phase::Over;
         actions.push(Action::Finish(answer));
     }
--- a/crates/sandtrack-proxy/src/exchange_state/messages.rs
+++ b/crates/sandtrack-proxy/src/exchange_state/messages.rs
@@ -127,7 +127,11 @@
     /// The answer that was kept by [`Action::KeepFailure`], as it is.
     KeptFailure,
     /// One of this process's own; a promise says when to come back.
-    Own { status: u16, why: Code, promise: bool },
+    Own {
+        status: u16,
+        why: Code,
+        promise: bool,
+    },
     /// The relayed stream is complete.
     StreamEnded,
     /// The connection is closed: what the client has is not to look complete.
@@ -172,6 +176,10 @@
 
 /// An idle connection may be used: its upstream does not close it soon, and nothing came on it, no end either. Whatever
 /// comes while nothing was asked belongs to no request.
-pub fn may_use_idle(quiet: bool, now: sandtrack_tiers::Millis, until: sandtrack_tiers::Millis) -> bool {
+pub fn may_use_idle(
+    quiet: bool,
+    now: sandtrack_tiers::Millis,
+    until: sandtrack_tiers::Millis,
+) -> bool {
     quiet && now < until
 }
--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/figures.rs
@@ -28,15 +28,47 @@
     let state = balancer.state();
     let gauges: [(&str, &str, u64); 10] = [
         ("ready", "Whether it takes traffic", u64::from(state.ready)),
-        ("leaving", "Whether it was told to stop", u64::from(state.leaving)),
-        ("configuration_version", "Version in force here; 0: none", state.version),
+        (
+            "leaving",
+            "Whether it was told to stop",
+            u64::from(state.leaving),
+        ),
+        (
+            "configuration_version",
+            "Version in force here; 0: none",
+            state.version,
+        ),
         ("requests_open", "Requests in hand", u64::from(state.open)),
-        ("client_connections", "Connections of clients", shared.connections.get() as u64),
-        ("request_bytes_held", "Bodies of requests in hand", shared.memory.requests.held() as u64),
-        ("answer_bytes_held", "Collected answers in hand", shared.memory.answers.held() as u64),
-        ("proxies_known", "Proxies among which bounds are shared", u64::from(balancer.proxies)),
-        ("zones_evacuated", "Zones that get nothing", balancer.evacuated.len() as u64),
-        ("up_seconds", "Since the start of the process", (shared.clock.now() / 1000.0) as u64),
+        (
+            "client_connections",
+            "Connections of clients",
+            shared.connections.get() as u64,
+        ),
+        (
+            "request_bytes_held",
+            "Bodies of requests in hand",
+            shared.memory.requests.held() as u64,
+        ),
+        (
+            "answer_bytes_held",
+            "Collected answers in hand",
+            shared.memory.answers.held() as u64,
+        ),
+        (
+            "proxies_known",
+            "Proxies among which bounds are shared",
+            u64::from(balancer.proxies),
+        ),
+        (
+            "zones_evacuated",
+            "Zones that get nothing",
+            balancer.evacuated.len() as u64,
+        ),
+        (
+            "up_seconds",
+            "Since the start of the process",
+            (shared.clock.now() / 1000.0) as u64,
+        ),
     ];
     for (name, help, value) in gauges {
         text.single(&format!("sandtrack_proxy_{name}"), Kind::Gauge, help, value);
@@ -57,9 +89,11 @@
     const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
     text.family(UPSTREAMS, Kind::Gauge, "Upstreams by service and state");
     for (service, seen) in &services {
-        for (state, count) in
-            [("listed", seen.listed), ("draining", seen.draining), ("unhealthy", seen.unhealthy)]
-        {
+        for (state, count) in [
+            ("listed", seen.listed),
+            ("draining", seen.draining),
+            ("unhealthy", seen.unhealthy),
+        ] {
             text.figure(UPSTREAMS, &[("service", service), ("state", state)], count);
         }
     }
--- a/crates/sandtrack-proxy/src/front.rs
+++ b/crates/sandtrack-proxy/src/front.rs
@@ -39,7 +39,11 @@
 const COME_BACK: &str = "0.2";
 
 /// Accepts until the listener is told to stop (the sender of `stop` is closed).
-pub async fn accept(shared: Rc<Shared>, listener: Async<TcpListener>, stop: async_channel::Receiver<()>) {
+pub async fn accept(
+    shared: Rc<Shared>,
+    listener: Async<TcpListener>,
+    stop: async_channel::Receiver<()>,
+) {
     loop {
         let stopped = async {
             let _ = stop.recv().await;
@@ -49,7 +53,10 @@
             None => return,
             Some(Ok((stream, _))) => {
                 let serving = shared.clone();
-                shared.executor.spawn(async move { serve(serving, stream).await }).detach();
+                shared
+                    .executor
+                    .spawn(async move { serve(serving, stream).await })
+                    .detach();
                 future::yield_now().await;
             }
             Some(Err(_)) => {
@@ -87,7 +94,10 @@
 /// Those of the configuration in force.
 fn limits(shared: &Shared) -> Limits {
     let balancer = shared.balancer.borrow();
-    let limits = balancer.configuration.as_ref().map(|configuration| &configuration.limits);
+    let limits = balancer
+        .configuration
+        .as_ref()
+        .map(|configuration| &configuration.limits);
     Limits {
         head: limits.map_or(HEAD_MAX, |limits| limits.header_size_bytes),
         body: limits.map_or(BODY_MAX, |limits| limits.body_size_bytes),
@@ -112,7 +122,12 @@
             Came::Bad(status, why, id) => {
                 refused(&shared, &id, status, why);
                 let again = is_promise(status).then_some(COME_BACK);
-                Client { stream: &stream, close: true }.own(status, &id, again, why).await;
+                Client {
+                    stream: &stream,
+                    close: true,
+                }
+                .own(status, &id, again, why)
+                .await;
                 return linger(&stream).await;
             }
             Came::Request(head, body, held, arrived) => (head, body, held, arrived),
@@ -124,14 +139,22 @@
             let draw = balancer.draw_fraction();
             match balancer.configuration.clone() {
                 None => Err(Refused(503, codes::NO_CONFIGURATION)),
-                Some(configuration) => ProxyRequest::decode(&configuration, head, body, arrived, draw),
+                Some(configuration) => {
+                    ProxyRequest::decode(&configuration, head, body, arrived, draw)
+                }
             }
         };
         let open = match decoded {
             Err(Refused(status, why)) => {
                 refused(&shared, &id, status, why);
                 let again = is_promise(status).then_some(COME_BACK);
-                Client { stream: &stream, close }.own(status, &id, again, why).await && !close
+                Client {
+                    stream: &stream,
+                    close,
+                }
+                .own(status, &id, again, why)
+                .await
+                    && !close
             }
             Ok(request) => {
                 shared.open(1);
@@ -140,7 +163,18 @@
                     gone(&shared, &stream, &mut input, &early).await;
                     false
                 };
-                future::or(gone, carry(&shared, &request, Client { stream: &stream, close })).await
+                future::or(
+                    gone,
+                    carry(
+                        &shared,
+                        &request,
+                        Client {
+                            stream: &stream,
+                            close,
+                        },
+                    ),
+                )
+                .await
             }
         };
         if !open {
@@ -166,7 +200,12 @@
 }
 
 /// Returns once the client is gone. What it sends meanwhile waits, and its time counts from then (`early`).
-async fn gone(shared: &Shared, stream: &Async<TcpStream>, input: &mut Ring, early: &Cell<Option<Millis>>) {
+async fn gone(
+    shared: &Shared,
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    early: &Cell<Option<Millis>>,
+) {
     if !input.is_empty() {
         early.set(Some(shared.clock.now()));
     }
@@ -193,7 +232,10 @@
 /// Until when a request is waited for whose head is there and whose body is not.
 fn body_until(shared: &Shared, head: &Head, arrived: Millis, head_time: Millis) -> Millis {
     let balancer = shared.balancer.borrow();
-    let held = balancer.configuration.as_ref().and_then(|configuration| held_at_most(configuration, head));
+    let held = balancer
+        .configuration
+        .as_ref()
+        .and_then(|configuration| held_at_most(configuration, head));
     let most = BODY_TIMES * head_time.max(BODY_HEAD_TIME);
     arrived + held.map_or(most, |held| held.min(most))
 }
@@ -201,7 +243,11 @@
 /// Reads the next request whole. `early`: its first bytes were read at that time. The limits are those in force when its head
 /// comes, also on a connection that has rested since before a change of them.
 async fn read(
-    shared: &Shared, stream: &Async<TcpStream>, parser: &mut Parser, input: &mut Ring, early: Option<Millis>,
+    shared: &Shared,
+    stream: &Async<TcpStream>,
+    parser: &mut Parser,
+    input: &mut Ring,
+    early: Option<Millis>,
 ) -> Came {
     let mut limits = limits(shared);
     let clock = shared.clock;
@@ -224,12 +270,18 @@
                 body.reserve_exact(told.unwrap_or(0));
                 if take_expectation(&mut next) {
                     let mut output = Ring::new(CONTINUE.len());
-                    if !output.push(CONTINUE) || !write_within(stream, &mut output, LOOK_EVERY).await {
+                    if !output.push(CONTINUE)
+                        || !write_within(stream, &mut output, LOOK_EVERY).await
+                    {
                         return Came::Ended;
                     }
                 }
                 let arrived = first_byte.unwrap_or_else(|| clock.now());
-                begun = Some(Begun { head: next, arrived, until: f64::INFINITY });
+                begun = Some(Begun {
+                    head: next,
+                    arrived,
+                    until: f64::INFINITY,
+                });
                 continue;
             }
             Ok(Some(Part::Data(data))) => {
@@ -249,7 +301,11 @@
             }
             Ok(None) => {}
             Err(bad) => {
-                let why = if bad == Bad::Malformed { codes::MALFORMED } else { codes::TOO_LARGE };
+                let why = if bad == Bad::Malformed {
+                    codes::MALFORMED
+                } else {
+                    codes::TOO_LARGE
+                };
                 return Came::Bad(bad.status(), why, String::new());
             }
         }
@@ -289,7 +345,8 @@
             Some(_) => return Came::Ended,
             None if within => return Came::Bad(408, codes::DEADLINE, id_of(&begun)),
             // The time to rest may have grown meanwhile.
-            None if clock.now() < began + self::limits(shared).idle && !shared.balancer.borrow().leaving => {}
+            None if clock.now() < began + self::limits(shared).idle
+                && !shared.balancer.borrow().leaving => {}
             None => return Came::Ended,
         }
     }
@@ -297,11 +354,17 @@
 
 /// The id of a request whose head is there.
 fn id_of(begun: &Option<Begun>) -> String {
-    begun.as_ref().map(|begun| request_id(&begun.head)).unwrap_or_default()
+    begun
+        .as_ref()
+        .map(|begun| request_id(&begun.head))
+        .unwrap_or_default()
 }
 
 fn request_id(head: &Head) -> String {
-    head.headers.get("request-id").unwrap_or_default().to_owned()
+    head.headers
+        .get("request-id")
+        .unwrap_or_default()
+        .to_owned()
 }
 
 /// The length of the body that a head announces; none of one in chunks.
@@ -315,7 +378,10 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let checked = shared.clone();
-                shared.executor.spawn(async move { check(checked, stream).await }).detach();
+                shared
+                    .executor
+                    .spawn(async move { check(checked, stream).await })
+                    .detach();
             }
             Err(_) => {
                 Timer::after(Duration::from_millis(20)).await;
@@ -327,7 +393,8 @@
 async fn check(shared: Rc<Shared>, stream: Async<TcpStream>) {
     let mut input = Ring::new(HEAD_MAX);
     let mut parser = Parser::new(Side::Request);
-    while let Came::Request(head, ..) = read(&shared, &stream, &mut parser, &mut input, None).await {
+    while let Came::Request(head, ..) = read(&shared, &stream, &mut parser, &mut input, None).await
+    {
         let ready = shared.balancer.borrow().is_ready();
         let (status, body): (u16, &[u8]) = match (head.target.as_str(), ready) {
             ("/v1/readiness", true) => (200, b"{\"ready\":true}"),
@@ -335,9 +402,11 @@
             _ => (404, b"{}"),
         };
         let headers = [("Content-Type", "application/json")].into_iter();
-        let bytes = sandtrack_sidecar_core::message::response(status, headers, body, !head.keep_alive);
+        let bytes =
+            sandtrack_sidecar_core::message::response(status, headers, body, !head.keep_alive);
         let mut output = Ring::new(bytes.len());
-        if !output.push(&bytes) || !write_within(&stream, &mut output, Duration::from_secs(1)).await {
+        if !output.push(&bytes) || !write_within(&stream, &mut output, Duration::from_secs(1)).await
+        {
             return;
         }
         if !head.keep_alive {
--- a/crates/sandtrack-proxy/src/lateness.rs
+++ b/crates/sandtrack-proxy/src/lateness.rs
@@ -51,14 +51,20 @@
     /// The part that took longest.
     #[must_use]
     pub fn cause(&self) -> LateCause {
-        let at_upstream = if self.far { LateCause::FarUpstream } else { LateCause::Upstream };
+        let at_upstream = if self.far {
+            LateCause::FarUpstream
+        } else {
+            LateCause::Upstream
+        };
         let parts = [
             (self.first_send - self.arrived, LateCause::Held),
             (self.send - self.first_send, LateCause::Resent),
             (self.asked - self.send, LateCause::Connecting),
             (self.answered - self.asked, at_upstream),
         ];
-        let longest = parts.into_iter().max_by(|one, other| one.0.total_cmp(&other.0));
+        let longest = parts
+            .into_iter()
+            .max_by(|one, other| one.0.total_cmp(&other.0));
         longest.map_or(at_upstream, |(_, cause)| cause)
     }
 }
--- a/crates/sandtrack-proxy/src/outcomes.rs
+++ b/crates/sandtrack-proxy/src/outcomes.rs
@@ -117,7 +117,11 @@
     /// Appends them to the figures of the process.
     pub fn tell(&self, text: &mut MetricsText) {
         const REQUESTS: &str = "sandtrack_proxy_requests_total";
-        text.family(REQUESTS, Kind::Counter, "Requests by how they ended for their client");
+        text.family(
+            REQUESTS,
+            Kind::Counter,
+            "Requests by how they ended for their client",
+        );
         for (outcome, count) in &self.counts {
             let (status, code) = match outcome {
                 Outcome::Upstream(status) => (status.to_string(), "upstream".to_owned()),
@@ -133,12 +137,21 @@
             text.figure(SENDS, &[("ended", ended)], count);
         }
         const FIRST_PARTS: &str = "sandtrack_proxy_late_first_parts_total";
-        text.family(FIRST_PARTS, Kind::Counter, "Answers that began behind their aim by what took longest");
+        text.family(
+            FIRST_PARTS,
+            Kind::Counter,
+            "Answers that began behind their aim by what took longest",
+        );
         for (cause, count) in &self.late_first_parts {
             text.figure(FIRST_PARTS, &[("cause", cause.name())], count);
         }
         let help = "Pauses within streams over their aim";
-        text.single("sandtrack_proxy_late_pauses_total", Kind::Counter, help, self.late_pauses);
+        text.single(
+            "sandtrack_proxy_late_pauses_total",
+            Kind::Counter,
+            help,
+            self.late_pauses,
+        );
         let help = "Requests that ended over 250 ms behind their time";
         text.single("sandtrack_proxy_late_total", Kind::Counter, help, self.late);
     }
--- a/crates/sandtrack-proxy/src/placement.rs
+++ b/crates/sandtrack-proxy/src/placement.rs
@@ -25,7 +25,12 @@
 impl Candidates {
     /// Those of which this holds; all where it holds of none.
     fn prefer(self, holds: impl Fn(usize) -> bool) -> Candidates {
-        let preferred: Vec<usize> = self.0.iter().copied().filter(|place| holds(*place)).collect();
+        let preferred: Vec<usize> = self
+            .0
+            .iter()
+            .copied()
+            .filter(|place| holds(*place))
+            .collect();
         match preferred.is_empty() {
             true => self,
             false => Candidates(preferred),
@@ -52,8 +57,11 @@
 
     /// Places a request that was not yet at any of `tried`.
     pub fn place(&mut self, now: Millis, request: &ProxyRequest, tried: &[usize]) -> Placed {
-        let mut able: Vec<usize> =
-            self.upstreams.listed().filter(|place| self.may_serve(request, *place)).collect();
+        let mut able: Vec<usize> = self
+            .upstreams
+            .listed()
+            .filter(|place| self.may_serve(request, *place))
+            .collect();
         able.sort_unstable();
         if able.is_empty() {
             return Placed::None;
@@ -68,7 +76,11 @@
             self.long_prompt_at = Some(now);
         }
         let readers = self.readers(now, &request.service);
-        let circle = if keeps { usable.clone() } else { self.circle(&usable, &readers) };
+        let circle = if keeps {
+            usable.clone()
+        } else {
+            self.circle(&usable, &readers)
+        };
         // Where the circle has no slot free all others are looked at, and only then what queues.
         for (among, queue) in [(&circle, 0.0), (&usable, 0.0), (&usable, self.policy.queue)] {
             if let Some(place) = self.place_among(now, request, among, &readers, queue) {
@@ -120,10 +132,22 @@
     }
 
     fn place_among(
-        &mut self, now: Millis, request: &ProxyRequest, among: &[usize], readers: &HashSet<usize>, queue: f64,
+        &mut self,
+        now: Millis,
+        request: &ProxyRequest,
+        among: &[usize],
+        readers: &HashSet<usize>,
+        queue: f64,
     ) -> Option<usize> {
-        let able: Vec<usize> = among.iter().copied().filter(|place| self.may_start(now, *place)).collect();
-        let roomy: Vec<usize> = able.into_iter().filter(|place| self.room(now, *place, queue)).collect();
+        let able: Vec<usize> = among
+            .iter()
+            .copied()
+            .filter(|place| self.may_start(now, *place))
+            .collect();
+        let roomy: Vec<usize> = able
+            .into_iter()
+            .filter(|place| self.room(now, *place, queue))
+            .collect();
         let place = self.draw(now, request, &roomy, readers)?;
         let upstream = self.upstreams.get_mut(place);
         if upstream.is_cold(now) {
@@ -149,21 +173,33 @@
 
     /// Requests at the upstream, as far as is known.
     fn load(&self, now: Millis, place: usize) -> f64 {
-        self.upstreams.get(place).load(now, self.policy.load_memory_ms)
+        self.upstreams
+            .get(place)
+            .load(now, self.policy.load_memory_ms)
     }
 
     /// Regions by how many routes to the service are bound to them: what others can't leave is kept free of what can.
     fn bound(&self, service: &str, region: &str) -> usize {
-        let routes = self.configuration.as_ref().map(|all| all.routes.iter()).into_iter().flatten();
+        let routes = self
+            .configuration
+            .as_ref()
+            .map(|all| all.routes.iter())
+            .into_iter()
+            .flatten();
         let to_it = routes.filter(|route| route.split.iter().any(|(name, _)| name == service));
-        to_it.filter(|route| route.home_regions.iter().any(|home| home == region)).count()
+        to_it
+            .filter(|route| route.home_regions.iter().any(|home| home == region))
+            .count()
     }
 
     /// The upstreams that read long prompts where no region is free of requests that are bound to it: a long prompt is read
     /// in pieces between the tokens of others, so that spread over all it would hold up every stream of the region. The
     /// same for all proxies, but for what they believe dead. Empty where a region is free, or there are no long prompts.
     pub(crate) fn readers(&self, now: Millis, service: &str) -> HashSet<usize> {
-        if self.long_prompt_at.is_none_or(|at| now - at > self.policy.reading_ms) {
+        if self
+            .long_prompt_at
+            .is_none_or(|at| now - at > self.policy.reading_ms)
+        {
             return HashSet::new();
         }
         let serving = |place: &usize| {
@@ -177,8 +213,10 @@
         let region = |place: &usize| self.upstreams.get(*place).region.as_str();
         serving.sort_unstable_by_key(|place| std::cmp::Reverse(self.upstreams.get(*place).hash));
         let regions: BTreeSet<&str> = serving.iter().map(region).collect();
-        let bounds: Vec<(&str, usize)> =
-            regions.into_iter().map(|region| (region, self.bound(service, region))).collect();
+        let bounds: Vec<(&str, usize)> = regions
+            .into_iter()
+            .map(|region| (region, self.bound(service, region)))
+            .collect();
         let least = bounds.iter().map(|(_, bound)| *bound).min().unwrap_or(0);
         if least == 0 {
             return HashSet::new();
@@ -189,15 +227,26 @@
     }
 
     fn draw(
-        &mut self, now: Millis, request: &ProxyRequest, able: &[usize], readers: &HashSet<usize>,
+        &mut self,
+        now: Millis,
+        request: &ProxyRequest,
+        able: &[usize],
+        readers: &HashSet<usize>,
     ) -> Option<usize> {
         if able.is_empty() {
             return None;
         }
         let long = request.shared_tokens() >= self.policy.kept_tokens;
-        let apart: Vec<usize> =
-            able.iter().copied().filter(|place| readers.contains(place) == long).collect();
-        let able = if readers.is_empty() || apart.is_empty() { able } else { &apart };
+        let apart: Vec<usize> = able
+            .iter()
+            .copied()
+            .filter(|place| readers.contains(place) == long)
+            .collect();
+        let able = if readers.is_empty() || apart.is_empty() {
+            able
+        } else {
+            &apart
+        };
         if long {
             return self.draw_keeper(now, request, able);
         }
@@ -215,7 +264,11 @@
         };
         let tiers = ladder(able.iter().copied(), rank);
         lowest(&mut self.rng, &tiers, |members| {
-            let near: Vec<usize> = members.iter().copied().filter(|place| load(*place) < limit).collect();
+            let near: Vec<usize> = members
+                .iter()
+                .copied()
+                .filter(|place| load(*place) < limit)
+                .collect();
             if near.is_empty() {
                 members.to_vec()
             } else {
--- a/crates/sandtrack-proxy/src/placement/keepers.rs
+++ b/crates/sandtrack-proxy/src/placement/keepers.rs
@@ -30,10 +30,19 @@
     /// estimated to give a first token in time with the least to read. Proxies that know the same choose the same one, wherever
     /// it is, and reading a prefix once more costs engines ten times what the request costs on its way to another region; but
     /// where those that have read it can't begin in time, another one reads it as well.
-    pub(super) fn draw_keeper(&self, now: Millis, request: &ProxyRequest, able: &[usize]) -> Option<usize> {
+    pub(super) fn draw_keeper(
+        &self,
+        now: Millis,
+        request: &ProxyRequest,
+        able: &[usize],
+    ) -> Option<usize> {
         let weights = self.keeper_weights(now, &request.service, able);
-        let weight =
-            |place: usize| weights.get(self.upstreams.get(place).region.as_str()).copied().unwrap_or(1.0);
+        let weight = |place: usize| {
+            weights
+                .get(self.upstreams.get(place).region.as_str())
+                .copied()
+                .unwrap_or(1.0)
+        };
         let limit = request.route.target_latency_ms * self.policy.in_time;
         let cost = |candidate: &Candidate| {
             let upstream = self.upstreams.get(candidate.place);
@@ -59,25 +68,33 @@
             (class, cost)
         };
         let candidates = self.keeper_candidates(request, able, &weight);
-        let costs = candidates.iter().map(|candidate| (cost(candidate), candidate.place));
+        let costs = candidates
+            .iter()
+            .map(|candidate| (cost(candidate), candidate.place));
         // Of those alike the first by rank.
-        let least = costs.min_by(|(one, _), (other, _)| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
+        let least = costs
+            .min_by(|(one, _), (other, _)| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         least.map(|(_, place)| place)
     }
 
     /// The upstreams that are compared for a long prompt, by rank: the first of all, those that have read its prefix, and the
     /// first of the own region.
     fn keeper_candidates(
-        &self, request: &ProxyRequest, able: &[usize], weight: &impl Fn(usize) -> f64,
+        &self,
+        request: &ProxyRequest,
+        able: &[usize],
+        weight: &impl Fn(usize) -> f64,
     ) -> Vec<Candidate> {
         let key = request.shared_key();
         let keeps = self.prefill.keeps(request);
         // Weighted rendezvous hashing: a share of the draws in proportion to the weight, and few move when one goes.
         let rank = |place: usize| {
-            let draw = (mix(key ^ self.upstreams.get(place).hash) >> 11) as f64 / (1u64 << 53) as f64;
+            let draw =
+                (mix(key ^ self.upstreams.get(place).hash) >> 11) as f64 / (1u64 << 53) as f64;
             -(draw.max(f64::MIN_POSITIVE)).ln() / weight(place)
         };
-        let mut ranked: Vec<(f64, usize)> = able.iter().map(|place| (rank(*place), *place)).collect();
+        let mut ranked: Vec<(f64, usize)> =
+            able.iter().map(|place| (rank(*place), *place)).collect();
         ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let choices = self.policy.keeper_choices.max(1);
         let mut near_choices = 0;
@@ -98,9 +115,15 @@
     fn keeper_weights(&self, now: Millis, service: &str, able: &[usize]) -> BTreeMap<&str, f64> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for place in able {
-            *counts.entry(self.upstreams.get(*place).region.as_str()).or_default() += 1;
+            *counts
+                .entry(self.upstreams.get(*place).region.as_str())
+                .or_default() += 1;
         }
-        let least = counts.keys().map(|region| self.bound(service, region)).min().unwrap_or(0);
+        let least = counts
+            .keys()
+            .map(|region| self.bound(service, region))
+            .min()
+            .unwrap_or(0);
         let prior = Prior {
             weight: self.policy.bound_weight,
             requests: self.policy.bound_weight_requests,
--- a/crates/sandtrack-proxy/src/policy.rs
+++ b/crates/sandtrack-proxy/src/policy.rs
@@ -183,7 +183,8 @@
     #[must_use]
     pub fn suspect_gap(&self, failed_probes: u32) -> f64 {
         let doublings = failed_probes.saturating_sub(STEADY_PROBES);
-        doubled(self.suspect_every_ms, doublings).min(self.suspect_most_ms.max(self.suspect_every_ms))
+        doubled(self.suspect_every_ms, doublings)
+            .min(self.suspect_most_ms.max(self.suspect_every_ms))
     }
 
     /// The default with some constants set anew: `NAME=VALUE`, joined by commas.
@@ -193,7 +194,9 @@
     pub fn with(changes: &str) -> Result<Policy, PolicyError> {
         let mut policy = Policy::default();
         for change in changes.split(',').filter(|change| !change.is_empty()) {
-            let (name, value) = change.split_once('=').ok_or(PolicyError::Malformed(change.to_owned()))?;
+            let (name, value) = change
+                .split_once('=')
+                .ok_or(PolicyError::Malformed(change.to_owned()))?;
             policy.set(name.trim(), value.trim())?;
         }
         Ok(policy)
--- a/crates/sandtrack-proxy/src/pool.rs
+++ b/crates/sandtrack-proxy/src/pool.rs
@@ -59,14 +59,21 @@
     /// One without connections.
     #[must_use]
     pub fn new(policy: Rc<Policy>) -> Pool {
-        Pool { policy, upstreams: HashMap::new() }
+        Pool {
+            policy,
+            upstreams: HashMap::new(),
+        }
     }
 
     /// An idle connection that is quiet: nothing came on it, and it is not closed. The youngest first.
     pub fn take(&mut self, identifier: &str, now: Millis) -> Option<Connection> {
         let upstream = self.upstreams.get_mut(identifier)?;
         upstream.idle.retain(|idle| idle.until > now);
-        while let Some(Idle { mut connection, until }) = upstream.idle.pop() {
+        while let Some(Idle {
+            mut connection,
+            until,
+        }) = upstream.idle.pop()
+        {
             let read = future::poll_once(read_into(&connection.stream, &mut connection.input));
             let quiet = future::block_on(read).is_none();
             if may_use_idle(quiet, now, until) {
@@ -78,31 +85,47 @@
 
     /// Connections open to an upstream, idle ones as well.
     pub fn open(&self, identifier: &str) -> usize {
-        self.upstreams.get(identifier).map_or(0, |upstream| upstream.open.get())
+        self.upstreams
+            .get(identifier)
+            .map_or(0, |upstream| upstream.open.get())
     }
 
     /// Makes room for a new connection by closing an idle one.
     pub fn drop_idle(&mut self, identifier: &str) -> bool {
-        self.upstreams.get_mut(identifier).is_some_and(|upstream| upstream.idle.pop().is_some())
+        self.upstreams
+            .get_mut(identifier)
+            .is_some_and(|upstream| upstream.idle.pop().is_some())
     }
 
     /// Counts a connection that is being opened.
     fn opened(&mut self, identifier: &str) -> Open {
-        let open = self.upstreams.entry(identifier.to_owned()).or_default().open.clone();
+        let open = self
+            .upstreams
+            .entry(identifier.to_owned())
+            .or_default()
+            .open
+            .clone();
         open.set(open.get() + 1);
         Open(open)
     }
 
     /// Takes a connection back after a whole answer with this head.
     pub fn give(&mut self, identifier: &str, mut connection: Connection, head: &Head, now: Millis) {
-        let Some(most) = kept_for(head, &self.policy) else { return };
+        let Some(most) = kept_for(head, &self.policy) else {
+            return;
+        };
         // Bytes behind a whole answer belong to no request.
         if connection.input.is_empty() {
             let is_quiet = !connection.parser.within(&connection.input);
-            check(Invariant::PooledConnectionIsQuiet, is_quiet, || format!("a connection to {identifier}"));
+            check(Invariant::PooledConnectionIsQuiet, is_quiet, || {
+                format!("a connection to {identifier}")
+            });
             connection.reused = true;
             let upstream = self.upstreams.entry(identifier.to_owned()).or_default();
-            upstream.idle.push(Idle { connection, until: now + most });
+            upstream.idle.push(Idle {
+                connection,
+                until: now + most,
+            });
         }
     }
 
@@ -111,13 +134,17 @@
         for upstream in self.upstreams.values_mut() {
             upstream.idle.retain(|idle| idle.until > now);
         }
-        self.upstreams.retain(|_, upstream| !upstream.idle.is_empty() || upstream.open.get() > 0);
+        self.upstreams
+            .retain(|_, upstream| !upstream.idle.is_empty() || upstream.open.get() > 0);
     }
 }
 
 /// How long a connection may stand idle behind an answer with this head, in ms; `None` where it is to be closed.
 pub fn kept_for(head: &Head, policy: &Policy) -> Option<Millis> {
-    let mut told = head.headers.all("keep-alive").flat_map(|value| value.split(','));
+    let mut told = head
+        .headers
+        .all("keep-alive")
+        .flat_map(|value| value.split(','));
     let told = told.find_map(|part| {
         let seconds = part.trim().strip_prefix("timeout=")?;
         seconds.trim().parse::<f64>().ok()
@@ -133,9 +160,14 @@
 /// # Errors
 /// What the socket said, or that time ran out.
 pub async fn connect(
-    pool: &std::cell::RefCell<Pool>, identifier: &str, address: &str, patience: Millis,
+    pool: &std::cell::RefCell<Pool>,
+    identifier: &str,
+    address: &str,
+    patience: Millis,
 ) -> std::io::Result<Connection> {
-    let address: SocketAddr = address.parse().map_err(|_| std::io::ErrorKind::InvalidInput)?;
+    let address: SocketAddr = address
+        .parse()
+        .map_err(|_| std::io::ErrorKind::InvalidInput)?;
     let open = pool.borrow_mut().opened(identifier);
     let late = async {
         Timer::after(Duration::from_secs_f64(patience.max(1.0) / 1000.0)).await;
--- a/crates/sandtrack-proxy/src/prefill.rs
+++ b/crates/sandtrack-proxy/src/prefill.rs
@@ -94,19 +94,25 @@
 /// All tokens of a prompt.
 fn prompt_tokens(request: &ProxyRequest) -> f64 {
     let listed: u64 = request.prefix.iter().map(|(_, tokens)| tokens).sum();
-    request.tokens.map_or(listed, |(prompt, _)| prompt.max(listed)) as f64
+    request
+        .tokens
+        .map_or(listed, |(prompt, _)| prompt.max(listed)) as f64
 }
 
 impl Prefill {
     /// Tokens a ms that upstreams of a service read.
     #[must_use]
     pub fn rate(&self, service: &str, policy: &Policy) -> f64 {
-        self.rates.get(service).map_or(policy.prefill_rate, |rate| rate.mean)
+        self.rates
+            .get(service)
+            .map_or(policy.prefill_rate, |rate| rate.mean)
     }
 
     /// The upstreams that have read the shared prefix of this request, or read it now.
     fn readers(&self, request: &ProxyRequest) -> &[Reader] {
-        self.prefixes.get(&prefix_key(request)).map_or(&[], |prefix| &prefix.readers)
+        self.prefixes
+            .get(&prefix_key(request))
+            .map_or(&[], |prefix| &prefix.readers)
     }
 
     /// Tells of each upstream whether it is known to have read the shared prefix of this request; the prefix is looked up once.
@@ -121,23 +127,47 @@
     /// What it takes until this upstream has read the request's prompt.
     #[must_use]
     pub fn estimate(
-        &self, now: Millis, request: &ProxyRequest, upstream: &Upstream, policy: &Policy,
+        &self,
+        now: Millis,
+        request: &ProxyRequest,
+        upstream: &Upstream,
+        policy: &Policy,
     ) -> Estimate {
         let key = upstream_key(upstream);
-        let reader = self.readers(request).iter().find(|reader| reader.upstream == key);
+        let reader = self
+            .readers(request)
+            .iter()
+            .find(|reader| reader.upstream == key);
         // While one reads it, a second request that it takes up beside the first reads it as well.
         let is_read = reader.is_some_and(|reader| now >= reader.done_at);
-        let shared = if is_read { request.shared_tokens() as f64 } else { 0.0 };
+        let shared = if is_read {
+            request.shared_tokens() as f64
+        } else {
+            0.0
+        };
         let tokens = (prompt_tokens(request) - shared).max(0.0);
         let kept = reader.is_some();
         let rate = self.rate(&request.service, policy);
-        let ahead = self.backlogs.get(&key).map_or(0.0, |backlog| backlog.left(now, rate)) / rate;
-        Estimate { kept, tokens, ahead, time: ahead + tokens / rate }
+        let ahead = self
+            .backlogs
+            .get(&key)
+            .map_or(0.0, |backlog| backlog.left(now, rate))
+            / rate;
+        Estimate {
+            kept,
+            tokens,
+            ahead,
+            time: ahead + tokens / rate,
+        }
     }
 
     /// This proxy sends a request with a long prompt to the upstream. What was estimated for it.
     pub fn sent(
-        &mut self, now: Millis, request: &ProxyRequest, upstream: &Upstream, policy: &Policy,
+        &mut self,
+        now: Millis,
+        request: &ProxyRequest,
+        upstream: &Upstream,
+        policy: &Policy,
     ) -> Estimate {
         let estimate = self.estimate(now, request, upstream, policy);
         let sent = PromptSent {
@@ -148,7 +178,8 @@
         self.note(now, &sent, self.rate(&request.service, policy));
         self.untold.push(sent);
         if self.untold.len() > UNTOLD_MOST {
-            self.untold.sort_unstable_by_key(|sent| std::cmp::Reverse(sent.tokens));
+            self.untold
+                .sort_unstable_by_key(|sent| std::cmp::Reverse(sent.tokens));
             self.untold.truncate(UNTOLD_MOST);
         }
         estimate
@@ -157,8 +188,16 @@
     /// Other proxies sent long prompts.
     pub fn told(&mut self, now: Millis, sent: &[PromptSent], policy: &Policy) {
         // Whose service it is is not told: services of long prompts are few and alike enough.
-        let rate = self.rates.values().map(|rate| rate.mean).fold(f64::NAN, f64::min);
-        let rate = if rate.is_nan() { policy.prefill_rate } else { rate };
+        let rate = self
+            .rates
+            .values()
+            .map(|rate| rate.mean)
+            .fold(f64::NAN, f64::min);
+        let rate = if rate.is_nan() {
+            policy.prefill_rate
+        } else {
+            rate
+        };
         for sent in sent {
             self.note(now, sent, rate);
         }
@@ -166,16 +205,27 @@
 
     fn note(&mut self, now: Millis, sent: &PromptSent, rate: f64) {
         if self.backlogs.len() >= BACKLOGS_SWEPT {
-            self.backlogs.retain(|_, backlog| backlog.left(now, rate) > 0.0);
+            self.backlogs
+                .retain(|_, backlog| backlog.left(now, rate) > 0.0);
         }
         let backlog = self.backlogs.entry(sent.upstream).or_default();
-        *backlog = Backlog { tokens: backlog.left(now, rate) + f64::from(sent.tokens), at: now };
+        *backlog = Backlog {
+            tokens: backlog.left(now, rate) + f64::from(sent.tokens),
+            at: now,
+        };
         let done_at = now + backlog.tokens / rate;
         self.make_room();
         let prefix = self.prefixes.entry(sent.prefix).or_default();
         prefix.used = now;
-        if !prefix.readers.iter().any(|reader| reader.upstream == sent.upstream) {
-            prefix.readers.push(Reader { upstream: sent.upstream, done_at });
+        if !prefix
+            .readers
+            .iter()
+            .any(|reader| reader.upstream == sent.upstream)
+        {
+            prefix.readers.push(Reader {
+                upstream: sent.upstream,
+                done_at,
+            });
         }
     }
 
@@ -192,14 +242,23 @@
 
     /// The first part of an answer came `elapsed` ms after its request was written, the way there and back left out, and
     /// this was estimated when it was sent.
-    pub fn answered(&mut self, service: &str, estimate: &Estimate, elapsed: Millis, policy: &Policy) {
+    pub fn answered(
+        &mut self,
+        service: &str,
+        estimate: &Estimate,
+        elapsed: Millis,
+        policy: &Policy,
+    ) {
         let before = self.rate(service, policy);
         let tokens = estimate.time * before;
         if tokens < policy.kept_tokens as f64 || elapsed <= 0.0 {
             return;
         }
         let sample = (tokens / elapsed).clamp(before / RATE_CAP, before * RATE_CAP);
-        let rate = self.rates.entry(service.to_owned()).or_insert(Rate { mean: before, samples: 1.0 });
+        let rate = self.rates.entry(service.to_owned()).or_insert(Rate {
+            mean: before,
+            samples: 1.0,
+        });
         rate.samples += 1.0;
         rate.mean += (sample - rate.mean) * (1.0 / rate.samples).max(RATE_WEIGHT_LEAST);
     }
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -43,11 +43,21 @@
 }
 
 fn options() -> OptionParser<Options> {
-    let check = long("check").help("Read and check the settings, and end").switch();
-    let log_level = long("log-level").help("error, warn, info or debug").argument("LEVEL");
+    let check = long("check")
+        .help("Read and check the settings, and end")
+        .switch();
+    let log_level = long("log-level")
+        .help("error, warn, info or debug")
+        .argument("LEVEL");
     let log_level = log_level.fallback("info".to_owned());
     let policy = policy();
-    construct!(Options { check, log_level, policy }).to_options().descr("The data plane of sandtrack")
+    construct!(Options {
+        check,
+        log_level,
+        policy
+    })
+    .to_options()
+    .descr("The data plane of sandtrack")
 }
 
 /// The constants that decisions go by: in a release build always the default.
@@ -59,8 +69,12 @@
 /// The constants that decisions go by, some of them set anew.
 #[cfg(feature = "ablation")]
 fn policy() -> impl Parser<Policy> {
-    let policy = long("policy").help("Constants set anew: NAME=VALUE,...").argument::<String>("CHANGES");
-    policy.parse(|changes| Policy::with(&changes)).fallback(Policy::default())
+    let policy = long("policy")
+        .help("Constants set anew: NAME=VALUE,...")
+        .argument::<String>("CHANGES");
+    policy
+        .parse(|changes| Policy::with(&changes))
+        .fallback(Policy::default())
 }
 
 /// The program; gives its exit code: 0 after SIGTERM, 1 when it can't listen, 2 when its settings are wrong.
@@ -107,7 +121,9 @@
 }
 
 fn bind(settings: &Settings, name: &str) -> std::io::Result<Option<Async<TcpListener>>> {
-    let Some(address) = settings.listen.get(name) else { return Ok(None) };
+    let Some(address) = settings.listen.get(name) else {
+        return Ok(None);
+    };
     let wrong = |_| std::io::Error::other(format!("{name}: `{address}` is no address"));
     let address: SocketAddr = address.parse().map_err(wrong)?;
     Async::<TcpListener>::bind(address).map(Some)
@@ -117,7 +133,9 @@
 fn metrics_listener(settings: &Settings) -> Option<Async<TcpListener>> {
     let address = metrics::address(settings, metrics::PROXY_PORT);
     let listener = text_server::listen(&address);
-    listener.inspect_err(|error| log::warn!("no figures at {address}: {error}")).ok()
+    listener
+        .inspect_err(|error| log::warn!("no figures at {address}: {error}"))
+        .ok()
 }
 
 /// Reads the settings again at SIGHUP, and where their file has changed without one. Returns at any other signal.
@@ -151,7 +169,10 @@
 }
 
 async fn serve(
-    settings: Settings, policy: Policy, path: PathBuf, mut signals: Signals,
+    settings: Settings,
+    policy: Policy,
+    path: PathBuf,
+    mut signals: Signals,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
     let seed = RandomState::new().build_hasher().finish();
@@ -162,7 +183,13 @@
     let checks = bind(&settings, "readiness")?;
     let scraped = metrics_listener(&settings);
     let balancer = Balancer::with_policy(&settings, seed, Rc::new(policy));
-    let shared = Rc::new(Shared::new(settings, balancer, executor.clone(), seed, left));
+    let shared = Rc::new(Shared::new(
+        settings,
+        balancer,
+        executor.clone(),
+        seed,
+        left,
+    ));
     if let Some(listener) = listener {
         let serving = shared.clone();
         let accepting = async move {
@@ -172,12 +199,15 @@
         executor.spawn(accepting).detach();
     }
     if let Some(checks) = checks {
-        executor.spawn(front::readiness(shared.clone(), checks)).detach();
+        executor
+            .spawn(front::readiness(shared.clone(), checks))
+            .detach();
     }
     if let Some(scraped) = scraped {
         let told = shared.clone();
-        let serving =
-            async move { text_server::serve(scraped, metrics::PATH, || figures::text(&told)).await };
+        let serving = async move {
+            text_server::serve(scraped, metrics::PATH, || figures::text(&told)).await
+        };
         executor.spawn(serving).detach();
     }
     executor.spawn(session::run(shared.clone())).detach();
@@ -190,7 +220,10 @@
     shared.tell_news();
     leave.close();
     log::info!("told to stop");
-    Timer::after(Duration::from_secs_f64(ACCEPT_ON.min(grace * ACCEPT_SHARE) / 1000.0)).await;
+    Timer::after(Duration::from_secs_f64(
+        ACCEPT_ON.min(grace * ACCEPT_SHARE) / 1000.0,
+    ))
+    .await;
     stop.close();
     while shared.connections.get() > 0 && shared.clock.now() - told < grace - GRACE_MARGIN {
         Timer::after(Duration::from_millis(20)).await;
--- a/crates/sandtrack-proxy/src/prompt_mix.rs
+++ b/crates/sandtrack-proxy/src/prompt_mix.rs
@@ -64,7 +64,10 @@
         self.requests.add(now, 1.0, self.memory);
         for home in homes {
             let part = tokens / homes.len() as f64;
-            self.bound.entry(home.clone()).or_default().add(now, part, self.memory);
+            self.bound
+                .entry(home.clone())
+                .or_default()
+                .add(now, part, self.memory);
         }
     }
 
@@ -72,20 +75,34 @@
     /// when it has read what is bound to its region. `upstreams`: how many there are in each region.
     #[must_use]
     pub fn weights<'a>(
-        &self, now: Millis, upstreams: &BTreeMap<&'a str, usize>, prior: Prior,
+        &self,
+        now: Millis,
+        upstreams: &BTreeMap<&'a str, usize>,
+        prior: Prior,
     ) -> BTreeMap<&'a str, f64> {
         let requests = self.requests.get(now, self.memory);
         let evidence = requests / (requests + prior.requests).max(f64::MIN_POSITIVE);
-        let bound = |region: &str| self.bound.get(region).map_or(0.0, |tokens| tokens.get(now, self.memory));
-        let total =
-            self.long.get(now, self.memory) + upstreams.keys().map(|region| bound(region)).sum::<f64>();
+        let bound = |region: &str| {
+            self.bound
+                .get(region)
+                .map_or(0.0, |tokens| tokens.get(now, self.memory))
+        };
+        let total = self.long.get(now, self.memory)
+            + upstreams.keys().map(|region| bound(region)).sum::<f64>();
         let mean = total / upstreams.values().sum::<usize>().max(1) as f64;
         let weight = |region: &str, count: usize| {
             let left = mean - bound(region) / count.max(1) as f64;
-            let seen = if mean > 0.0 { (left / mean).clamp(prior.least, 1.0) } else { prior.weight };
+            let seen = if mean > 0.0 {
+                (left / mean).clamp(prior.least, 1.0)
+            } else {
+                prior.weight
+            };
             prior.weight + evidence * (seen - prior.weight)
         };
-        upstreams.iter().map(|(region, count)| (*region, weight(region, *count))).collect()
+        upstreams
+            .iter()
+            .map(|(region, count)| (*region, weight(region, *count)))
+            .collect()
     }
 }
 
--- a/crates/sandtrack-proxy/src/region_trips.rs
+++ b/crates/sandtrack-proxy/src/region_trips.rs
@@ -63,19 +63,27 @@
     /// How long a probe waits for its answer, the connection included, in ms; `average`: the upstream's own probe time.
     #[must_use]
     pub fn probe_timeout(
-        &self, now: Millis, region: &str, average: Option<Millis>, policy: &Policy,
+        &self,
+        now: Millis,
+        region: &str,
+        average: Option<Millis>,
+        policy: &Policy,
     ) -> Millis {
         let trip = self.trips.get(region).copied().unwrap_or_default();
-        let known = average.or(trip.average.get()).filter(|_| !trip.is_forgotten(now, policy));
+        let known = average
+            .or(trip.average.get())
+            .filter(|_| !trip.is_forgotten(now, policy));
         match known {
             Some(average) => policy.probe_patience_ms + 3.0 * average,
-            None => doubled(policy.first_probe_patience_ms, trip.timeouts).min(policy.probe_patience_most_ms),
+            None => doubled(policy.first_probe_patience_ms, trip.timeouts)
+                .min(policy.probe_patience_most_ms),
         }
     }
 }
 
 impl Trip {
     fn is_forgotten(&self, now: Millis, policy: &Policy) -> bool {
-        self.failing_since.is_some_and(|since| now - since > policy.trip_forgotten_ms)
+        self.failing_since
+            .is_some_and(|since| now - since > policy.trip_forgotten_ms)
     }
 }
--- a/crates/sandtrack-proxy/src/request.rs
+++ b/crates/sandtrack-proxy/src/request.rs
@@ -34,21 +34,37 @@
     /// # Errors
     /// 404 where no route matches.
     pub fn decode(
-        configuration: &Configuration, head: Head, body: Vec<u8>, arrived: Millis, draw: f64,
+        configuration: &Configuration,
+        head: Head,
+        body: Vec<u8>,
+        arrived: Millis,
+        draw: f64,
     ) -> Result<ProxyRequest, Refused> {
         use sandtrack_protocol::codes;
-        let route = route_of(configuration, &head).ok_or(Refused(404, codes::NO_ROUTE))?.clone();
+        let route = route_of(configuration, &head)
+            .ok_or(Refused(404, codes::NO_ROUTE))?
+            .clone();
         let left = allowed(&route, &head);
         let target = origin_form(&head.target).into_owned();
         let tokens = head.headers.get("token-counts").and_then(|value| {
             let (prompt, out) = value.split_once(',')?;
             Some((prompt.trim().parse().ok()?, out.trim().parse().ok()?))
         });
-        let prefix = head.headers.get("prompt-prefix").map(prefix).unwrap_or_default();
+        let prefix = head
+            .headers
+            .get("prompt-prefix")
+            .map(prefix)
+            .unwrap_or_default();
         let headers = head.headers.end_to_end();
-        let headers = headers.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
+        let headers = headers
+            .map(|(name, value)| (name.to_owned(), value.to_owned()))
+            .collect();
         Ok(ProxyRequest {
-            id: head.headers.get("request-id").unwrap_or_default().to_owned(),
+            id: head
+                .headers
+                .get("request-id")
+                .unwrap_or_default()
+                .to_owned(),
             model: head.headers.get("model").map(str::to_owned),
             service: drawn(&route.split, draw).to_owned(),
             deadline: arrived + left,
@@ -85,7 +101,9 @@
     /// One number for the shared parts; the same for all proxies.
     pub fn shared_key(&self) -> u64 {
         let shared = self.prefix.len().saturating_sub(1);
-        self.prefix[..shared].iter().fold(0x9e37_79b9_7f4a_7c15, |key, (id, _)| mix(key ^ id))
+        self.prefix[..shared]
+            .iter()
+            .fold(0x9e37_79b9_7f4a_7c15, |key, (id, _)| mix(key ^ id))
     }
 }
 
@@ -97,8 +115,12 @@
 
 /// How long the request with this head may be held, in ms: what its client waits, and not over the route's time.
 fn allowed(route: &Route, head: &Head) -> Millis {
-    let told = head.headers.get("deadline-remaining").and_then(|value| value.trim().parse::<f64>().ok());
-    told.filter(|left| *left >= 0.0).map_or(route.timeout_ms, |left| left.min(route.timeout_ms))
+    let told = head
+        .headers
+        .get("deadline-remaining")
+        .and_then(|value| value.trim().parse::<f64>().ok());
+    told.filter(|left| *left >= 0.0)
+        .map_or(route.timeout_ms, |left| left.min(route.timeout_ms))
 }
 
 /// How long the request with this head may be held, in ms, before its body is there; `None` where no route matches.
@@ -115,7 +137,11 @@
         }
         rest -= weight;
     }
-    split.iter().rev().find(|(_, weight)| *weight > 0.0).map_or("", |(service, _)| service)
+    split
+        .iter()
+        .rev()
+        .find(|(_, weight)| *weight > 0.0)
+        .map_or("", |(service, _)| service)
 }
 
 /// Parts `ID:TOKENS` joined by commas, the id in hex; what can't be read ends the list.
--- a/crates/sandtrack-proxy/src/request_log.rs
+++ b/crates/sandtrack-proxy/src/request_log.rs
@@ -28,12 +28,21 @@
 impl<'a> RequestLog<'a> {
     /// A request that begins to be carried.
     pub fn new(shared: &'a Shared, request: &'a ProxyRequest) -> RequestLog<'a> {
-        RequestLog { shared, request, sends: Vec::new(), is_over: false }
+        RequestLog {
+            shared,
+            request,
+            sends: Vec::new(),
+            is_over: false,
+        }
     }
 
     /// It is sent to an upstream.
     pub fn send_begins(&mut self, identifier: String) {
-        self.sends.push(Send { identifier, begun: self.shared.clock.now(), ended: None });
+        self.sends.push(Send {
+            identifier,
+            begun: self.shared.clock.now(),
+            ended: None,
+        });
     }
 
     /// A send of it is over.
@@ -58,7 +67,12 @@
         let timeline = Timeline {
             arrived: request.arrived,
             first_send: self.sends.first().map_or(asked, begun),
-            send: self.sends.iter().rev().find(|send| send.identifier == identifier).map_or(asked, begun),
+            send: self
+                .sends
+                .iter()
+                .rev()
+                .find(|send| send.identifier == identifier)
+                .map_or(asked, begun),
             asked,
             answered: now,
             far,
@@ -73,7 +87,11 @@
             // Writing into memory can't fail.
             let _ = write!(line, "; prompt of {counts} tokens, {shared} of them shared");
             let what = format!("begins late by {}", cause.name());
-            log::info!("{}{}", self.line(&what, now, &line), left_out_before(left_out));
+            log::info!(
+                "{}{}",
+                self.line(&what, now, &line),
+                left_out_before(left_out)
+            );
         }
     }
 
@@ -84,7 +102,11 @@
         outcomes.note_late_pause();
         if let Some(left_out) = outcomes.take_line(now) {
             let what = format!("paused for {pause:.0} ms");
-            log::info!("{}{}", self.line(&what, now, &self.ways()), left_out_before(left_out));
+            log::info!(
+                "{}{}",
+                self.line(&what, now, &self.ways()),
+                left_out_before(left_out)
+            );
         }
     }
 
@@ -120,11 +142,22 @@
     fn ways(&self) -> String {
         let request = self.request;
         let mut line = String::new();
-        for Send { identifier, begun, ended } in &self.sends {
+        for Send {
+            identifier,
+            begun,
+            ended,
+        } in &self.sends
+        {
             // Writing into memory can't fail.
-            let _ = write!(line, "; at {identifier} from {:.0}", begun - request.arrived);
+            let _ = write!(
+                line,
+                "; at {identifier} from {:.0}",
+                begun - request.arrived
+            );
             let _ = match ended {
-                Some((ended, at)) => write!(line, " {} by {:.0}", ended.name(), at - request.arrived),
+                Some((ended, at)) => {
+                    write!(line, " {} by {:.0}", ended.name(), at - request.arrived)
+                }
                 None => write!(line, " to the end"),
             };
         }
@@ -148,7 +181,10 @@
     outcomes.note(outcome, 0.0);
     if let Some(left_out) = outcomes.take_line(now) {
         let id = if id.is_empty() { "without an id" } else { id };
-        log::info!("request {id}: {outcome} before it was carried{}", left_out_before(left_out));
+        log::info!(
+            "request {id}: {outcome} before it was carried{}",
+            left_out_before(left_out)
+        );
     }
 }
 
--- a/crates/sandtrack-proxy/src/session.rs
+++ b/crates/sandtrack-proxy/src/session.rs
@@ -8,7 +8,9 @@
 use futures_lite::future;
 use sandtrack_net::ring::Ring;
 use sandtrack_net::socket::{no_delay, write_within};
-use sandtrack_protocol::frames::{frame, take, ProxyInfo, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS};
+use sandtrack_protocol::frames::{
+    frame, take, ProxyInfo, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
+};
 use std::cell::RefCell;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -42,7 +44,10 @@
 
 impl Incoming {
     fn new() -> Incoming {
-        Incoming { held: Vec::new(), buffer: vec![0; 16 * 1024] }
+        Incoming {
+            held: Vec::new(),
+            buffer: vec![0; 16 * 1024],
+        }
     }
 
     /// The next frame; `None` where the session is over, silent, or speaks something else.
@@ -88,7 +93,11 @@
     loop {
         let accepted = Accepted::in_round(shared.balancer.borrow().is_ready(), vain_rounds);
         let mut session = seek(&shared, accepted, connect_timeout(vain_rounds), None).await;
-        vain_rounds = if session.is_none() { vain_rounds + 1 } else { 0 };
+        vain_rounds = if session.is_none() {
+            vain_rounds + 1
+        } else {
+            0
+        };
         if session.is_none() {
             Timer::after(PAUSE).await;
         }
@@ -100,10 +109,19 @@
 
 /// Asks one candidate after the other, but for the one that it is with.
 async fn seek(
-    shared: &Shared, accepted: Accepted, patience: Duration, except: Option<&str>,
+    shared: &Shared,
+    accepted: Accepted,
+    patience: Duration,
+    except: Option<&str>,
 ) -> Option<Session> {
-    let tried = candidates(&shared.settings.borrow(), &shared.balancer.borrow().control_nodes);
-    for address in tried.iter().filter(|address| Some(address.as_str()) != except) {
+    let tried = candidates(
+        &shared.settings.borrow(),
+        &shared.balancer.borrow().control_nodes,
+    );
+    for address in tried
+        .iter()
+        .filter(|address| Some(address.as_str()) != except)
+    {
         if let Some(session) = open(shared, address, accepted, patience).await {
             return Some(session);
         }
@@ -112,7 +130,12 @@
 }
 
 /// Opens a session with one control node; none where that does not answer or is not accepted.
-async fn open(shared: &Shared, address: &str, accepted: Accepted, patience: Duration) -> Option<Session> {
+async fn open(
+    shared: &Shared,
+    address: &str,
+    accepted: Accepted,
+    patience: Duration,
+) -> Option<Session> {
     let late = async {
         Timer::after(patience).await;
         Err(std::io::ErrorKind::TimedOut.into())
@@ -125,7 +148,12 @@
     }
     let mut incoming = Incoming::new();
     let first = incoming.next(&stream).await?;
-    let ToProxy::Welcome { format, control_node, attached } = &first else {
+    let ToProxy::Welcome {
+        format,
+        control_node,
+        attached,
+    } = &first
+    else {
         log::error!("session with control: {address} does not begin with a welcome");
         return None;
     };
@@ -135,7 +163,12 @@
     }
     log::info!("session with {control_node} stands");
     let standing = RefCell::new(Standing::new(shared.clock.now(), *attached));
-    Some(Session { address: address.to_owned(), stream, incoming, standing })
+    Some(Session {
+        address: address.to_owned(),
+        stream,
+        incoming,
+        standing,
+    })
 }
 
 fn hello(shared: &Shared) -> ToControl {
@@ -147,12 +180,21 @@
         region: settings.region.clone(),
         front: settings.listen.get("front").cloned().unwrap_or_default(),
     };
-    ToControl::Hello { format: FORMAT, info, state: shared.balancer.borrow().state() }
+    ToControl::Hello {
+        format: FORMAT,
+        info,
+        state: shared.balancer.borrow().state(),
+    }
 }
 
 /// Holds a session until it breaks; a better one where such was found before that.
 async fn hold(shared: &Shared, session: Session) -> Option<Session> {
-    let Session { address, stream, incoming, standing } = session;
+    let Session {
+        address,
+        stream,
+        incoming,
+        standing,
+    } = session;
     let (want, wants) = async_channel::unbounded();
     let telling = async {
         tell(shared, &stream, wants).await;
@@ -163,7 +205,11 @@
         None
     };
     let looking = look(shared, &address, &standing);
-    future::or(listening, future::or(telling, async { Some(looking.await) })).await
+    future::or(
+        listening,
+        future::or(telling, async { Some(looking.await) }),
+    )
+    .await
 }
 
 /// While its control node hears no majority, asks the others for one that does, and goes on with this one meanwhile.
@@ -185,11 +231,16 @@
 async fn write(stream: &Async<TcpStream>, message: &ToControl) -> bool {
     let bytes = frame(message);
     let mut output = Ring::new(bytes.len());
-    output.push(&bytes) && write_within(stream, &mut output, Duration::from_millis(SILENCE_MS)).await
+    output.push(&bytes)
+        && write_within(stream, &mut output, Duration::from_millis(SILENCE_MS)).await
 }
 
 /// Says with each beat, and at once when something changed, how this proxy is. Returns when the session broke.
-async fn tell(shared: &Shared, stream: &Async<TcpStream>, wants: async_channel::Receiver<ToControl>) {
+async fn tell(
+    shared: &Shared,
+    stream: &Async<TcpStream>,
+    wants: async_channel::Receiver<ToControl>,
+) {
     let mut told = None;
     let mut told_at = 0.0;
     loop {
@@ -228,7 +279,10 @@
 
 /// Takes what control tells until the session breaks.
 async fn listen(
-    shared: &Shared, stream: &Async<TcpStream>, mut incoming: Incoming, standing: &RefCell<Standing>,
+    shared: &Shared,
+    stream: &Async<TcpStream>,
+    mut incoming: Incoming,
+    standing: &RefCell<Standing>,
     want: async_channel::Sender<ToControl>,
 ) {
     while let Some(message) = incoming.next(stream).await {
--- a/crates/sandtrack-proxy/src/session_policy.rs
+++ b/crates/sandtrack-proxy/src/session_policy.rs
@@ -89,7 +89,10 @@
 
 impl Standing {
     pub fn new(now: Millis, attached: bool) -> Standing {
-        Standing { detached_since: (!attached).then_some(now), looked: now }
+        Standing {
+            detached_since: (!attached).then_some(now),
+            looked: now,
+        }
     }
 
     /// A beat of the control node.
@@ -102,9 +105,9 @@
 
     /// Whether to ask the other control nodes now; it is counted as done if so.
     pub fn take_look(&mut self, now: Millis) -> bool {
-        let due = self
-            .detached_since
-            .is_some_and(|since| now - since > DETACHED_LOOK_MS && now - self.looked > DETACHED_LOOK_MS);
+        let due = self.detached_since.is_some_and(|since| {
+            now - since > DETACHED_LOOK_MS && now - self.looked > DETACHED_LOOK_MS
+        });
         if due {
             self.looked = now;
         }
--- a/crates/sandtrack-proxy/src/shared.rs
+++ b/crates/sandtrack-proxy/src/shared.rs
@@ -24,7 +24,10 @@
 impl Memory {
     fn of(settings: &Settings) -> Memory {
         let bound = settings.memory_part(BODIES);
-        Memory { requests: ByteBudget::new(bound), answers: ByteBudget::new(bound) }
+        Memory {
+            requests: ByteBudget::new(bound),
+            answers: ByteBudget::new(bound),
+        }
     }
 }
 
@@ -51,7 +54,10 @@
 
 impl Shared {
     pub fn new(
-        settings: Settings, balancer: Balancer, executor: Rc<LocalExecutor<'static>>, incarnation: u64,
+        settings: Settings,
+        balancer: Balancer,
+        executor: Rc<LocalExecutor<'static>>,
+        incarnation: u64,
         left: async_channel::Receiver<()>,
     ) -> Shared {
         let (news_sender, news) = async_channel::bounded(1);
--- a/crates/sandtrack-proxy/src/upstreams.rs
+++ b/crates/sandtrack-proxy/src/upstreams.rs
@@ -17,8 +17,14 @@
 impl Load {
     /// Reads the header's value.
     pub fn parse(value: &str) -> Option<Load> {
-        let mut numbers = value.split(',').map(|number| number.trim().parse::<f64>().ok());
-        Some(Load { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
+        let mut numbers = value
+            .split(',')
+            .map(|number| number.trim().parse::<f64>().ok());
+        Some(Load {
+            running: numbers.next()??,
+            waiting: numbers.next()??,
+            slots: numbers.next()??,
+        })
     }
 }
 
@@ -82,7 +88,10 @@
     pub fn list(&mut self, entry: UpstreamEntry, now: Millis) {
         self.listed = true;
         self.cold(f64::from(entry.cold_remaining_ms), now);
-        self.ends_at = entry.time_left_ms.map(|left| now + f64::from(left)).or(self.ends_at);
+        self.ends_at = entry
+            .time_left_ms
+            .map(|left| now + f64::from(left))
+            .or(self.ends_at);
         self.entry = entry;
     }
 
@@ -136,7 +145,10 @@
     }
 
     pub fn listed(&self) -> impl Iterator<Item = usize> + '_ {
-        self.by_identifier.values().copied().filter(|place| self.all[*place].listed)
+        self.by_identifier
+            .values()
+            .copied()
+            .filter(|place| self.all[*place].listed)
     }
 
     pub fn get(&self, place: usize) -> &Upstream {
--- a/crates/sandtrack-proxy/src/zone_outlook.rs
+++ b/crates/sandtrack-proxy/src/zone_outlook.rs
@@ -24,7 +24,11 @@
     #[must_use]
     pub fn new(policy: &Policy) -> ZoneOutlook {
         let (failures, counts_for) = (policy.zone_failures, policy.zone_failure_ms);
-        ZoneOutlook { failed: HashMap::new(), failures, counts_for }
+        ZoneOutlook {
+            failed: HashMap::new(),
+            failures,
+            counts_for,
+        }
     }
 
     /// A probe or a send to this upstream failed. Whether its zone counts as silent from now on.
@@ -45,6 +49,8 @@
     #[must_use]
     pub fn is_silent(&self, now: Millis, zone: &str) -> bool {
         let counts = |at: &&Millis| now - **at <= self.counts_for;
-        self.failed.get(zone).is_some_and(|failed| failed.values().filter(counts).count() >= self.failures)
+        self.failed
+            .get(zone)
+            .is_some_and(|failed| failed.values().filter(counts).count() >= self.failures)
     }
 }
--- a/crates/sandtrack-proxy/tests/budget.rs
+++ b/crates/sandtrack-proxy/tests/budget.rs
@@ -8,8 +8,13 @@
 fn shares_of_all_proxies_never_pass_the_bound() {
     for proxies in [1, 3, 12, 72, 1500] {
         for total in [6.0, 35.0, 72.5] {
-            let sum: u32 = (0..proxies).map(|rank| share(total, proxies, u64::from(rank))).sum();
-            assert!(f64::from(sum) <= total, "{proxies} proxies send {sum} of {total}");
+            let sum: u32 = (0..proxies)
+                .map(|rank| share(total, proxies, u64::from(rank)))
+                .sum();
+            assert!(
+                f64::from(sum) <= total,
+                "{proxies} proxies send {sum} of {total}"
+            );
             assert!(sum > 0, "with {proxies} proxies nobody may send");
         }
     }
@@ -31,7 +36,10 @@
             repeats.push(now);
         }
         let count = |times: &[f64]| times.iter().filter(|at| **at > now - 10_000.0).count() as f64;
-        assert!(count(&repeats) <= count(&requests) * 0.2 + 64.0 / 12.0, "at {now}");
+        assert!(
+            count(&repeats) <= count(&requests) * 0.2 + 64.0 / 12.0,
+            "at {now}"
+        );
     }
     assert!(repeats.len() > 100, "the budget is there to be used");
 }
@@ -42,7 +50,11 @@
     for step in 0..100_000 {
         budget.request(f64::from(step), 10_000.0);
     }
-    assert!(budget.remembered() <= 10_001, "{} requests are held of 100 s", budget.remembered());
+    assert!(
+        budget.remembered() <= 10_001,
+        "{} requests are held of 100 s",
+        budget.remembered()
+    );
 }
 
 /// Services come and go with configurations, thousands of them in a day: those that went are forgotten once their window is over,
@@ -54,14 +66,32 @@
         let now = f64::from(change) * 1000.0;
         let (number, version) = (u64::from(10 + change as u32), u64::from(10 + change as u32));
         let document = CONFIGURATION
-            .replace("\"version_number\":7", &format!("\"version_number\":{version}"))
+            .replace(
+                "\"version_number\":7",
+                &format!("\"version_number\":{version}"),
+            )
             .replace("\"printer\"", &format!("\"printer-{change}\""));
-        balancer.fold(now, ToProxy::Configuration { number, version, document });
+        balancer.fold(
+            now,
+            ToProxy::Configuration {
+                number,
+                version,
+                document,
+            },
+        );
         let asked = request(&balancer, "/slips/deep/a", &[]);
         assert_eq!(asked.service, format!("printer-{change}"));
         balancer.came(now, &asked);
     }
     // Those of the last window of 10 s, and those in force.
-    assert!(balancer.remembered_services() <= 13, "{} services", balancer.remembered_services());
-    assert!(balancer.remembered_services() >= 10, "{} services", balancer.remembered_services());
+    assert!(
+        balancer.remembered_services() <= 13,
+        "{} services",
+        balancer.remembered_services()
+    );
+    assert!(
+        balancer.remembered_services() >= 10,
+        "{} services",
+        balancer.remembered_services()
+    );
 }
--- a/crates/sandtrack-proxy/tests/common/mod.rs
+++ b/crates/sandtrack-proxy/tests/common/mod.rs
@@ -46,9 +46,31 @@
 pub fn balancer(entries: Vec<UpstreamEntry>) -> Balancer {
     let mut balancer = Balancer::new(&settings(), 1);
     let document = CONFIGURATION.to_owned();
-    balancer.fold(0.0, ToProxy::Configuration { number: 3, version: 7, document });
-    balancer.fold(0.0, ToProxy::Upstreams { whole: true, round: 1, entries, gone: Vec::new() });
-    balancer.fold(0.0, ToProxy::Census { control_nodes: Vec::new(), proxies: 12, rank: 0 });
+    balancer.fold(
+        0.0,
+        ToProxy::Configuration {
+            number: 3,
+            version: 7,
+            document,
+        },
+    );
+    balancer.fold(
+        0.0,
+        ToProxy::Upstreams {
+            whole: true,
+            round: 1,
+            entries,
+            gone: Vec::new(),
+        },
+    );
+    balancer.fold(
+        0.0,
+        ToProxy::Census {
+            control_nodes: Vec::new(),
+            proxies: 12,
+            rank: 0,
+        },
+    );
     balancer
 }
 
@@ -65,9 +87,15 @@
 }
 
 pub fn head(target: &str, headers: &[(&str, &str)]) -> Head {
-    let mut all =
-        vec![("Host".to_owned(), "post.example".to_owned()), ("Request-Id".to_owned(), "r1".to_owned())];
-    all.extend(headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())));
+    let mut all = vec![
+        ("Host".to_owned(), "post.example".to_owned()),
+        ("Request-Id".to_owned(), "r1".to_owned()),
+    ];
+    all.extend(
+        headers
+            .iter()
+            .map(|(name, value)| ((*name).to_owned(), (*value).to_owned())),
+    );
     Head {
         method: "POST".to_owned(),
         target: target.to_owned(),
@@ -79,7 +107,10 @@
 }
 
 pub fn request(balancer: &Balancer, target: &str, headers: &[(&str, &str)]) -> ProxyRequest {
-    let configuration = balancer.configuration.clone().expect("there is a configuration");
+    let configuration = balancer
+        .configuration
+        .clone()
+        .expect("there is a configuration");
     ProxyRequest::decode(&configuration, head(target, headers), Vec::new(), 0.0, 0.0)
         .expect("a route matches")
 }
--- a/crates/sandtrack-proxy/tests/distances.rs
+++ b/crates/sandtrack-proxy/tests/distances.rs
@@ -9,11 +9,15 @@
 use sandtrack_proxy::session_policy::connect_timeout;
 
 /// One-way delays in ms.
-const WAYS: [f64; 10] = [1.0, 5.0, 20.0, 35.0, 75.0, 100.0, 140.0, 300.0, 600.0, 1000.0];
+const WAYS: [f64; 10] = [
+    1.0, 5.0, 20.0, 35.0, 75.0, 100.0, 140.0, 300.0, 600.0, 1000.0,
+];
 const AIM: f64 = 1000.0;
 
 fn far_fleet() -> Vec<UpstreamEntry> {
-    (0..4).map(|at| entry(&format!("c{at}"), "model", "c")).collect()
+    (0..4)
+        .map(|at| entry(&format!("c{at}"), "model", "c"))
+        .collect()
 }
 
 #[test]
@@ -31,11 +35,21 @@
                 false => trips.timed_out(0.0, "south"),
             }
         }
-        assert_eq!(trips.get("south"), Some(2.0 * way), "{way} ms one way, {tries} tries");
+        assert_eq!(
+            trips.get("south"),
+            Some(2.0 * way),
+            "{way} ms one way, {tries} tries"
+        );
         assert!(tries <= 3, "{way} ms one way: {tries} tries");
         let takes_next = 2.0 * way;
-        assert!(trips.connect_timeout("south", AIM, &policy) > takes_next, "{way} ms one way");
-        assert!(trips.probe_timeout(0.0, "south", None, &policy) > takes, "{way} ms one way");
+        assert!(
+            trips.connect_timeout("south", AIM, &policy) > takes_next,
+            "{way} ms one way"
+        );
+        assert!(
+            trips.probe_timeout(0.0, "south", None, &policy) > takes,
+            "{way} ms one way"
+        );
     }
 }
 
@@ -62,7 +76,9 @@
     let mut now = 0.0;
     for _ in 0..20 {
         now += 200.0;
-        let Placed::Send(place) = balancer.place(now, &request, &[]) else { continue };
+        let Placed::Send(place) = balancer.place(now, &request, &[]) else {
+            continue;
+        };
         balancer.sent(place);
         if 2.0 * way <= balancer.connect_timeout(&request, place) {
             balancer.note_trip(now, place, 2.0 * way);
@@ -81,7 +97,10 @@
         let mut balancer = balancer(far_fleet());
         assert!(is_reached(&mut balancer, way), "{way} ms one way");
         let all: Vec<usize> = balancer.upstreams.listed().collect();
-        let blamed = all.iter().filter(|place| !balancer.upstreams.get(**place).run.is_empty()).count();
+        let blamed = all
+            .iter()
+            .filter(|place| !balancer.upstreams.get(**place).run.is_empty())
+            .count();
         assert_eq!(blamed, 0, "{way} ms one way");
     }
 }
@@ -94,12 +113,18 @@
     let request = request(&balancer, "/letters/1", &[]);
     for at in 0..5 {
         let now = 100.0 + f64::from(at);
-        assert!(balancer.connect_timeout(&request, place) <= 150.0 + 2.0 * 70.0, "however many failed");
+        assert!(
+            balancer.connect_timeout(&request, place) <= 150.0 + 2.0 * 70.0,
+            "however many failed"
+        );
         balancer.sent(place);
         balancer.connect_timed_out(now, place);
         balancer.ended(now, place, Ended::Broken);
     }
-    assert!(!balancer.upstreams.get(place).run.is_healthy(), "and counts against the upstream");
+    assert!(
+        !balancer.upstreams.get(place).run.is_healthy(),
+        "and counts against the upstream"
+    );
 }
 
 #[test]
@@ -126,14 +151,18 @@
     for way in WAYS {
         balancer.note_trip(0.0, place, 2.0 * way);
         let trip = balancer.region_trip("south").expect("it was measured");
-        assert!(balancer.patience(&request, place) >= 2.0 * trip, "{way} ms one way");
+        assert!(
+            balancer.patience(&request, place) >= 2.0 * trip,
+            "{way} ms one way"
+        );
     }
 }
 
 #[test]
 fn a_session_reaches_control_nodes_at_any_distance() {
     for way in WAYS {
-        let reached = (0..8).find(|vain| connect_timeout(*vain).as_secs_f64() * 1000.0 >= 2.0 * way);
+        let reached =
+            (0..8).find(|vain| connect_timeout(*vain).as_secs_f64() * 1000.0 >= 2.0 * way);
         assert!(reached.is_some(), "{way} ms one way");
     }
     assert_eq!(
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/drawn_fleets.rs
@@ -37,22 +37,40 @@
         let way = [1.0, 10.0, 75.0, 300.0][random.gen_range(0..4)];
         let all: Vec<usize> = balancer.upstreams.listed().collect();
         for place in all {
-            let trip = if balancer.upstreams.get(place).region == "north" { 1.0 } else { 2.0 * way };
+            let trip = if balancer.upstreams.get(place).region == "north" {
+                1.0
+            } else {
+                2.0 * way
+            };
             balancer.probed(0.0, place, Some(trip));
         }
-        let evacuated: BTreeSet<&str> =
-            ZONES.iter().map(|(zone, _)| *zone).filter(|_| random.gen_bool(0.15)).collect();
+        let evacuated: BTreeSet<&str> = ZONES
+            .iter()
+            .map(|(zone, _)| *zone)
+            .filter(|_| random.gen_bool(0.15))
+            .collect();
         let zones = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
         balancer.fold(0.0, ToProxy::Evacuated { number: 4, zones });
-        Fleet { balancer, evacuated, random }
+        Fleet {
+            balancer,
+            evacuated,
+            random,
+        }
     }
 
     /// A letter may go anywhere and has a long prompt; a tag is bound to the north.
     fn request(&mut self) -> ProxyRequest {
         if self.random.gen_bool(0.5) {
-            return request(&self.balancer, "/tags/1", &[("Prompt-Prefix", "7:55,aa:290")]);
+            return request(
+                &self.balancer,
+                "/tags/1",
+                &[("Prompt-Prefix", "7:55,aa:290")],
+            );
         }
-        let (prefix, shared) = (self.random.gen_range(1..30), 1000 * self.random.gen_range(1..40));
+        let (prefix, shared) = (
+            self.random.gen_range(1..30),
+            1000 * self.random.gen_range(1..40),
+        );
         letter(&self.balancer, prefix, shared)
     }
 
@@ -66,14 +84,22 @@
     }
 
     fn able(&self, request: &ProxyRequest) -> Vec<usize> {
-        self.balancer.upstreams.listed().filter(|place| self.may_serve(request, *place)).collect()
+        self.balancer
+            .upstreams
+            .listed()
+            .filter(|place| self.may_serve(request, *place))
+            .collect()
     }
 }
 
 fn letter(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
     let parts = format!("{prefix:x}:{shared},ff:1000");
     let counts = format!("{},50", shared + 1000);
-    request(balancer, "/letters/1", &[("Prompt-Prefix", &parts), ("Token-Counts", &counts)])
+    request(
+        balancer,
+        "/letters/1",
+        &[("Prompt-Prefix", &parts), ("Token-Counts", &counts)],
+    )
 }
 
 #[test]
@@ -84,17 +110,26 @@
             let now = 10.0 * f64::from(step);
             let request = fleet.request();
             let able = fleet.able(&request);
-            let loads: Vec<(usize, f64)> =
-                able.iter().map(|place| (*place, fleet.balancer.upstreams.get(*place).own as f64)).collect();
+            let loads: Vec<(usize, f64)> = able
+                .iter()
+                .map(|place| (*place, fleet.balancer.upstreams.get(*place).own as f64))
+                .collect();
             let slots = |place: usize| fleet.balancer.upstreams.get(place).slots();
-            let has_room = loads.iter().any(|(place, load)| load + 1.0 <= slots(*place) * 1.5);
+            let has_room = loads
+                .iter()
+                .any(|(place, load)| load + 1.0 <= slots(*place) * 1.5);
             match fleet.balancer.place(now, &request, &[]) {
                 Placed::Send(place) => {
-                    assert!(fleet.may_serve(&request, place), "fleet {seed}, step {step}");
+                    assert!(
+                        fleet.may_serve(&request, place),
+                        "fleet {seed}, step {step}"
+                    );
                     fleet.balancer.sent(place);
                     fleet.balancer.prompt_sent(now, &request, place);
                 }
-                Placed::Wait => assert!(!has_room, "fleet {seed}, step {step}: it waits beside room"),
+                Placed::Wait => {
+                    assert!(!has_room, "fleet {seed}, step {step}: it waits beside room")
+                }
                 Placed::None => assert!(able.is_empty(), "fleet {seed}, step {step}"),
             }
         }
@@ -118,7 +153,10 @@
                 readers.entry(prefix).or_default().insert(place);
             }
         }
-        assert!(readers.values().all(|of| of.len() == 1), "fleet {seed}: {readers:?}");
+        assert!(
+            readers.values().all(|of| of.len() == 1),
+            "fleet {seed}: {readers:?}"
+        );
     }
 }
 
@@ -128,10 +166,14 @@
         let mut fleet = Fleet::drawn(seed);
         let request = letter(&fleet.balancer, 3, 10_000);
         let able = fleet.able(&request);
-        let zone = |fleet: &Fleet, place: usize| fleet.balancer.upstreams.get(place).entry.zone.clone();
-        let Some(lost) = able.first().map(|place| zone(&fleet, *place)) else { continue };
-        let (in_lost, others): (Vec<usize>, Vec<usize>) =
-            able.into_iter().partition(|place| zone(&fleet, *place) == lost);
+        let zone =
+            |fleet: &Fleet, place: usize| fleet.balancer.upstreams.get(place).entry.zone.clone();
+        let Some(lost) = able.first().map(|place| zone(&fleet, *place)) else {
+            continue;
+        };
+        let (in_lost, others): (Vec<usize>, Vec<usize>) = able
+            .into_iter()
+            .partition(|place| zone(&fleet, *place) == lost);
         if in_lost.len() < 2 || others.is_empty() {
             continue;
         }
@@ -153,13 +195,21 @@
     let mut played = 0;
     for seed in 0..FLEETS {
         let mut fleet = Fleet::drawn(seed);
-        let request = request(&fleet.balancer, "/tags/1", &[("Prompt-Prefix", "7:55,aa:290")]);
+        let request = request(
+            &fleet.balancer,
+            "/tags/1",
+            &[("Prompt-Prefix", "7:55,aa:290")],
+        );
         let able = fleet.able(&request);
         let used = able.len().min(fleet.balancer.policy.circle_near);
-        let slots = able.first().map_or(0.0, |place| fleet.balancer.upstreams.get(*place).slots());
+        let slots = able
+            .first()
+            .map_or(0.0, |place| fleet.balancer.upstreams.get(*place).slots());
         // A quarter of the places of those that it uses, beside one that is half full.
         let (count, held) = ((used as f64 * slots / 4.0) as usize, (slots / 2.0) as usize);
-        let Placed::Send(crowded) = fleet.balancer.place(0.0, &request, &[]) else { continue };
+        let Placed::Send(crowded) = fleet.balancer.place(0.0, &request, &[]) else {
+            continue;
+        };
         if used < 4 || count < 40 {
             continue;
         }
@@ -173,9 +223,19 @@
         let own = |place: &usize| fleet.balancer.upstreams.get(*place).own as f64;
         let mean = count as f64 / used as f64;
         let added = own(&crowded) - held as f64;
-        assert!(added <= 0.4 * mean + 2.0, "fleet {seed}: {added} more where the mean is {mean}");
-        let most = able.iter().filter(|place| **place != crowded).map(own).fold(0.0, f64::max);
-        assert!(most <= 2.0 * mean + 3.0, "fleet {seed}: {most} at one, {mean} in the mean");
+        assert!(
+            added <= 0.4 * mean + 2.0,
+            "fleet {seed}: {added} more where the mean is {mean}"
+        );
+        let most = able
+            .iter()
+            .filter(|place| **place != crowded)
+            .map(own)
+            .fold(0.0, f64::max);
+        assert!(
+            most <= 2.0 * mean + 3.0,
+            "fleet {seed}: {most} at one, {mean} in the mean"
+        );
     }
     assert!(played > 50, "{played} fleets");
 }
--- a/crates/sandtrack-proxy/tests/events.rs
+++ b/crates/sandtrack-proxy/tests/events.rs
@@ -2,7 +2,8 @@
 use assert_matches::assert_matches;
 use sandtrack_proxy::events::{GivenIds, Scanned, Scanner};
 
-const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n";
+const STREAM: &[u8] =
+    b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n";
 
 #[test]
 fn however_a_stream_is_cut_into_pieces_the_same_bytes_come_out() {
@@ -15,17 +16,26 @@
                 Scanned::Spoilt(_) => panic!("a good stream is taken for spoilt"),
             }
         }
-        assert_eq!((out.as_slice(), scanner.held(), scanner.last_id()), (STREAM, 0, Some(4)));
+        assert_eq!(
+            (out.as_slice(), scanner.held(), scanner.last_id()),
+            (STREAM, 0, Some(4))
+        );
     }
 }
 
 #[test]
 fn half_an_event_is_held_back_and_dropped_where_another_upstream_goes_on() {
     let mut scanner = Scanner::default();
-    assert_eq!(scanner.push(b"id: 1\ndata: a\n\nid: 2\nda"), Scanned::Events(b"id: 1\ndata: a\n\n".to_vec()));
+    assert_eq!(
+        scanner.push(b"id: 1\ndata: a\n\nid: 2\nda"),
+        Scanned::Events(b"id: 1\ndata: a\n\n".to_vec())
+    );
     assert_eq!(scanner.last_id(), Some(1));
     scanner.resume();
-    assert_eq!(scanner.push(b"id: 2\ndata: b\n\n"), Scanned::Events(b"id: 2\ndata: b\n\n".to_vec()));
+    assert_eq!(
+        scanner.push(b"id: 2\ndata: b\n\n"),
+        Scanned::Events(b"id: 2\ndata: b\n\n".to_vec())
+    );
 }
 
 #[test]
@@ -52,7 +62,10 @@
     let piece = vec![b'x'; 64 * 1024];
     let spoilt = (0..1024).find(|_| matches!(scanner.push(&piece), Scanned::Spoilt(_)));
     let taken = spoilt.map(|pieces| (pieces + 1) * piece.len());
-    assert!(taken.is_some_and(|taken| taken <= 2 << 20), "64 MiB were held, for one request of many");
+    assert!(
+        taken.is_some_and(|taken| taken <= 2 << 20),
+        "64 MiB were held, for one request of many"
+    );
     assert_eq!(scanner.held(), 0);
 }
 
--- a/crates/sandtrack-proxy/tests/exchange/control_node.rs
+++ b/crates/sandtrack-proxy/tests/exchange/control_node.rs
@@ -1,6 +1,8 @@
 //! A stand-in for the control plane: says what a test has it say, and beats.
 use crate::wire::PATIENCE;
-use sandtrack_protocol::frames::{frame, take, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT};
+use sandtrack_protocol::frames::{
+    frame, take, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -66,7 +68,12 @@
                 std::thread::spawn(move || session(&serving, stream, &sender));
             }
         });
-        Some(ControlNode { address, shared, heard, accepting: Some(accepting) })
+        Some(ControlNode {
+            address,
+            shared,
+            heard,
+            accepting: Some(accepting),
+        })
     }
 
     /// Tells those that have a session now, and all that open one later.
@@ -103,13 +110,19 @@
     }
 
     pub fn until_state(&self, what: &str, wanted: impl Fn(&ProxyState) -> bool) -> ProxyState {
-        let heard = self.until(what, |heard| matches!(heard, Heard::State(state) if wanted(state)));
-        let Heard::State(state) = heard else { unreachable!("only states were wanted") };
+        let heard = self.until(
+            what,
+            |heard| matches!(heard, Heard::State(state) if wanted(state)),
+        );
+        let Heard::State(state) = heard else {
+            unreachable!("only states were wanted")
+        };
         state
     }
 
     pub fn until_hello(&self) -> (ProxyInfo, ProxyState) {
-        let Heard::Hello(info, state) = self.until("a hello", |heard| matches!(heard, Heard::Hello(..)))
+        let Heard::Hello(info, state) =
+            self.until("a hello", |heard| matches!(heard, Heard::Hello(..)))
         else {
             unreachable!("only a hello was wanted")
         };
@@ -156,9 +169,14 @@
         while let Some((message, length)) = take::<ToControl>(&held).expect("frames") {
             held.drain(..length);
             let heard = match message {
-                ToControl::Hello { format, info, state } => {
+                ToControl::Hello {
+                    format,
+                    info,
+                    state,
+                } => {
                     assert_eq!(format, FORMAT);
-                    if let Some(end) = end.take().filter(|_| !shared.silent.load(Ordering::SeqCst)) {
+                    if let Some(end) = end.take().filter(|_| !shared.silent.load(Ordering::SeqCst))
+                    {
                         welcome(shared, &stream, end);
                     }
                     Heard::Hello(info, state)
@@ -179,7 +197,11 @@
 fn welcome(shared: &Arc<Shared>, stream: &TcpStream, end: Receiver<()>) {
     let attached = shared.attached.load(Ordering::SeqCst);
     let mut said = shared.said.lock().unwrap();
-    let first = ToProxy::Welcome { format: FORMAT, control_node: "a stand-in".to_owned(), attached };
+    let first = ToProxy::Welcome {
+        format: FORMAT,
+        control_node: "a stand-in".to_owned(),
+        attached,
+    };
     let mut stream = stream.try_clone().unwrap();
     let _ = stream.write_all(&frame(&first));
     for message in &said.opening {
@@ -194,7 +216,9 @@
         }
         // Beats and what a test tells do not mix within a frame.
         let _said = shared.said.lock().unwrap();
-        let beat = ToProxy::Beat { attached: shared.attached.load(Ordering::SeqCst) };
+        let beat = ToProxy::Beat {
+            attached: shared.attached.load(Ordering::SeqCst),
+        };
         if !shared.silent.load(Ordering::SeqCst) && stream.write_all(&frame(&beat)).is_err() {
             return;
         }
--- a/crates/sandtrack-proxy/tests/exchange/held.rs
+++ b/crates/sandtrack-proxy/tests/exchange/held.rs
@@ -14,7 +14,9 @@
 fn short_routes(name: &str, upstreams: usize) -> Stage {
     let stage = Stage::empty(name);
     stage.tell_alone();
-    let entries = (0..upstreams).map(|_| stage.upstream("printer", "a")).collect();
+    let entries = (0..upstreams)
+        .map(|_| stage.upstream("printer", "a"))
+        .collect();
     stage.list(entries);
     stage.configure(&routes());
     stage
@@ -30,20 +32,34 @@
     let routes = [
         route("read", "read_only", ""),
         route("pay", "mutating", ""),
-        route("letters", "streaming", r#","resumable":false,"gap_aim_ms":600000"#),
-        route("tags", "streaming", r#","resumable":true,"gap_aim_ms":600000"#),
+        route(
+            "letters",
+            "streaming",
+            r#","resumable":false,"gap_aim_ms":600000"#,
+        ),
+        route(
+            "tags",
+            "streaming",
+            r#","resumable":true,"gap_aim_ms":600000"#,
+        ),
     ];
     routes.join(",")
 }
 
 fn assert_held(began: Instant, what: &str) {
     let held = began.elapsed().as_millis();
-    assert!(held <= TIMEOUT + HELD_BEYOND, "{what} was held for {held} ms");
+    assert!(
+        held <= TIMEOUT + HELD_BEYOND,
+        "{what} was held for {held} ms"
+    );
 }
 
 fn assert_let_go(began: Instant, over: Instant) {
     let held = (over - began).as_millis();
-    assert!(held <= TIMEOUT + HELD_BEYOND, "its upstream was held for {held} ms");
+    assert!(
+        held <= TIMEOUT + HELD_BEYOND,
+        "its upstream was held for {held} ms"
+    );
 }
 
 /// A client that keeps its body back: what has not run is told to come back, and nothing was passed on.
@@ -56,7 +72,10 @@
         client.send(&request("POST", target, id, &[], "").replace(": 0\r\n", ": 10\r\n"));
         let answer = client.answer();
         assert_held(began, target);
-        assert_eq!((answer.status(), answer.header("request-id")), (408, Some(id)));
+        assert_eq!(
+            (answer.status(), answer.header("request-id")),
+            (408, Some(id))
+        );
         assert!(answer.header("retry-after").is_some(), "when to come back");
         client.until_closed();
     }
@@ -139,7 +158,10 @@
 /// A client that takes nothing: its upstream is let go at the time, and not seconds later.
 #[test]
 fn a_client_that_takes_nothing_is_not_waited_for_beyond_the_time() {
-    let stage = short_routes("a_client_that_takes_nothing_is_not_waited_for_beyond_the_time", 1);
+    let stage = short_routes(
+        "a_client_that_takes_nothing_is_not_waited_for_beyond_the_time",
+        1,
+    );
     let mut client = stage.client();
     let began = Instant::now();
     client.post("/letters/a", "r1", "prompt");
@@ -157,13 +179,20 @@
     let mut client = stage.client();
     let began = Instant::now();
     client.send(
-        &[request("POST", "/pay/a", "r1", &[], "one"), request("POST", "/pay/a", "r2", &[], "two")].concat(),
+        &[
+            request("POST", "/pay/a", "r1", &[], "one"),
+            request("POST", "/pay/a", "r2", &[], "two"),
+        ]
+        .concat(),
     );
     let asked = stage.asked();
     assert_eq!(client.answer().status(), 504);
     let answer = client.answer();
     assert_held(began, "the second request");
-    assert_eq!((answer.status(), answer.header("request-id")), (503, Some("r2")));
+    assert_eq!(
+        (answer.status(), answer.header("request-id")),
+        (503, Some("r2"))
+    );
     assert!(answer.header("retry-after").is_some(), "it has not run");
     asked.until_closed();
     stage.finish_unwritten();
@@ -176,7 +205,10 @@
     stage.tell_alone();
     // Connections come up, and nothing is read from them.
     let listener = std::net::TcpListener::bind((stage.ip.as_str(), 0)).unwrap();
-    stage.list(vec![printer("i-deaf", listener.local_addr().unwrap().to_string())]);
+    stage.list(vec![printer(
+        "i-deaf",
+        listener.local_addr().unwrap().to_string(),
+    )]);
     stage.configure(&routes());
     // More than the buffers of a connection take.
     let body = "x".repeat(1_900_000);
--- a/crates/sandtrack-proxy/tests/exchange/limits.rs
+++ b/crates/sandtrack-proxy/tests/exchange/limits.rs
@@ -23,8 +23,10 @@
 /// A client may take a connection up that has rested for longer than the earlier limit allowed.
 #[test]
 fn a_resting_connection_is_kept_when_the_limit_grows() {
-    let stage =
-        with_limits("a_resting_connection_is_kept_when_the_limit_grows", &limits(2048, SHORT_REST_MS));
+    let stage = with_limits(
+        "a_resting_connection_is_kept_when_the_limit_grows",
+        &limits(2048, SHORT_REST_MS),
+    );
     let mut client = stage.client();
     client.get("/slips/a", "r1");
     stage.asked().answer("first");
@@ -40,7 +42,10 @@
 /// A connection that has rested since before the change takes a head of the length that is allowed now.
 #[test]
 fn a_head_may_be_as_long_as_is_in_force() {
-    let stage = with_limits("a_head_may_be_as_long_as_is_in_force", &limits(2048, 60_000));
+    let stage = with_limits(
+        "a_head_may_be_as_long_as_is_in_force",
+        &limits(2048, 60_000),
+    );
     let mut client = stage.client();
     client.get("/slips/a", "r1");
     stage.asked().answer("first");
@@ -52,7 +57,10 @@
         request("GET", "/slips/b", "r2", &[&long], "").as_bytes(),
     );
     let asked = stage.asked();
-    assert!(asked.request.head.contains(&long), "the header is passed on");
+    assert!(
+        asked.request.head.contains(&long),
+        "the header is passed on"
+    );
     asked.answer("second");
     assert_eq!(client.answer().text(), "second");
     stage.finish_unwritten();
--- a/crates/sandtrack-proxy/tests/exchange/memory.rs
+++ b/crates/sandtrack-proxy/tests/exchange/memory.rs
@@ -11,7 +11,11 @@
 fn serving(name: &str, upstreams: usize) -> Stage {
     let stage = Stage::with_memory(name, MEMORY_MB);
     stage.tell_alone();
-    stage.list((0..upstreams).map(|_| stage.upstream("printer", "a")).collect());
+    stage.list(
+        (0..upstreams)
+            .map(|_| stage.upstream("printer", "a"))
+            .collect(),
+    );
     stage.configure_limits(ROUTES, LIMITS);
     stage
 }
@@ -66,12 +70,18 @@
             assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
         } else {
             assert_eq!(answer.status(), 503, "it is not carried");
-            assert!(answer.header("retry-after").is_some(), "it is told when to come back");
+            assert!(
+                answer.header("retry-after").is_some(),
+                "it is told when to come back"
+            );
         }
     }
     // Its room is given back: one more is carried.
     let mut next = stage.client();
-    next.send_bytes("a long body", request("POST", "/pay/a", "next", &[], &body).as_bytes());
+    next.send_bytes(
+        "a long body",
+        request("POST", "/pay/a", "next", &[], &body).as_bytes(),
+    );
     stage.asked().answer("done");
     assert_eq!(next.answer().status(), 200);
     assert_memory(&stage);
@@ -92,8 +102,14 @@
     }
     let carried = carried_while_short_is_served(&stage);
     carried.into_iter().for_each(|asked| asked.answer("done"));
-    let statuses: Vec<u16> = clients.iter_mut().map(|client| client.answer().status()).collect();
-    assert!(statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
+    let statuses: Vec<u16> = clients
+        .iter_mut()
+        .map(|client| client.answer().status())
+        .collect();
+    assert!(
+        statuses.iter().all(|status| matches!(status, 200 | 503)),
+        "{statuses:?}"
+    );
     stage.finish_unwritten();
 }
 
@@ -128,7 +144,10 @@
         .collect();
     assert_memory(&stage);
     assert!(statuses.contains(&200), "{statuses:?}");
-    assert!(statuses.iter().all(|status| matches!(status, 200 | 502)), "{statuses:?}");
+    assert!(
+        statuses.iter().all(|status| matches!(status, 200 | 502)),
+        "{statuses:?}"
+    );
     // One alone has room.
     let mut last = stage.client();
     last.post("/pay/once/a", "last", "");
--- a/crates/sandtrack-proxy/tests/exchange/mixed.rs
+++ b/crates/sandtrack-proxy/tests/exchange/mixed.rs
@@ -103,7 +103,10 @@
     let mut client = stage.client();
     client.get("/slips/a", "r1");
     let mut asked = stage.asked();
-    asked.say(&format!("{}{ANOTHER_ID}", crate::upstream::answer("r1", "one")));
+    asked.say(&format!(
+        "{}{ANOTHER_ID}",
+        crate::upstream::answer("r1", "one")
+    ));
     assert_eq!(client.answer().text(), "one");
     asked.until_closed();
     let mut other = stage.client();
@@ -121,7 +124,10 @@
 fn a_surplus_answer_on_a_kept_connection_reaches_nobody() {
     let stage = Stage::serving("a_surplus_answer_on_a_kept_connection_reaches_nobody", 1);
     let mut client = stage.client();
-    for (at, surplus) in [ANOTHER_ID, TO_A_PROBE, NO_ANSWER, LENGTH_NOT_MET].iter().enumerate() {
+    for (at, surplus) in [ANOTHER_ID, TO_A_PROBE, NO_ANSWER, LENGTH_NOT_MET]
+        .iter()
+        .enumerate()
+    {
         let (id, next) = (format!("a{at}"), format!("b{at}"));
         client.get("/slips/a", &id);
         let asked = stage.asked();
@@ -132,7 +138,10 @@
         client.get("/slips/b", &next);
         stage.asked().answer("two");
         let answer = client.answer();
-        assert_eq!((answer.text().as_str(), answer.header("request-id")), ("two", Some(next.as_str())));
+        assert_eq!(
+            (answer.text().as_str(), answer.header("request-id")),
+            ("two", Some(next.as_str()))
+        );
     }
     stage.finish();
 }
@@ -140,7 +149,10 @@
 /// It comes when the next request is already on that connection: the ids tell them apart.
 #[test]
 fn a_surplus_answer_in_the_place_of_the_next_reaches_nobody() {
-    let stage = Stage::serving("a_surplus_answer_in_the_place_of_the_next_reaches_nobody", 1);
+    let stage = Stage::serving(
+        "a_surplus_answer_in_the_place_of_the_next_reaches_nobody",
+        1,
+    );
     let mut client = stage.client();
     for (at, surplus) in [ANOTHER_ID, TO_A_PROBE, NO_ANSWER].iter().enumerate() {
         let id = format!("a{at}");
@@ -151,7 +163,10 @@
         // The same upstream is asked again, as there is no other.
         stage.asked().answer("whole");
         let answer = client.answer();
-        assert_eq!((answer.text().as_str(), answer.header("request-id")), ("whole", Some(id.as_str())));
+        assert_eq!(
+            (answer.text().as_str(), answer.header("request-id")),
+            ("whole", Some(id.as_str()))
+        );
     }
     stage.finish();
 }
@@ -178,7 +193,9 @@
     let mut client = stage.client();
     client.get_with("/slips/a", "r1", &[]);
     let mut asked = stage.asked();
-    asked.say("HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 3\r\n\r\nwhy");
+    asked.say(
+        "HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 3\r\n\r\nwhy",
+    );
     asked.keep();
     stage.asked().answer("whole");
     assert_eq!(client.answer().text(), "whole");
--- a/crates/sandtrack-proxy/tests/exchange/once.rs
+++ b/crates/sandtrack-proxy/tests/exchange/once.rs
@@ -32,7 +32,10 @@
     let stage = Stage::empty("an_upstream_that_resets_at_once_is_asked_once");
     stage.tell_alone();
     let listener = std::net::TcpListener::bind((stage.ip.as_str(), 0)).unwrap();
-    stage.list(vec![printer("i-resets", listener.local_addr().unwrap().to_string())]);
+    stage.list(vec![printer(
+        "i-resets",
+        listener.local_addr().unwrap().to_string(),
+    )]);
     stage.settle();
     let mut client = stage.client();
     client.post("/pay/a", "r1", "body");
@@ -80,7 +83,10 @@
         first.keep();
         let second = stage.asked();
         assert_ne!(second.identifier, turned_away, "it goes to another");
-        assert_eq!((second.id(), second.request.text().as_str()), (id.as_str(), "body"));
+        assert_eq!(
+            (second.id(), second.request.text().as_str()),
+            (id.as_str(), "body")
+        );
         second.answer("paid");
         let answer = client.answer();
         assert_eq!((answer.status(), answer.text().as_str()), (200, "paid"));
@@ -108,7 +114,11 @@
 fn what_was_turned_away_to_the_end_is_promised() {
     let stage = Stage::serving("what_was_turned_away_to_the_end_is_promised", 3);
     let mut client = stage.client();
-    for (id, target, tries) in [("r1", "/pay/once/a", 1), ("r2", "/pay/a", 2), ("r3", "/letters/a", 2)] {
+    for (id, target, tries) in [
+        ("r1", "/pay/once/a", 1),
+        ("r2", "/pay/a", 2),
+        ("r3", "/letters/a", 2),
+    ] {
         client.post(target, id, "body");
         for _ in 0..tries {
             let mut asked = stage.asked();
@@ -117,7 +127,11 @@
         }
         let answer = client.answer();
         assert_eq!(answer.status(), 503);
-        let again: f64 = answer.header("retry-after").expect("when to come back").parse().unwrap();
+        let again: f64 = answer
+            .header("retry-after")
+            .expect("when to come back")
+            .parse()
+            .unwrap();
         assert!(again > 0.0 && again < 5.0);
     }
     stage.finish_unwritten();
@@ -149,7 +163,9 @@
     let mut client = stage.client();
     client.post("/pay/once/a", "r1", "body");
     // It is in hand, and was at the only upstream there is.
-    stage.control_node.until_state("the request", |state| state.open == 1);
+    stage
+        .control_node
+        .until_state("the request", |state| state.open == 1);
     let live = stage.upstream("printer", "a");
     stage.relist(vec![live], &[]);
     stage.asked().answer("paid");
@@ -162,8 +178,19 @@
 fn without_any_upstream_it_is_promised() {
     let stage = Stage::serving("without_any_upstream_it_is_promised", 0);
     let mut client = stage.client();
-    for (id, target) in [("r1", "/pay/a"), ("r2", "/letters/a"), ("r3", "/slips/a"), ("r4", "/tags/a")] {
-        client.send(&request("POST", target, id, &["Deadline-Remaining: 500"], "body"));
+    for (id, target) in [
+        ("r1", "/pay/a"),
+        ("r2", "/letters/a"),
+        ("r3", "/slips/a"),
+        ("r4", "/tags/a"),
+    ] {
+        client.send(&request(
+            "POST",
+            target,
+            id,
+            &["Deadline-Remaining: 500"],
+            "body",
+        ));
         let answer = client.answer();
         assert_eq!(answer.status(), 503);
         assert!(answer.header("retry-after").is_some());
@@ -183,7 +210,10 @@
     for (id, target) in [("r2", "/slips/b"), ("r3", "/pay/a")] {
         client.post(target, id, "body");
         let asked = stage.asked();
-        assert!(asked.earlier > 0, "{target}: its upstream was heard just now");
+        assert!(
+            asked.earlier > 0,
+            "{target}: its upstream was heard just now"
+        );
         asked.answer("done");
         assert_eq!(client.answer().status(), 200);
     }
@@ -212,7 +242,13 @@
     let mut clients = Vec::new();
     for (id, target) in [("r1", "/quick/pay/a"), ("r2", "/quick/letters/a")] {
         let mut client = stage.client();
-        client.send(&request("POST", target, id, &["Deadline-Remaining: 2500"], "body"));
+        client.send(&request(
+            "POST",
+            target,
+            id,
+            &["Deadline-Remaining: 2500"],
+            "body",
+        ));
         clients.push((client, stage.asked()));
     }
     for (mut client, asked) in clients {
@@ -308,8 +344,16 @@
             asked.say(&refusal(&id, status, &seal));
             asked.keep();
             let answer = client.answer();
-            assert_eq!((answer.status(), answer.header("server-seal")), (502, None), "{status}");
-            assert_eq!(answer.header("retry-after"), None, "it may have run: no promise");
+            assert_eq!(
+                (answer.status(), answer.header("server-seal")),
+                (502, None),
+                "{status}"
+            );
+            assert_eq!(
+                answer.header("retry-after"),
+                None,
+                "it may have run: no promise"
+            );
         }
     }
     stage.finish_unwritten();
@@ -322,7 +366,9 @@
     let mut client = stage.client();
     client.post("/pay/a", "r1", "body");
     let mut first = stage.asked();
-    first.say("HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 10\r\n\r\nbu");
+    first.say(
+        "HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 10\r\n\r\nbu",
+    );
     first.close();
     stage.asked().answer("paid");
     assert_eq!(client.answer().text(), "paid");
@@ -348,7 +394,11 @@
     use sandtrack_protocol::frames::ToProxy;
     let stage = Stage::serving("without_budget_nothing_is_sent_again", 3);
     let control_nodes = vec![stage.control_node.address.clone()];
-    stage.control_node.tell(ToProxy::Census { control_nodes, proxies: 1000, rank: 0 });
+    stage.control_node.tell(ToProxy::Census {
+        control_nodes,
+        proxies: 1000,
+        rank: 0,
+    });
     stage.settle();
     let mut client = stage.client();
     client.get("/slips/a", "r1");
--- a/crates/sandtrack-proxy/tests/exchange/placing.rs
+++ b/crates/sandtrack-proxy/tests/exchange/placing.rs
@@ -30,11 +30,17 @@
 fn draining_and_gone_upstreams_get_nothing() {
     let stage = Stage::empty("draining_and_gone_upstreams_get_nothing");
     stage.tell_alone();
-    let (one, two) = (stage.upstream("printer", "a"), stage.upstream("printer", "a"));
+    let (one, two) = (
+        stage.upstream("printer", "a"),
+        stage.upstream("printer", "a"),
+    );
     stage.list(vec![one.clone()]);
     stage.settle();
     all_go_to(&stage, &one, "alone");
-    let draining = UpstreamEntry { draining: true, ..one.clone() };
+    let draining = UpstreamEntry {
+        draining: true,
+        ..one.clone()
+    };
     stage.relist(vec![draining.clone(), two.clone()], &[]);
     stage.settle();
     all_go_to(&stage, &two, "one-drains");
@@ -57,11 +63,16 @@
 fn evacuated_zones_get_nothing() {
     let stage = Stage::empty("evacuated_zones_get_nothing");
     stage.tell_alone();
-    let (near, far) = (stage.upstream("printer", "a"), stage.upstream("printer", "b"));
+    let (near, far) = (
+        stage.upstream("printer", "a"),
+        stage.upstream("printer", "b"),
+    );
     stage.list(vec![near.clone(), far.clone()]);
     let evacuate = |number: u64, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
-        stage.control_node.tell(ToProxy::Evacuated { number, zones });
+        stage
+            .control_node
+            .tell(ToProxy::Evacuated { number, zones });
         stage.settle();
     };
     evacuate(5, &["a"]);
@@ -84,7 +95,10 @@
 fn routes_with_homes_are_served_there_only() {
     let stage = Stage::empty("routes_with_homes_are_served_there_only");
     stage.tell_alone();
-    let (north, south) = (stage.upstream("printer", "a"), stage.upstream("printer", "c"));
+    let (north, south) = (
+        stage.upstream("printer", "a"),
+        stage.upstream("printer", "c"),
+    );
     stage.list(vec![north.clone()]);
     stage.settle();
     none_goes(&stage, "/slips/south/a", "no-home");
@@ -115,15 +129,21 @@
 fn a_model_is_asked_where_it_is_loaded() {
     let stage = Stage::empty("a_model_is_asked_where_it_is_loaded");
     stage.tell_alone();
-    let loaded =
-        |entry: UpstreamEntry, model: &str| UpstreamEntry { models: vec![model.to_owned()], ..entry };
+    let loaded = |entry: UpstreamEntry, model: &str| UpstreamEntry {
+        models: vec![model.to_owned()],
+        ..entry
+    };
     let one = loaded(stage.upstream("printer", "a"), "m");
     let two = loaded(stage.upstream("printer", "a"), "n");
     stage.list(vec![one.clone(), two.clone()]);
     stage.settle();
     let mut client = stage.client();
     for at in 0..TRIES {
-        let (model, entry) = if at % 2 == 0 { ("Model: m", &one) } else { ("Model: n", &two) };
+        let (model, entry) = if at % 2 == 0 {
+            ("Model: m", &one)
+        } else {
+            ("Model: n", &two)
+        };
         client.post_with("/pay/a", &format!("r{at}"), &[model], "body");
         let asked = stage.asked();
         assert_eq!(asked.identifier, entry.identifier);
@@ -134,7 +154,13 @@
 }
 
 fn changes(from_number: u64, number: u64, version: u64, items: Vec<ItemChange>) -> ToProxy {
-    ToProxy::Changes { from_number, number, version, items, fields: Vec::new() }
+    ToProxy::Changes {
+        from_number,
+        number,
+        version,
+        items,
+        fields: Vec::new(),
+    }
 }
 
 /// The routes with `/pay/` moved to another service.
@@ -152,7 +178,10 @@
 fn a_change_of_items_is_in_force() {
     let stage = Stage::empty("a_change_of_items_is_in_force");
     stage.tell_alone();
-    let (printer, binder) = (stage.upstream("printer", "a"), stage.upstream("binder", "a"));
+    let (printer, binder) = (
+        stage.upstream("printer", "a"),
+        stage.upstream("binder", "a"),
+    );
     stage.list(vec![printer.clone(), binder.clone()]);
     let number = stage.configure(ROUTES);
     let mut client = stage.client();
@@ -165,13 +194,21 @@
     let added = r#"{"name":"new","host":"post.example","path_prefix":"/new/","kind":"read_only","timeout_ms":60000,
 "target_latency_ms":60000,"priority":2,"service":"binder","attempts":1}"#;
     let before = Document::parse(document(1, ROUTES).as_bytes()).unwrap();
-    let routes =
-        format!("{},{added}", moved().replace(r#""path_prefix":"/letters/""#, r#""path_prefix":"/mail/""#));
+    let routes = format!(
+        "{},{added}",
+        moved().replace(r#""path_prefix":"/letters/""#, r#""path_prefix":"/mail/""#)
+    );
     let after = Document::parse(document(77, &routes).as_bytes()).unwrap();
     let (mut items, fields) = before.changes(&after);
     assert_eq!((items.len(), fields.len()), (3, 0));
-    items.push(ItemChange { list: "routes".to_owned(), name: "once".to_owned(), json: None });
-    stage.control_node.tell(changes(number, number + 1, 77, items));
+    items.push(ItemChange {
+        list: "routes".to_owned(),
+        name: "once".to_owned(),
+        json: None,
+    });
+    stage
+        .control_node
+        .tell(changes(number, number + 1, 77, items));
     stage.serves_by(77);
 
     for (id, target) in [("r2", "/pay/a"), ("r3", "/new/a")] {
@@ -197,9 +234,17 @@
     let binder = stage.upstream("binder", "a");
     stage.relist(vec![binder.clone()], &[]);
     let number = stage.configure(ROUTES);
-    let gone = vec![ItemChange { list: "routes".to_owned(), name: "pay".to_owned(), json: None }];
-    stage.control_node.tell(changes(number + 1, number + 2, 900, gone));
-    stage.control_node.until("the whole is wanted", |heard| *heard == Heard::WantConfiguration);
+    let gone = vec![ItemChange {
+        list: "routes".to_owned(),
+        name: "pay".to_owned(),
+        json: None,
+    }];
+    stage
+        .control_node
+        .tell(changes(number + 1, number + 2, 900, gone));
+    stage.control_node.until("the whole is wanted", |heard| {
+        *heard == Heard::WantConfiguration
+    });
     let mut client = stage.client();
     client.post("/pay/a", "r1", "body");
     let asked = stage.asked();
@@ -207,7 +252,11 @@
     asked.answer("paid");
     assert_eq!(client.answer().status(), 200);
     let document = document(900, &moved());
-    stage.control_node.tell(ToProxy::Configuration { number: number + 2, version: 900, document });
+    stage.control_node.tell(ToProxy::Configuration {
+        number: number + 2,
+        version: 900,
+        document,
+    });
     stage.serves_by(900);
     client.post("/pay/a", "r2", "body");
     let asked = stage.asked();
@@ -225,18 +274,40 @@
     let number = stage.configure(ROUTES);
     let other = r#"{"name":"x","host":"post.example","path_prefix":"/x/","kind":"read_only","timeout_ms":60000,"service":"printer"}"#;
     let tell = |number: u64, document: String| {
-        stage.control_node.tell(ToProxy::Configuration { number, version: 5000, document });
+        stage.control_node.tell(ToProxy::Configuration {
+            number,
+            version: 5000,
+            document,
+        });
     };
     tell(number - 1, document(5000, other));
     tell(number, document(5000, other));
-    let gone = vec![ItemChange { list: "routes".to_owned(), name: "pay".to_owned(), json: None }];
-    stage.control_node.tell(changes(number - 1, number, 5000, gone));
+    let gone = vec![ItemChange {
+        list: "routes".to_owned(),
+        name: "pay".to_owned(),
+        json: None,
+    }];
+    stage
+        .control_node
+        .tell(changes(number - 1, number, 5000, gone));
     tell(number + 1, "{\"version_number\":5000".to_owned());
-    tell(number + 1, document(5000, &other.replace("printer", "unknown")));
+    tell(
+        number + 1,
+        document(5000, &other.replace("printer", "unknown")),
+    );
     tell(number + 1, document(5000, &other.replace("60000", "0")));
-    tell(number + 1, format!(r#"{{"version_number":5000,"services":[{SERVICES}]}}"#));
-    let after = vec![ItemChange { list: "routes".to_owned(), name: "letters".to_owned(), json: None }];
-    stage.control_node.tell(changes(number, number + 1, 6000, after));
+    tell(
+        number + 1,
+        format!(r#"{{"version_number":5000,"services":[{SERVICES}]}}"#),
+    );
+    let after = vec![ItemChange {
+        list: "routes".to_owned(),
+        name: "letters".to_owned(),
+        json: None,
+    }];
+    stage
+        .control_node
+        .tell(changes(number, number + 1, 6000, after));
     stage.serves_by(6000);
     let mut client = stage.client();
     client.post("/pay/a", "r1", "body");
@@ -261,14 +332,21 @@
     client.get("/slips/a", "r1");
     stage.asked().answer("one");
     client.answer();
-    let other = UpstreamEntry { service: "binder".to_owned(), identifier: "i-new".to_owned(), ..one.clone() };
+    let other = UpstreamEntry {
+        service: "binder".to_owned(),
+        identifier: "i-new".to_owned(),
+        ..one.clone()
+    };
     stage.relist(vec![other], &[&one.identifier]);
     stage.configure(&moved());
     none_goes(&stage, "/slips/a", "old");
     client.post("/pay/a", "r2", "body");
     let asked = stage.asked();
     assert_eq!(asked.request.header("expected-instance"), Some("i-new"));
-    assert_eq!(asked.earlier, 0, "not on a connection to the one that is gone");
+    assert_eq!(
+        asked.earlier, 0,
+        "not on a connection to the one that is gone"
+    );
     asked.answer("bound");
     assert_eq!(client.answer().text(), "bound");
     stage.finish();
--- a/crates/sandtrack-proxy/tests/exchange/plain.rs
+++ b/crates/sandtrack-proxy/tests/exchange/plain.rs
@@ -20,11 +20,28 @@
     ];
     client.get_with("/slips/a%2Fb/?x=1&y=%20z&x=2", "r1", &headers);
     let mut asked = stage.asked();
-    assert!(asked.request.head.starts_with("GET /slips/a%2Fb/?x=1&y=%20z&x=2 HTTP/1.1\n"));
-    assert_eq!(asked.request.header("expected-instance"), Some(asked.identifier.as_str()));
-    let left: f64 = asked.request.header("deadline-remaining").unwrap().parse().unwrap();
+    assert!(asked
+        .request
+        .head
+        .starts_with("GET /slips/a%2Fb/?x=1&y=%20z&x=2 HTTP/1.1\n"));
+    assert_eq!(
+        asked.request.header("expected-instance"),
+        Some(asked.identifier.as_str())
+    );
+    let left: f64 = asked
+        .request
+        .header("deadline-remaining")
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(left > 0.0 && left <= 20_000.0, "{left}");
-    for own in ["connection", "x-hop", "keep-alive", "te", "transfer-encoding"] {
+    for own in [
+        "connection",
+        "x-hop",
+        "keep-alive",
+        "te",
+        "transfer-encoding",
+    ] {
         assert_eq!(asked.request.header(own), None, "{own}");
     }
     asked.say(
@@ -33,7 +50,10 @@
     );
     asked.keep();
     let answer = client.answer();
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "the bytes"));
+    assert_eq!(
+        (answer.status(), answer.text().as_str()),
+        (200, "the bytes")
+    );
     assert_eq!(answer.header("server-seal"), Some("3e1b.07"));
     assert_eq!(answer.header("x-mine"), None);
     // The same connection goes on.
@@ -69,10 +89,14 @@
     let mut client = stage.client();
     let body: Vec<u8> = (0..1_500_000_u32).map(|at| (at % 251) as u8).collect();
     let head = request("POST", "/pay/large", "r1", &[], "").replace(": 0\r\n", ": 1500000\r\n");
-    client.send_bytes("r1, and a body of 1500000 bytes", &[head.as_bytes(), &body].concat());
+    client.send_bytes(
+        "r1, and a body of 1500000 bytes",
+        &[head.as_bytes(), &body].concat(),
+    );
     let mut asked = stage.asked();
     assert!(asked.request.body == body, "the body is the client's");
-    let head = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 1500000\r\n\r\n";
+    let head =
+        "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 1500000\r\n\r\n";
     asked.say_bytes("(1500000 bytes)", &[head.as_bytes(), &body].concat());
     asked.keep();
     let answer = client.answer();
@@ -85,13 +109,21 @@
 fn a_held_back_body_is_called_for() {
     let stage = Stage::serving("a_held_back_body_is_called_for", 1);
     let mut client = stage.client();
-    client
-        .send(&request("POST", "/pay/a", "r1", &["Expect: 100-continue"], "").replace(": 0\r\n", ": 4\r\n"));
+    client.send(
+        &request("POST", "/pay/a", "r1", &["Expect: 100-continue"], "")
+            .replace(": 0\r\n", ": 4\r\n"),
+    );
     let told = client.any_answer().expect("it is told to go on");
     assert_eq!(told.status(), 100);
     client.send("body");
     let asked = stage.asked();
-    assert_eq!((asked.request.text().as_str(), asked.request.header("expect")), ("body", None));
+    assert_eq!(
+        (
+            asked.request.text().as_str(),
+            asked.request.header("expect")
+        ),
+        ("body", None)
+    );
     asked.answer("paid");
     assert_eq!(client.answer().text(), "paid");
     stage.finish();
@@ -127,9 +159,12 @@
 fn an_upstreams_own_failure_is_passed_on() {
     let stage = Stage::serving("an_upstreams_own_failure_is_passed_on", 2);
     let mut client = stage.client();
-    for (id, status) in
-        [("r1", "500 Oops"), ("r2", "404 Not Found"), ("r3", "409 Conflict"), ("r4", "400 Bad")]
-    {
+    for (id, status) in [
+        ("r1", "500 Oops"),
+        ("r2", "404 Not Found"),
+        ("r3", "409 Conflict"),
+        ("r4", "400 Bad"),
+    ] {
         client.post("/pay/a", id, "body");
         let mut asked = stage.asked();
         asked.say(&format!(
@@ -138,7 +173,10 @@
         ));
         asked.keep();
         let answer = client.answer();
-        assert_eq!(Some(answer.status().to_string().as_str()), status.split(' ').next());
+        assert_eq!(
+            Some(answer.status().to_string().as_str()),
+            status.split(' ').next()
+        );
         assert_eq!(
             (answer.text().as_str(), answer.header("server-seal")),
             ("why", Some(seal(id, "x").as_str()))
@@ -163,7 +201,9 @@
         assert_eq!(client.answer().status(), 404);
     }
     // The longest prefix, and a host however it is written.
-    client.send(&request("GET", "/slips/a", "r5", &[], "").replace("post.example", "POST.example:8161"));
+    client.send(
+        &request("GET", "/slips/a", "r5", &[], "").replace("post.example", "POST.example:8161"),
+    );
     stage.asked().answer("found");
     assert_eq!(client.answer().text(), "found");
     stage.finish();
@@ -180,7 +220,11 @@
     client.post("/pay/a", "r1", "body");
     let refused = client.answer();
     assert_eq!(refused.status(), 503);
-    let again: f64 = refused.header("retry-after").expect("when to come back").parse().unwrap();
+    let again: f64 = refused
+        .header("retry-after")
+        .expect("when to come back")
+        .parse()
+        .unwrap();
     assert!(again > 0.0 && again < 5.0);
     stage.serve(1);
     checker.send(check);
@@ -216,7 +260,10 @@
     let mut client = stage.client();
     client.get_with("/slips/a", "r1", &[&long]);
     let refused = client.answer();
-    assert_eq!((refused.status(), refused.header("connection")), (431, Some("close")));
+    assert_eq!(
+        (refused.status(), refused.header("connection")),
+        (431, Some("close"))
+    );
     client.until_closed();
     // A head within the limit is taken.
     let mut client = stage.client();
@@ -226,14 +273,25 @@
 
     let mut client = stage.client();
     let head = request("POST", "/pay/a", "r3", &[], "").replace(": 0\r\n", ": 2000001\r\n");
-    client.send_bytes("r3, and a body of 2000001 bytes", &[head.as_bytes(), &vec![b'x'; 2_000_001]].concat());
+    client.send_bytes(
+        "r3, and a body of 2000001 bytes",
+        &[head.as_bytes(), &vec![b'x'; 2_000_001]].concat(),
+    );
     assert_eq!(client.answer().status(), 413);
     client.until_closed();
 
     let mut client = stage.client();
     let head = request("POST", "/pay/a", "r4", &["Transfer-Encoding: chunked"], "");
-    let body = [b"1e8481\r\n".as_slice(), &vec![b'x'; 2_000_001], b"\r\n0\r\n\r\n"].concat();
-    client.send_bytes("r4, and a body of 2000001 bytes in a chunk", &[head.as_bytes(), &body].concat());
+    let body = [
+        b"1e8481\r\n".as_slice(),
+        &vec![b'x'; 2_000_001],
+        b"\r\n0\r\n\r\n",
+    ]
+    .concat();
+    client.send_bytes(
+        "r4, and a body of 2000001 bytes in a chunk",
+        &[head.as_bytes(), &body].concat(),
+    );
     assert_eq!(client.answer().status(), 413);
     client.until_closed();
     stage.finish();
@@ -275,8 +333,10 @@
 fn pipelined_requests_are_answered_in_order() {
     let stage = Stage::serving("pipelined_requests_are_answered_in_order", 3);
     let mut client = stage.client();
-    let three: Vec<String> =
-        ["r1", "r2", "r3"].iter().map(|id| request("POST", "/pay/a", id, &[], id)).collect();
+    let three: Vec<String> = ["r1", "r2", "r3"]
+        .iter()
+        .map(|id| request("POST", "/pay/a", id, &[], id))
+        .collect();
     client.send(&three.concat());
     for id in ["r1", "r2", "r3"] {
         let asked = stage.asked();
@@ -290,7 +350,10 @@
         stage.nothing_asked_yet();
         asked.answer(&format!("to {id}"));
         let answer = client.answer();
-        assert_eq!((answer.header("request-id"), answer.text()), (Some(id), format!("to {id}")));
+        assert_eq!(
+            (answer.header("request-id"), answer.text()),
+            (Some(id), format!("to {id}"))
+        );
     }
     stage.finish_unwritten();
 }
--- a/crates/sandtrack-proxy/tests/exchange/process.rs
+++ b/crates/sandtrack-proxy/tests/exchange/process.rs
@@ -21,7 +21,8 @@
 impl Proxy {
     /// Starts it with a settings file of this content; `None`: there is no such file.
     pub fn start(name: &str, settings: Option<&str>) -> Self {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.json", std::process::id()));
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("{name}-{}.json", std::process::id()));
         match settings {
             Some(settings) => std::fs::write(&path, settings).unwrap(),
             None => {
@@ -46,7 +47,11 @@
             written.0.lock().unwrap().ended = true;
             written.1.notify_all();
         });
-        Proxy { child, settings: path, log }
+        Proxy {
+            child,
+            settings: path,
+            log,
+        }
     }
 
     /// Waits until so many lines of its log have this text.
@@ -54,7 +59,9 @@
         let (log, changed) = &*self.log;
         let count = |log: &Log| log.lines.iter().filter(|line| line.contains(text)).count();
         let missing = |log: &mut Log| !log.ended && count(log) < times;
-        let (log, _) = changed.wait_timeout_while(log.lock().unwrap(), PATIENCE, missing).unwrap();
+        let (log, _) = changed
+            .wait_timeout_while(log.lock().unwrap(), PATIENCE, missing)
+            .unwrap();
         let found = count(&log);
         drop(log);
         assert!(found >= times, "logged {found} of {times} times: {text}");
@@ -70,7 +77,9 @@
         let line = log.lines.iter().find(|line| line.contains(text)).cloned();
         drop(log);
         let line = line.unwrap_or_else(|| panic!("never logged: {text}"));
-        let time = line.strip_prefix("{\"at\":").and_then(|rest| rest.split(',').next()?.parse().ok());
+        let time = line
+            .strip_prefix("{\"at\":")
+            .and_then(|rest| rest.split(',').next()?.parse().ok());
         time.unwrap_or_else(|| panic!("a line without its time: {line}"))
     }
 
@@ -85,7 +94,14 @@
     /// Sends a signal by its short name.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success(), "{kill}");
+        assert!(
+            Command::new("sh")
+                .args(["-c", &kill])
+                .status()
+                .unwrap()
+                .success(),
+            "{kill}"
+        );
     }
 
     /// Its exit status; it must end within this time.
@@ -94,7 +110,9 @@
         let (log, changed) = &*self.log;
         let left = until.saturating_duration_since(Instant::now());
         let running = |log: &mut Log| !log.ended;
-        let (log, _) = changed.wait_timeout_while(log.lock().unwrap(), left, running).unwrap();
+        let (log, _) = changed
+            .wait_timeout_while(log.lock().unwrap(), left, running)
+            .unwrap();
         let over = log.ended;
         drop(log);
         assert!(over, "it had not ended after {within:?}");
@@ -105,8 +123,15 @@
     pub fn peak_memory_mb(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).expect("the process runs");
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
-        let kilobytes: f64 = peak.trim_end_matches("kB").trim().parse().expect("a number");
+        let peak = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("a peak");
+        let kilobytes: f64 = peak
+            .trim_end_matches("kB")
+            .trim()
+            .parse()
+            .expect("a number");
         kilobytes / 1024.0
     }
 
--- a/crates/sandtrack-proxy/tests/exchange/stage.rs
+++ b/crates/sandtrack-proxy/tests/exchange/stage.rs
@@ -61,7 +61,9 @@
 }
 
 fn document_with_limits(version: u64, routes: &str, limits: &str) -> String {
-    format!(r#"{{"version_number":{version},"routes":[{routes}],"services":[{SERVICES}],"limits":{limits}}}"#)
+    format!(
+        r#"{{"version_number":{version},"routes":[{routes}],"services":[{SERVICES}],"limits":{limits}}}"#
+    )
 }
 
 /// An address of the loopback network that no other test has.
@@ -69,7 +71,11 @@
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     assert!(next < 250, "too many addresses");
-    format!("127.{}.{}.{next}", 20 + process / 250 % 200, 1 + process % 250)
+    format!(
+        "127.{}.{}.{next}",
+        20 + process / 250 % 200,
+        1 + process % 250
+    )
 }
 
 /// A stand-in control node on an address of its own.
@@ -84,7 +90,10 @@
 
 /// A settings file. `counted`: a control node runs on its machine.
 pub fn settings(ip: &str, counted: bool, seeds: &[&str], bounds: &str) -> String {
-    let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}:8166\"")).collect();
+    let seeds: Vec<String> = seeds
+        .iter()
+        .map(|seed| format!("\"{seed}:8166\""))
+        .collect();
     format!(
         r#"{{"node_name":"front-a-1","role":"proxy","machine_class":"front","serves":["front"],"ip_address":"{ip}",
 "zone":"a","region":"north","zones":{{"a":"north","b":"north","c":"south"}},
@@ -136,7 +145,9 @@
     /// A proxy whose session stands, that may have so much memory, in MB.
     pub fn with_memory(name: &str, memory_mb: u32) -> Stage {
         let own = format!("\"memory_mb\":{memory_mb}");
-        Stage::with_settings(name, |ip| settings(ip, true, &[], BOUNDS).replace("\"memory_mb\":260", &own))
+        Stage::with_settings(name, |ip| {
+            settings(ip, true, &[], BOUNDS).replace("\"memory_mb\":260", &own)
+        })
     }
 
     fn with_settings(name: &str, settings: impl FnOnce(&str) -> String) -> Stage {
@@ -173,19 +184,29 @@
 
     pub fn serve(&self, upstreams: usize) {
         self.tell_alone();
-        let entries = (0..upstreams).map(|_| self.upstream("printer", "a")).collect();
+        let entries = (0..upstreams)
+            .map(|_| self.upstream("printer", "a"))
+            .collect();
         self.list(entries);
         self.configure(ROUTES);
     }
 
     pub fn tell_alone(&self) {
         let control_nodes = vec![self.control_node.address.clone()];
-        self.control_node.tell(ToProxy::Census { control_nodes, proxies: 1, rank: 0 });
+        self.control_node.tell(ToProxy::Census {
+            control_nodes,
+            proxies: 1,
+            rank: 0,
+        });
     }
 
     /// A new stand-in, as the list would show it.
     pub fn upstream(&self, service: &str, zone: &str) -> UpstreamEntry {
-        let identifier = format!("i-{}-{}", self.ip.replace('.', "x"), self.upstreams.borrow().len());
+        let identifier = format!(
+            "i-{}-{}",
+            self.ip.replace('.', "x"),
+            self.upstreams.borrow().len()
+        );
         let upstream = Upstream::start(&self.ip, &identifier, self.sender.clone());
         let entry = upstream.entry(service, zone);
         self.upstreams.borrow_mut().push(upstream);
@@ -196,14 +217,24 @@
     pub fn list(&self, entries: Vec<UpstreamEntry>) {
         self.round.set(self.round.get() + 1);
         let round = self.round.get();
-        self.control_node.tell(ToProxy::Upstreams { whole: true, round, entries, gone: Vec::new() });
+        self.control_node.tell(ToProxy::Upstreams {
+            whole: true,
+            round,
+            entries,
+            gone: Vec::new(),
+        });
     }
 
     /// Tells what changed in the list.
     pub fn relist(&self, entries: Vec<UpstreamEntry>, gone: &[&str]) {
         self.round.set(self.round.get() + 1);
         let gone = gone.iter().map(|name| (*name).to_owned()).collect();
-        self.control_node.tell(ToProxy::Upstreams { whole: false, round: self.round.get(), entries, gone });
+        self.control_node.tell(ToProxy::Upstreams {
+            whole: false,
+            round: self.round.get(),
+            entries,
+            gone,
+        });
     }
 
     /// Tells a whole configuration, with the next number and version, and waits until the proxy serves by it; all that
@@ -217,7 +248,11 @@
         self.number.set(self.number.get() + 1);
         let number = self.number.get();
         let document = document_with_limits(number * 10, routes, limits);
-        self.control_node.tell(ToProxy::Configuration { number, version: number * 10, document });
+        self.control_node.tell(ToProxy::Configuration {
+            number,
+            version: number * 10,
+            document,
+        });
         self.serves_by(number * 10);
         number
     }
@@ -228,7 +263,10 @@
     }
 
     pub fn serves_by(&self, version: u64) {
-        self.control_node.until_state(&format!("version {version}"), |state| state.version == version);
+        self.control_node
+            .until_state(&format!("version {version}"), |state| {
+                state.version == version
+            });
     }
 
     pub fn note(&self, text: &str) {
@@ -246,12 +284,19 @@
 
     /// A client of the platform's check.
     pub fn checker(&self) -> Client {
-        Client::connect(&format!("{}:8167", self.ip), "the platform".to_owned(), self.transcript.clone())
+        Client::connect(
+            &format!("{}:8167", self.ip),
+            "the platform".to_owned(),
+            self.transcript.clone(),
+        )
     }
 
     /// Waits for the next request at any upstream.
     pub fn asked(&self) -> Asked {
-        let arrived = self.arrivals.recv_timeout(PATIENCE).expect("no upstream was asked");
+        let arrived = self
+            .arrivals
+            .recv_timeout(PATIENCE)
+            .expect("no upstream was asked");
         Asked::new(arrived, self.transcript.clone())
     }
 
@@ -278,8 +323,11 @@
     }
 
     fn figures(&self) -> String {
-        let mut stream = TcpStream::connect((self.ip.as_str(), PROXY_PORT)).expect("it serves its figures");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+        let mut stream =
+            TcpStream::connect((self.ip.as_str(), PROXY_PORT)).expect("it serves its figures");
+        stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a time limit");
         let call = format!("GET {PATH} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         stream.write_all(call.as_bytes()).expect("written");
         let mut figures = String::new();
@@ -311,8 +359,11 @@
         for upstream in upstreams {
             upstream.finish();
         }
-        let more: Vec<String> =
-            self.arrivals.try_iter().map(|arrived| arrived.request.head.clone()).collect();
+        let more: Vec<String> = self
+            .arrivals
+            .try_iter()
+            .map(|arrived| arrived.request.head.clone())
+            .collect();
         assert!(more.is_empty(), "upstreams were asked once more: {more:#?}");
         self.transcript.clone()
     }
@@ -320,14 +371,20 @@
 
 /// A request with its host, its id and 20 s to be answered in.
 pub fn request(method: &str, target: &str, id: &str, headers: &[&str], body: &str) -> String {
-    let mut text = format!("{method} {target} HTTP/1.1\r\nHost: post.example\r\nRequest-Id: {id}\r\n");
-    if !headers.iter().any(|header| header.starts_with("Deadline-Remaining")) {
+    let mut text =
+        format!("{method} {target} HTTP/1.1\r\nHost: post.example\r\nRequest-Id: {id}\r\n");
+    if !headers
+        .iter()
+        .any(|header| header.starts_with("Deadline-Remaining"))
+    {
         text.push_str("Deadline-Remaining: 20000\r\n");
     }
     for header in headers {
         text.push_str(&format!("{header}\r\n"));
     }
-    let chunked = headers.iter().any(|header| header.starts_with("Transfer-Encoding"));
+    let chunked = headers
+        .iter()
+        .any(|header| header.starts_with("Transfer-Encoding"));
     if method != "GET" && !chunked {
         text.push_str(&format!("Content-Length: {}\r\n", body.len()));
     }
@@ -348,7 +405,13 @@
     fn connect(address: &str, name: String, transcript: Rc<Transcript>) -> Client {
         let wire = Wire::new(TcpStream::connect(address).expect("the proxy listens"));
         wire.patience(Some(PATIENCE));
-        Client { wire, name, transcript, begun: Vec::new(), ended: None }
+        Client {
+            wire,
+            name,
+            transcript,
+            begun: Vec::new(),
+            ended: None,
+        }
     }
 
     pub fn send(&mut self, text: &str) {
@@ -380,7 +443,9 @@
 
     /// The next answer, whole.
     pub fn answer(&mut self) -> Message {
-        let answer = self.any_answer().expect("the connection ended without an answer");
+        let answer = self
+            .any_answer()
+            .expect("the connection ended without an answer");
         assert!(answer.whole, "the answer is cut:\n{}", answer.head);
         answer
     }
@@ -389,7 +454,9 @@
     pub fn any_answer(&mut self) -> Option<Message> {
         let answer = self.wire.message();
         match &answer {
-            None => self.transcript.note(&format!("{} gets no answer", self.name), ""),
+            None => self
+                .transcript
+                .note(&format!("{} gets no answer", self.name), ""),
             Some(answer) => {
                 let cut = if answer.whole { "" } else { ", cut" };
                 let body = if answer.body.len() > 300 {
@@ -397,8 +464,15 @@
                 } else {
                     answer.text()
                 };
-                let body = if body.is_empty() { body } else { format!("\n\n{body}") };
-                self.transcript.note(&format!("{} gets{cut}", self.name), &format!("{}{body}", answer.head));
+                let body = if body.is_empty() {
+                    body
+                } else {
+                    format!("\n\n{body}")
+                };
+                self.transcript.note(
+                    &format!("{} gets{cut}", self.name),
+                    &format!("{}{body}", answer.head),
+                );
             }
         }
         answer
@@ -406,8 +480,12 @@
 
     /// The head of a stream.
     pub fn stream(&mut self) -> String {
-        let head = self.wire.head().expect("the connection ended without an answer");
-        self.transcript.note(&format!("{} gets the head of a stream", self.name), &head);
+        let head = self
+            .wire
+            .head()
+            .expect("the connection ended without an answer");
+        self.transcript
+            .note(&format!("{} gets the head of a stream", self.name), &head);
         head
     }
 
@@ -417,15 +495,21 @@
             if let Some(at) = self.begun.windows(2).position(|bytes| bytes == b"\n\n") {
                 let event: Vec<u8> = self.begun.drain(..at + 2).collect();
                 let event = String::from_utf8_lossy(&event).trim_end().to_owned();
-                self.transcript.note(&format!("{} gets an event", self.name), &event);
+                self.transcript
+                    .note(&format!("{} gets an event", self.name), &event);
                 return Some(event);
             }
             match self.wire.chunk() {
                 Chunk::Data(data) => self.begun.extend(data),
                 end => {
-                    assert_eq!(String::from_utf8_lossy(&self.begun), "", "no event is passed on in part");
+                    assert_eq!(
+                        String::from_utf8_lossy(&self.begun),
+                        "",
+                        "no event is passed on in part"
+                    );
                     let how = if end == Chunk::Last { "whole" } else { "cut" };
-                    self.transcript.note(&format!("{} sees its stream end, {how}", self.name), "");
+                    self.transcript
+                        .note(&format!("{} sees its stream end, {how}", self.name), "");
                     self.ended = Some(end);
                     return None;
                 }
@@ -435,7 +519,10 @@
 
     /// The next event has this id and data.
     pub fn gets_event(&mut self, id: u64, data: &str) {
-        assert_eq!(self.event().as_deref(), Some(format!("id: {id}\ndata: {data}").as_str()));
+        assert_eq!(
+            self.event().as_deref(),
+            Some(format!("id: {id}\ndata: {data}").as_str())
+        );
     }
 
     /// Takes pieces of a stream that are too many for a transcript, until it is cut.
@@ -461,16 +548,28 @@
 
     /// Waits until the proxy has closed the connection; nothing more came.
     pub fn until_closed(mut self) {
-        assert_eq!(String::from_utf8_lossy(&self.wire.rest()), "", "nothing more comes");
-        self.transcript.note(&format!("{} sees its connection closed", self.name), "");
+        assert_eq!(
+            String::from_utf8_lossy(&self.wire.rest()),
+            "",
+            "nothing more comes"
+        );
+        self.transcript
+            .note(&format!("{} sees its connection closed", self.name), "");
     }
 
     /// The connection is neither closed nor spoken on for that long.
     pub fn rests_for(&mut self, time: Duration) {
         self.wire.patience(Some(time));
         let mut byte = [0];
-        let read = self.wire.stream.peek(&mut byte).map_err(|error| error.kind());
-        assert!(matches!(read, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)), "it rests: {read:?}");
+        let read = self
+            .wire
+            .stream
+            .peek(&mut byte)
+            .map_err(|error| error.kind());
+        assert!(
+            matches!(read, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)),
+            "it rests: {read:?}"
+        );
         self.wire.patience(Some(PATIENCE));
     }
 
