--- a/crates/sandtrack-proxy/tests/exchange/stops.rs
+++ b/crates/sandtrack-proxy/tests/exchange/stops.rs
@@ -17,7 +17,9 @@
     assert_eq!(idle.answer().header("connection"), None);
     stage.proxy.signal("TERM");
     stage.note("SIGTERM");
-    let state = stage.control_node.until_state("leaving", |state| state.leaving);
+    let state = stage
+        .control_node
+        .until_state("leaving", |state| state.leaving);
     assert!(!state.ready);
     checker.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(checker.answer().status(), 503);
@@ -26,7 +28,10 @@
         client.post("/pay/a", id, "body");
         stage.asked().answer("while leaving");
         let answer = client.answer();
-        assert_eq!((answer.text().as_str(), answer.header("connection")), ("while leaving", Some("close")));
+        assert_eq!(
+            (answer.text().as_str(), answer.header("connection")),
+            ("while leaving", Some("close"))
+        );
         client.until_closed();
     }
     in_hand.answer("paid");
@@ -45,11 +50,16 @@
     let mut asked = stage.begun_stream(&mut client);
     stage.proxy.signal("TERM");
     let told = Instant::now();
-    stage.control_node.until_state("leaving", |state| state.leaving);
+    stage
+        .control_node
+        .until_state("leaving", |state| state.leaving);
     // It accepts for a while, and then no longer.
     let mut id = 2;
     while TcpStream::connect(format!("{}:8161", stage.ip)).is_ok() {
-        assert!(told.elapsed() < Duration::from_secs(20), "it accepts without end");
+        assert!(
+            told.elapsed() < Duration::from_secs(20),
+            "it accepts without end"
+        );
         stage.control_node.until_state("a beat", |_| true);
     }
     for _ in 0..3 {
@@ -94,7 +104,9 @@
 fn told_to_stop_before_it_serves_it_ends() {
     let mut stage = Stage::empty("told_to_stop_before_it_serves_it_ends");
     stage.proxy.signal("TERM");
-    stage.control_node.until_state("leaving", |state| state.leaving);
+    stage
+        .control_node
+        .until_state("leaving", |state| state.leaving);
     stage.proxy.ends_within(8.0);
     stage.finish();
 }
@@ -111,7 +123,9 @@
     for (at, faulty) in ["", "{\"node_name\":", "{}", "[]"].iter().enumerate() {
         std::fs::write(&path, faulty).unwrap();
         stage.proxy.signal("HUP");
-        stage.proxy.until_logged_times("settings are kept as they were: E10", at + 1);
+        stage
+            .proxy
+            .until_logged_times("settings are kept as they were: E10", at + 1);
     }
     std::fs::write(&path, good.replace("\"grace_s\":8", "\"grace_s\":9")).unwrap();
     stage.proxy.signal("HUP");
@@ -125,7 +139,10 @@
         client.get("/slips/a", "r2");
         stage.asked().answer("on");
         let answer = client.answer();
-        assert_eq!((answer.text().as_str(), answer.header("connection")), ("on", None));
+        assert_eq!(
+            (answer.text().as_str(), answer.header("connection")),
+            ("on", None)
+        );
     }
     stage.finish();
 }
@@ -139,12 +156,22 @@
     stage.settle();
     let mut client = stage.client();
     client.get_with("/slips/south/a", "r1", &["Deadline-Remaining: 300"]);
-    assert_eq!(client.answer().status(), 503, "nobody knows yet where zone d is");
+    assert_eq!(
+        client.answer().status(),
+        503,
+        "nobody knows yet where zone d is"
+    );
     let path = stage.proxy.settings.clone();
     let settings = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "{\"node_name\":").unwrap();
-    stage.proxy.until_logged_times("settings are kept as they were: E101", 1);
-    std::fs::write(&path, settings.replace("\"c\":\"south\"", "\"c\":\"south\",\"d\":\"south\"")).unwrap();
+    stage
+        .proxy
+        .until_logged_times("settings are kept as they were: E101", 1);
+    std::fs::write(
+        &path,
+        settings.replace("\"c\":\"south\"", "\"c\":\"south\",\"d\":\"south\""),
+    )
+    .unwrap();
     stage.proxy.until_logged_times("settings read again", 1);
     let mut client = stage.client();
     client.get("/slips/south/a", "r2");
@@ -160,14 +187,29 @@
     for (name, settings, code) in [
         ("no-file", None, "E101"),
         ("no-json", Some("{\"node_name\":".to_owned()), "E101"),
-        ("no-zone", Some(good.replace("\"zone\":", "\"zoe\":")), "E102"),
-        ("no-ports", Some(good.replace("internal_port_range", "ports")), "E102"),
+        (
+            "no-zone",
+            Some(good.replace("\"zone\":", "\"zoe\":")),
+            "E102",
+        ),
+        (
+            "no-ports",
+            Some(good.replace("internal_port_range", "ports")),
+            "E102",
+        ),
         ("bad-ports", Some(good.replace("7735]", "\"x\"]")), "E102"),
     ] {
         let mut proxy = Proxy::start(&format!("wrong-{name}"), settings.as_deref());
-        assert_eq!(proxy.ended(Duration::from_secs(20)).code(), Some(2), "{name}");
+        assert_eq!(
+            proxy.ended(Duration::from_secs(20)).code(),
+            Some(2),
+            "{name}"
+        );
         let logged = proxy.logged();
-        assert!(logged.contains(code) && logged.contains("\"level\":\"ERROR\""), "{name}: {logged}");
+        assert!(
+            logged.contains(code) && logged.contains("\"level\":\"ERROR\""),
+            "{name}: {logged}"
+        );
     }
 }
 
@@ -178,9 +220,20 @@
     let _taken = std::net::TcpListener::bind(format!("{ip}:8161")).unwrap();
     let good = settings(&ip, false, &[], BOUNDS);
     let no_address = good.replace(":8167", ":readiness");
-    for (name, settings) in [("taken", good), ("no-address", no_address.replace(":8161", ":8162"))] {
+    for (name, settings) in [
+        ("taken", good),
+        ("no-address", no_address.replace(":8161", ":8162")),
+    ] {
         let mut proxy = Proxy::start(&format!("listen-{name}"), Some(&settings));
-        assert_eq!(proxy.ended(Duration::from_secs(20)).code(), Some(1), "{name}");
-        assert!(proxy.logged().contains("E103"), "{name}: {}", proxy.logged());
+        assert_eq!(
+            proxy.ended(Duration::from_secs(20)).code(),
+            Some(1),
+            "{name}"
+        );
+        assert!(
+            proxy.logged().contains("E103"),
+            "{name}: {}",
+            proxy.logged()
+        );
     }
 }
--- a/crates/sandtrack-proxy/tests/exchange/streams.rs
+++ b/crates/sandtrack-proxy/tests/exchange/streams.rs
@@ -13,15 +13,24 @@
     asked.event(1, "one");
     let head = client.stream();
     assert!(head.starts_with("HTTP/1.1 200 "));
-    assert_eq!(crate::wire::header(&head, "server-seal"), Some("r1.upstream.1"));
-    assert_eq!(crate::wire::header(&head, "content-type"), Some("text/event-stream"));
+    assert_eq!(
+        crate::wire::header(&head, "server-seal"),
+        Some("r1.upstream.1")
+    );
+    assert_eq!(
+        crate::wire::header(&head, "content-type"),
+        Some("text/event-stream")
+    );
     client.gets_event(1, "one");
     asked.event(2, "two");
     client.gets_event(2, "two");
     // Several in one piece, and one that carries more than its id.
     asked.chunk("id: 3\ndata: three\n\nversions: 2\nid: 5\ndata: five\ndata: more\n\n");
     client.gets_event(3, "three");
-    assert_eq!(client.event().as_deref(), Some("versions: 2\nid: 5\ndata: five\ndata: more"));
+    assert_eq!(
+        client.event().as_deref(),
+        Some("versions: 2\nid: 5\ndata: five\ndata: more")
+    );
     // One in three pieces is passed on once it is whole.
     for piece in ["id: 6\nda", "ta: six\n", "\n"] {
         asked.chunk(piece);
@@ -105,7 +114,10 @@
     first.close();
     let mut second = stage.asked();
     assert_eq!(second.request.header("last-event-id"), Some("3"));
-    assert_eq!((second.id(), second.request.text().as_str()), ("r1", "prompt"));
+    assert_eq!(
+        (second.id(), second.request.text().as_str()),
+        ("r1", "prompt")
+    );
     second.begin_stream();
     second.event(4, "four");
     client.gets_event(4, "four");
@@ -113,7 +125,10 @@
     second.end_stream();
     client.gets_event(5, "five");
     client.stream_is_whole();
-    assert_eq!(crate::wire::header(&head, "server-seal"), Some("r1.upstream.1"));
+    assert_eq!(
+        crate::wire::header(&head, "server-seal"),
+        Some("r1.upstream.1")
+    );
     stage.finish();
 }
 
@@ -131,8 +146,12 @@
     client.gets_event(8, "eight");
     first.close();
     let mut second = stage.asked();
-    let all: Vec<&str> =
-        second.request.head.lines().filter(|line| line.to_lowercase().starts_with("last-event-id")).collect();
+    let all: Vec<&str> = second
+        .request
+        .head
+        .lines()
+        .filter(|line| line.to_lowercase().starts_with("last-event-id"))
+        .collect();
     assert_eq!(all, ["Last-Event-Id: 8"]);
     second.begin_stream();
     second.event(9, "nine");
@@ -145,7 +164,10 @@
 /// Cut before its first event, it is asked from the start elsewhere, with the head of the one that answers.
 #[test]
 fn a_resumable_stream_cut_before_its_first_event_starts_elsewhere() {
-    let stage = Stage::serving("a_resumable_stream_cut_before_its_first_event_starts_elsewhere", 2);
+    let stage = Stage::serving(
+        "a_resumable_stream_cut_before_its_first_event_starts_elsewhere",
+        2,
+    );
     let mut client = stage.client();
     client.post_with("/tags/slow/a", "r1", &[], "prompt");
     let mut first = stage.asked();
@@ -158,7 +180,10 @@
     second.event(1, "one");
     second.end_stream();
     let head = client.stream();
-    assert_eq!(crate::wire::header(&head, "server-seal"), Some("r1.upstream.2"));
+    assert_eq!(
+        crate::wire::header(&head, "server-seal"),
+        Some("r1.upstream.2")
+    );
     client.gets_event(1, "one");
     client.stream_is_whole();
     stage.finish();
@@ -195,7 +220,9 @@
     let first = stage.begun_stream(&mut client);
     first.close();
     let mut second = stage.asked();
-    second.say("HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 3\r\n\r\nwhy");
+    second.say(
+        "HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 3\r\n\r\nwhy",
+    );
     second.keep();
     client.stream_is_cut();
     stage.finish();
@@ -259,7 +286,10 @@
 /// The silent one breaks off while another is asked to take it up: that one goes on with it.
 #[test]
 fn a_silent_stream_that_breaks_is_taken_up_by_the_one_that_was_asked() {
-    let stage = Stage::serving("a_silent_stream_that_breaks_is_taken_up_by_the_one_that_was_asked", 2);
+    let stage = Stage::serving(
+        "a_silent_stream_that_breaks_is_taken_up_by_the_one_that_was_asked",
+        2,
+    );
     let mut client = stage.client();
     client.post_with("/tags/a", "r1", &[], "prompt");
     let first = stage.begun_stream(&mut client);
@@ -281,7 +311,10 @@
 #[test]
 fn a_stream_with_events_that_have_no_id_is_not_taken_up() {
     let stage = Stage::serving("a_stream_with_events_that_have_no_id_is_not_taken_up", 2);
-    let events = [("r1", vec!["data: one\n\n"]), ("r2", vec!["id: 1\ndata: one\n\n", "data: two\n\n"])];
+    let events = [
+        ("r1", vec!["data: one\n\n"]),
+        ("r2", vec!["id: 1\ndata: one\n\n", "data: two\n\n"]),
+    ];
     for (id, events) in events {
         for breaks in [false, true] {
             let mut client = stage.client();
@@ -326,7 +359,10 @@
         second.begin_stream();
         second.event(1, "one");
         let head = client.stream();
-        assert_eq!(crate::wire::header(&head, "server-seal"), Some("r1.upstream.2"));
+        assert_eq!(
+            crate::wire::header(&head, "server-seal"),
+            Some("r1.upstream.2")
+        );
         client.gets_event(1, "one");
         first.until_closed();
         second.end_stream();
@@ -340,7 +376,13 @@
 fn a_silent_stream_that_may_run_once_stays_where_it_is() {
     let stage = Stage::serving("a_silent_stream_that_may_run_once_stays_where_it_is", 3);
     let mut client = stage.client();
-    client.send(&request("POST", "/letters/a", "r1", &["Deadline-Remaining: 3000"], "prompt"));
+    client.send(&request(
+        "POST",
+        "/letters/a",
+        "r1",
+        &["Deadline-Remaining: 3000"],
+        "prompt",
+    ));
     let asked = stage.begun_stream(&mut client);
     client.stream_is_cut();
     asked.until_closed();
@@ -356,7 +398,12 @@
     let asked = stage.begun_stream(&mut client);
     client.leave();
     asked.until_closed();
-    for (id, target) in [("r2", "/letters/a"), ("r3", "/tags/slow/a"), ("r4", "/pay/a"), ("r5", "/slips/a")] {
+    for (id, target) in [
+        ("r2", "/letters/a"),
+        ("r3", "/tags/slow/a"),
+        ("r4", "/pay/a"),
+        ("r5", "/slips/a"),
+    ] {
         let mut client = stage.client();
         client.post_with(target, id, &[], "prompt");
         let asked = stage.asked();
@@ -372,7 +419,10 @@
     let stage = Stage::empty("a_client_that_leaves_while_its_request_waits");
     stage.tell_alone();
     // It has room for one request, and queues none beyond that.
-    stage.list(vec![UpstreamEntry { slots: 1, ..stage.upstream("printer", "a") }]);
+    stage.list(vec![UpstreamEntry {
+        slots: 1,
+        ..stage.upstream("printer", "a")
+    }]);
     stage.settle();
     let mut first = stage.client();
     first.get("/slips/a", "first");
@@ -381,7 +431,9 @@
     waiting.get("/slips/a", "waiting");
     stage.until_figure("sandtrack_proxy_requests_open", 2);
     waiting.leave();
-    stage.proxy.until_logged_times("request waiting on slips: its client left", 1);
+    stage
+        .proxy
+        .until_logged_times("request waiting on slips: its client left", 1);
     in_hand.answer("whole");
     assert_eq!(first.answer().text(), "whole");
     let mut next = stage.client();
@@ -412,7 +464,12 @@
 fn a_stream_past_its_deadline_does_not_look_complete() {
     let stage = Stage::serving("a_stream_past_its_deadline_does_not_look_complete", 1);
     let mut client = stage.client();
-    client.post_with("/tags/slow/a", "r1", &["Deadline-Remaining: 1500"], "prompt");
+    client.post_with(
+        "/tags/slow/a",
+        "r1",
+        &["Deadline-Remaining: 1500"],
+        "prompt",
+    );
     let asked = stage.begun_stream(&mut client);
     client.stream_is_cut();
     asked.until_closed();
@@ -430,7 +487,11 @@
     asked.keep();
     let answer = client.answer();
     assert_eq!(
-        (answer.status(), answer.text().as_str(), answer.header("server-seal")),
+        (
+            answer.status(),
+            answer.text().as_str(),
+            answer.header("server-seal")
+        ),
         (404, "why", Some("s1"))
     );
     stage.finish();
@@ -448,7 +509,9 @@
         let mut client = stage.client();
         client.post("/letters/a", id, "prompt");
         let mut asked = stage.asked();
-        asked.say(&format!("HTTP/1.1 200 OK\r\n{head}Transfer-Encoding: chunked\r\n\r\n"));
+        asked.say(&format!(
+            "HTTP/1.1 200 OK\r\n{head}Transfer-Encoding: chunked\r\n\r\n"
+        ));
         asked.event(1, "another's");
         assert_eq!(client.answer().status(), 502, "{head}");
     }
--- a/crates/sandtrack-proxy/tests/exchange/transcript.rs
+++ b/crates/sandtrack-proxy/tests/exchange/transcript.rs
@@ -34,7 +34,10 @@
     /// A line without what differs from run to run.
     fn steady(&self, line: &str) -> String {
         if let Some((name, value)) = line.split_once(": ") {
-            let number = value.trim().parse::<f64>().is_ok_and(|number| number >= 0.0);
+            let number = value
+                .trim()
+                .parse::<f64>()
+                .is_ok_and(|number| number >= 0.0);
             match (name.to_ascii_lowercase().as_str(), number) {
                 ("deadline-remaining", true) => return format!("{name}: (left)"),
                 ("retry-after", true) => return format!("{name}: (seconds)"),
@@ -53,13 +56,17 @@
 
     /// Holds it against the approved one.
     pub fn approve(&self, name: &str) {
-        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/transcripts/{name}.txt"));
+        let path =
+            PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/transcripts/{name}.txt"));
         let text = self.text.borrow();
         if std::env::var_os("APPROVE_TRANSCRIPTS").is_some_and(|value| value == "1") {
             std::fs::write(&path, text.as_bytes()).unwrap();
         }
         let approved = std::fs::read_to_string(&path).unwrap_or_default();
-        let differs = approved.lines().zip(text.lines()).position(|(one, other)| one != other);
+        let differs = approved
+            .lines()
+            .zip(text.lines())
+            .position(|(one, other)| one != other);
         let at = differs.unwrap_or(approved.lines().count().min(text.lines().count()));
         assert!(
             approved == *text,
--- a/crates/sandtrack-proxy/tests/exchange/upstream.rs
+++ b/crates/sandtrack-proxy/tests/exchange/upstream.rs
@@ -54,7 +54,12 @@
                 read(&serving, Wire::new(stream), 0);
             }
         });
-        Upstream { identifier: identifier.to_owned(), address, home, accepting: Some(accepting) }
+        Upstream {
+            identifier: identifier.to_owned(),
+            address,
+            home,
+            accepting: Some(accepting),
+        }
     }
 
     /// As the platform's list shows it.
@@ -95,15 +100,22 @@
             }
             if request.head.starts_with(&format!("GET {HEALTH} ")) {
                 let identifier = &reader.identifier;
-                let well =
-                    format!("HTTP/1.1 200 OK\r\nInstance-Id: {identifier}\r\nContent-Length: 0\r\n\r\n");
+                let well = format!(
+                    "HTTP/1.1 200 OK\r\nInstance-Id: {identifier}\r\nContent-Length: 0\r\n\r\n"
+                );
                 wire.send(well.as_bytes());
                 earlier += 1;
                 continue;
             }
             wire.patience(Some(PATIENCE));
             let (identifier, home) = (reader.identifier.clone(), reader.clone());
-            let _ = reader.sender.send(Arrived { identifier, request, earlier, wire, home });
+            let _ = reader.sender.send(Arrived {
+                identifier,
+                request,
+                earlier,
+                wire,
+                home,
+            });
             return;
         }
     });
@@ -123,15 +135,32 @@
 
 impl Asked {
     pub fn new(arrived: Arrived, transcript: Rc<Transcript>) -> Self {
-        let Arrived { identifier, request, earlier, wire, home } = arrived;
+        let Arrived {
+            identifier,
+            request,
+            earlier,
+            wire,
+            home,
+        } = arrived;
         let name = format!("upstream {}", transcript.number(&identifier));
         let body = match request.body.len() {
             0 => String::new(),
             long @ 300.. => format!("\n\n({long} bytes)"),
             _ => format!("\n\n{}", request.text()),
         };
-        transcript.note(&format!("{name} is asked"), &format!("{}{body}", request.head));
-        Asked { identifier, request, earlier, name, wire, home, transcript }
+        transcript.note(
+            &format!("{name} is asked"),
+            &format!("{}{body}", request.head),
+        );
+        Asked {
+            identifier,
+            request,
+            earlier,
+            name,
+            wire,
+            home,
+            transcript,
+        }
     }
 
     pub fn id(&self) -> &str {
@@ -172,13 +201,16 @@
     }
 
     pub fn chunk(&mut self, text: &str) {
-        self.transcript.note(&format!("{} says, in a chunk", self.name), text);
-        self.wire.send(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
+        self.transcript
+            .note(&format!("{} says, in a chunk", self.name), text);
+        self.wire
+            .send(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
     /// The end of a chunked body; it stays open for more.
     pub fn end_stream(mut self) {
-        self.transcript.note(&format!("{} ends its chunks", self.name), "");
+        self.transcript
+            .note(&format!("{} ends its chunks", self.name), "");
         self.wire.send(b"0\r\n\r\n");
         self.keep();
     }
@@ -212,7 +244,8 @@
     /// Waits until the proxy has closed the connection, on which nothing more came.
     pub fn until_closed(mut self) {
         assert_eq!(self.wire.rest(), b"", "nothing more is asked on it");
-        self.transcript.note(&format!("{} sees its connection closed", self.name), "");
+        self.transcript
+            .note(&format!("{} sees its connection closed", self.name), "");
     }
 }
 
--- a/crates/sandtrack-proxy/tests/exchange/wire.rs
+++ b/crates/sandtrack-proxy/tests/exchange/wire.rs
@@ -18,7 +18,11 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0)
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -55,7 +59,10 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).unwrap();
-        Wire { stream, held: Vec::new() }
+        Wire {
+            stream,
+            held: Vec::new(),
+        }
     }
 
     /// Reading takes this long at most; `None`: it waits for ever.
@@ -79,8 +86,13 @@
                     return true;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    panic!("nothing came in time; held: {:?}", String::from_utf8_lossy(&self.held))
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) =>
+                {
+                    panic!(
+                        "nothing came in time; held: {:?}",
+                        String::from_utf8_lossy(&self.held)
+                    )
                 }
                 Err(_) => return false,
             }
@@ -90,7 +102,11 @@
     /// All up to and with `mark`; `None` when the connection ends before.
     fn until(&mut self, mark: &[u8]) -> Option<Vec<u8>> {
         loop {
-            if let Some(at) = self.held.windows(mark.len()).position(|bytes| bytes == mark) {
+            if let Some(at) = self
+                .held
+                .windows(mark.len())
+                .position(|bytes| bytes == mark)
+            {
                 return Some(self.held.drain(..at + mark.len()).collect());
             }
             if !self.fill() {
@@ -115,10 +131,15 @@
     }
 
     pub fn chunk(&mut self) -> Chunk {
-        let Some(line) = self.until(b"\r\n") else { return Chunk::Cut };
+        let Some(line) = self.until(b"\r\n") else {
+            return Chunk::Cut;
+        };
         let digits = String::from_utf8_lossy(&line).trim().to_owned();
-        let size = usize::from_str_radix(&digits, 16).unwrap_or_else(|_| panic!("`{digits}` is no size"));
-        let Some(data) = self.exactly(size + 2) else { return Chunk::Cut };
+        let size =
+            usize::from_str_radix(&digits, 16).unwrap_or_else(|_| panic!("`{digits}` is no size"));
+        let Some(data) = self.exactly(size + 2) else {
+            return Chunk::Cut;
+        };
         assert!(data.ends_with(b"\r\n"), "a chunk ends with its line");
         if size == 0 {
             return Chunk::Last;
@@ -130,7 +151,11 @@
     pub fn message(&mut self) -> Option<Message> {
         let head = self.head()?;
         let answer = head.starts_with("HTTP/");
-        let mut message = Message { head, body: Vec::new(), whole: true };
+        let mut message = Message {
+            head,
+            body: Vec::new(),
+            whole: true,
+        };
         if message.header("transfer-encoding").is_some() {
             loop {
                 match self.chunk() {
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -3,8 +3,8 @@
 //! every script. What an upstream did is known here and not to the exchange: whether it has run is judged by the worst case.
 use sandtrack_proxy::balancer::Ended;
 use sandtrack_proxy::exchange_state::{
-    is_promise, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, Phase, SendEvent, SendId, Terms,
-    SENDS,
+    is_promise, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, Phase, SendEvent,
+    SendId, Terms, SENDS,
 };
 use std::collections::HashSet;
 
@@ -43,7 +43,8 @@
     /// All that it sent is its answer to this request.
     fn is_own(&self) -> bool {
         self.head.is_some_and(|head| {
-            head.id == AnswerId::Own || head.id == AnswerId::Missing && head.not_run() && !self.reused
+            head.id == AnswerId::Own
+                || head.id == AnswerId::Missing && head.not_run() && !self.reused
         })
     }
 }
@@ -92,110 +93,181 @@
     };
     match action {
         Action::Relay { send, begins, .. } => {
-            let side = world.sends[*send].as_ref().ok_or("bytes of a send that is over")?;
-            rule(proper(side), || format!("relays what is no answer to it: {side:?}"))?;
-            rule(side.head.is_some_and(|head| head.status == 200), || "a failure as a stream".to_owned())?;
-            rule(*begins != world.begun, || "a head in the middle, or none at the start".to_owned())
+            let side = world.sends[*send]
+                .as_ref()
+                .ok_or("bytes of a send that is over")?;
+            rule(proper(side), || {
+                format!("relays what is no answer to it: {side:?}")
+            })?;
+            rule(side.head.is_some_and(|head| head.status == 200), || {
+                "a failure as a stream".to_owned()
+            })?;
+            rule(*begins != world.begun, || {
+                "a head in the middle, or none at the start".to_owned()
+            })
         }
         Action::Finish(Final::Whole(_)) => {
-            let side = world.last_whole.as_ref().ok_or("an answer that is not whole")?;
-            rule(proper(side) && !world.begun, || format!("passes on what is no answer: {side:?}"))
+            let side = world
+                .last_whole
+                .as_ref()
+                .ok_or("an answer that is not whole")?;
+            rule(proper(side) && !world.begun, || {
+                format!("passes on what is no answer: {side:?}")
+            })
         }
         Action::Finish(Final::KeptFailure) => {
-            let side = world.kept_failure.as_ref().ok_or("a failure that nobody gave")?;
-            rule(proper(side) && !world.begun, || format!("passes on what is no answer: {side:?}"))
-        }
-        Action::Finish(Final::Own { .. }) => {
-            rule(!world.begun, || "an answer in the middle of another".to_owned())
+            let side = world
+                .kept_failure
+                .as_ref()
+                .ok_or("a failure that nobody gave")?;
+            rule(proper(side) && !world.begun, || {
+                format!("passes on what is no answer: {side:?}")
+            })
         }
+        Action::Finish(Final::Own { .. }) => rule(!world.begun, || {
+            "an answer in the middle of another".to_owned()
+        }),
         _ => Ok(()),
     }
 }
 
 /// TWICE: what may run once is sent only where no upstream may run it or have run it.
 fn twice(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Start { .. } = action else { return Ok(()) };
+    let Action::Start { .. } = action else {
+        return Ok(());
+    };
     let under_way = world.sends.iter().flatten().count();
-    rule(world.terms.idempotent || world.runs == 0 && under_way == 0, || "sent while it may run".to_owned())
+    rule(
+        world.terms.idempotent || world.runs == 0 && under_way == 0,
+        || "sent while it may run".to_owned(),
+    )
 }
 
 /// TWICE: what may run once goes on a fresh connection, never on one that its upstream may be closing.
 fn fresh(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Start { reuse, .. } = action else { return Ok(()) };
-    rule(world.terms.idempotent || !reuse, || "on a connection that may be closing".to_owned())
+    let Action::Start { reuse, .. } = action else {
+        return Ok(());
+    };
+    rule(world.terms.idempotent || !reuse, || {
+        "on a connection that may be closing".to_owned()
+    })
 }
 
 /// REFUSED: no promise for what may have run or may run yet.
 fn refused(world: &World, action: &Action) -> Result<(), String> {
     let status = match action {
-        Action::Finish(Final::Own { status, promise, .. }) => {
-            rule(*promise == is_promise(*status), || "when to come back, and no promise".to_owned())?;
+        Action::Finish(Final::Own {
+            status, promise, ..
+        }) => {
+            rule(*promise == is_promise(*status), || {
+                "when to come back, and no promise".to_owned()
+            })?;
             *status
         }
         Action::Finish(Final::Whole(_)) => head_status(&world.last_whole),
         Action::Finish(Final::KeptFailure) => head_status(&world.kept_failure),
         _ => return Ok(()),
     };
-    rule(!is_promise(status) || world.runs == 0, || format!("{status} for what may have run"))
+    rule(!is_promise(status) || world.runs == 0, || {
+        format!("{status} for what may have run")
+    })
 }
 
 /// Given up before it ran: the client is told so, and may come back.
 fn promised(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Finish(Final::Own { promise, .. }) = action else { return Ok(()) };
-    rule(*promise || world.runs > 0, || "no promise for what has not run".to_owned())
+    let Action::Finish(Final::Own { promise, .. }) = action else {
+        return Ok(());
+    };
+    rule(*promise || world.runs > 0, || {
+        "no promise for what has not run".to_owned()
+    })
 }
 
 /// BUDGET: no more upstreams than `attempts`; one that no byte reached does not count.
 fn budget(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Start { .. } = action else { return Ok(()) };
-    rule(world.upstreams < world.terms.attempts.max(1), || "more upstreams than attempts".to_owned())
+    let Action::Start { .. } = action else {
+        return Ok(());
+    };
+    rule(world.upstreams < world.terms.attempts.max(1), || {
+        "more upstreams than attempts".to_owned()
+    })
 }
 
 /// ORDER: events come once each, in order, none missing; a stream ends as complete only behind its last.
 fn order(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Relay { bytes, ends, .. } = action else { return Ok(()) };
+    let Action::Relay { bytes, ends, .. } = action else {
+        return Ok(());
+    };
     let mut got = world.got.clone();
     got.extend(bytes);
-    let whole: Vec<u8> = (1..=LAST_EVENT).flat_map(|id| event(world.numbered, id)).collect();
-    rule(whole.starts_with(&got), || format!("out of order: {:?}", String::from_utf8_lossy(&got)))?;
+    let whole: Vec<u8> = (1..=LAST_EVENT)
+        .flat_map(|id| event(world.numbered, id))
+        .collect();
+    rule(whole.starts_with(&got), || {
+        format!("out of order: {:?}", String::from_utf8_lossy(&got))
+    })?;
     let complete = got == whole;
-    rule(!ends || complete, || "ends as complete before its last event".to_owned())
+    rule(!ends || complete, || {
+        "ends as complete before its last event".to_owned()
+    })
 }
 
 /// MIXED, LOST: what was not complete ends with a closed connection and looks like nothing else.
 fn complete(world: &World, action: &Action) -> Result<(), String> {
     match action {
         Action::Finish(Final::StreamEnded) => {
-            let whole: Vec<u8> = (1..=LAST_EVENT).flat_map(|id| event(world.numbered, id)).collect();
-            rule(world.begun && world.got == whole, || "a cut stream looks complete".to_owned())
+            let whole: Vec<u8> = (1..=LAST_EVENT)
+                .flat_map(|id| event(world.numbered, id))
+                .collect();
+            rule(world.begun && world.got == whole, || {
+                "a cut stream looks complete".to_owned()
+            })
         }
         Action::Finish(Final::Cut) => Ok(()),
-        Action::Finish(_) => rule(!world.begun, || "something behind a stream that began".to_owned()),
+        Action::Finish(_) => rule(!world.begun, || {
+            "something behind a stream that began".to_owned()
+        }),
         _ => Ok(()),
     }
 }
 
 /// MIXED: a connection is kept only behind a whole answer, with nothing behind that, and where its upstream keeps it.
 fn pooled(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Pool(send, _) = action else { return Ok(()) };
-    let side = world.sends[*send].as_ref().ok_or("a connection that is not its own")?;
+    let Action::Pool(send, _) = action else {
+        return Ok(());
+    };
+    let side = world.sends[*send]
+        .as_ref()
+        .ok_or("a connection that is not its own")?;
     let kept = side.head.is_some_and(|head| head.keeps_open);
-    rule(side.whole && !side.surplus && kept && side.is_own(), || format!("kept a connection: {side:?}"))
+    rule(side.whole && !side.surplus && kept && side.is_own(), || {
+        format!("kept a connection: {side:?}")
+    })
 }
 
 /// The client gets exactly one final answer, and no send outlives it.
 fn one_final_answer(world: &World, action: &Action) -> Result<(), String> {
-    rule(world.finals == 0, || format!("after the final answer: {action:?}"))?;
-    let Action::Finish(_) = action else { return Ok(()) };
-    rule(world.sends.iter().all(Option::is_none), || "a send is left behind".to_owned())
+    rule(world.finals == 0, || {
+        format!("after the final answer: {action:?}")
+    })?;
+    let Action::Finish(_) = action else {
+        return Ok(());
+    };
+    rule(world.sends.iter().all(Option::is_none), || {
+        "a send is left behind".to_owned()
+    })
 }
 
 /// An upstream is taken for one that answered only behind a whole answer, and for a broken one only where something broke.
 fn judged(world: &World, action: &Action) -> Result<(), String> {
-    let (Action::Pool(send, ended) | Action::Close(send, ended)) = action else { return Ok(()) };
+    let (Action::Pool(send, ended) | Action::Close(send, ended)) = action else {
+        return Ok(());
+    };
     let side = world.sends[*send].as_ref().ok_or("a send that is over")?;
     match ended {
-        Ended::Answered => rule(side.whole && side.is_own() && !side.denied, || "not answered".to_owned()),
+        Ended::Answered => rule(side.whole && side.is_own() && !side.denied, || {
+            "not answered".to_owned()
+        }),
         Ended::Broken => rule(!side.whole, || "whole, and taken for broken".to_owned()),
         _ => Ok(()),
     }
@@ -216,7 +288,9 @@
 ];
 
 fn head_status(side: &Option<UpstreamSide>) -> u16 {
-    side.as_ref().and_then(|side| side.head).map_or(0, |head| head.status)
+    side.as_ref()
+        .and_then(|side| side.head)
+        .map_or(0, |head| head.status)
 }
 
 fn event(numbered: bool, id: u64) -> Vec<u8> {
@@ -235,23 +309,61 @@
 
 /// Heads that an upstream may answer with.
 fn heads(terms: Terms) -> Vec<HeadFacts> {
-    let own =
-        HeadFacts { id: AnswerId::Own, status: 200, not_executed: false, sealed: true, keeps_open: true };
+    let own = HeadFacts {
+        id: AnswerId::Own,
+        status: 200,
+        not_executed: false,
+        sealed: true,
+        keeps_open: true,
+    };
     let mut heads = vec![
         own,
-        HeadFacts { keeps_open: false, ..own },
-        HeadFacts { sealed: false, ..own },
-        HeadFacts { id: AnswerId::Other, ..own },
-        HeadFacts { id: AnswerId::Missing, ..own },
+        HeadFacts {
+            keeps_open: false,
+            ..own
+        },
+        HeadFacts {
+            sealed: false,
+            ..own
+        },
+        HeadFacts {
+            id: AnswerId::Other,
+            ..own
+        },
+        HeadFacts {
+            id: AnswerId::Missing,
+            ..own
+        },
         HeadFacts { status: 404, ..own },
         HeadFacts { status: 500, ..own },
         HeadFacts { status: 503, ..own },
         HeadFacts { status: 429, ..own },
         HeadFacts { status: 408, ..own },
-        HeadFacts { status: 503, not_executed: true, sealed: false, ..own },
-        HeadFacts { status: 421, sealed: false, ..own },
-        HeadFacts { status: 503, not_executed: true, sealed: false, id: AnswerId::Other, ..own },
-        HeadFacts { status: 400, not_executed: true, sealed: false, id: AnswerId::Missing, ..own },
+        HeadFacts {
+            status: 503,
+            not_executed: true,
+            sealed: false,
+            ..own
+        },
+        HeadFacts {
+            status: 421,
+            sealed: false,
+            ..own
+        },
+        HeadFacts {
+            status: 503,
+            not_executed: true,
+            sealed: false,
+            id: AnswerId::Other,
+            ..own
+        },
+        HeadFacts {
+            status: 400,
+            not_executed: true,
+            sealed: false,
+            id: AnswerId::Missing,
+            ..own
+        },
     ];
     if terms.streaming {
         heads.push(HeadFacts { status: 204, ..own });
@@ -294,7 +406,11 @@
         }
         for (send, side) in self.sends.iter().enumerate() {
             if let Some(side) = side {
-                inputs.extend(self.events(side).into_iter().map(|event| Input::Send(send, event)));
+                inputs.extend(
+                    self.events(side)
+                        .into_iter()
+                        .map(|event| Input::Send(send, event)),
+                );
             }
         }
         inputs
@@ -312,8 +428,11 @@
             }
             return events;
         }
-        let mut events =
-            vec![SendEvent::Broke(Broke::Connection), SendEvent::Broke(Broke::Spoilt), SendEvent::TimeOver];
+        let mut events = vec![
+            SendEvent::Broke(Broke::Connection),
+            SendEvent::Broke(Broke::Spoilt),
+            SendEvent::TimeOver,
+        ];
         if !side.written {
             // Nothing is read before.
             events.extend([SendEvent::Written, SendEvent::WriteFailed]);
@@ -323,7 +442,10 @@
             events.extend(heads(self.terms).into_iter().map(SendEvent::Head));
             return events;
         };
-        let ends = [SendEvent::End { surplus: false }, SendEvent::End { surplus: true }];
+        let ends = [
+            SendEvent::End { surplus: false },
+            SendEvent::End { surplus: true },
+        ];
         if !self.terms.relays(head.status) || head.not_run() {
             events.extend(ends);
             events.push(SendEvent::Broke(Broke::NoMemory));
@@ -349,7 +471,9 @@
     /// What the upstream did when this came of it.
     fn note(&mut self, send: SendId, event: &SendEvent) {
         let numbered = self.numbered;
-        let Some(side) = &mut self.sends[send] else { return };
+        let Some(side) = &mut self.sends[send] else {
+            return;
+        };
         match event {
             SendEvent::Connected { reused } => {
                 side.reached = true;
@@ -394,7 +518,8 @@
             self.perform(action);
         }
         if self.finals > 0 && self.exchange.phase() != Phase::Over {
-            self.broken.get_or_insert("one final answer: and it goes on".to_owned());
+            self.broken
+                .get_or_insert("one final answer: and it goes on".to_owned());
         }
         // Only what is done at once may pass it on.
         self.last_whole = None;
@@ -402,7 +527,12 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Start { send, place, reuse, resume } => {
+            Action::Start {
+                send,
+                place,
+                reuse,
+                resume,
+            } => {
                 self.upstreams += 1;
                 self.sends[send] = Some(UpstreamSide {
                     place,
@@ -443,7 +573,11 @@
 fn worlds(attempts: u32) -> Vec<World> {
     let mut worlds = Vec::new();
     for (idempotent, streaming) in [(true, false), (false, false), (true, true), (false, true)] {
-        let terms = Terms { idempotent, streaming, attempts };
+        let terms = Terms {
+            idempotent,
+            streaming,
+            attempts,
+        };
         worlds.push(World::new(terms, true));
         if streaming {
             worlds.push(World::new(terms, false));
@@ -507,7 +641,12 @@
         depth += usize::from(!next_edge.is_empty());
         edge = next_edge;
     }
-    Found { states: known.len(), steps, ends, depth }
+    Found {
+        states: known.len(),
+        steps,
+        ends,
+        depth,
+    }
 }
 
 fn explore(attempts: u32) {
@@ -545,32 +684,55 @@
     for world in (1..=3).flat_map(worlds) {
         scripts(&world, SCRIPT_LENGTH, &mut Vec::new(), &mut count);
     }
-    println!("{count} scripts of up to {SCRIPT_LENGTH} inputs, {:?}", began.elapsed());
+    println!(
+        "{count} scripts of up to {SCRIPT_LENGTH} inputs, {:?}",
+        began.elapsed()
+    );
 }
 
-const RESUMABLE: Terms = Terms { idempotent: true, streaming: true, attempts: 3 };
+const RESUMABLE: Terms = Terms {
+    idempotent: true,
+    streaming: true,
+    attempts: 3,
+};
 
 /// The inputs of one send up to its head.
 fn head_came(send: SendId) -> [Input; 3] {
     let own = heads(RESUMABLE)[0];
-    [SendEvent::Connected { reused: false }, SendEvent::Written, SendEvent::Head(own)]
-        .map(|event| Input::Send(send, event))
+    [
+        SendEvent::Connected { reused: false },
+        SendEvent::Written,
+        SendEvent::Head(own),
+    ]
+    .map(|event| Input::Send(send, event))
 }
 
 /// What the last of these inputs leads to.
 fn outcome(inputs: impl IntoIterator<Item = Input>) -> Vec<Action> {
     let mut exchange = Exchange::new(RESUMABLE);
-    inputs.into_iter().map(|input| exchange.on(input)).last().unwrap_or_default()
+    inputs
+        .into_iter()
+        .map(|input| exchange.on(input))
+        .last()
+        .unwrap_or_default()
 }
 
 /// One that was raced, and whose rival failed, is waited for: a third upstream is not made to work beside it.
 #[test]
 fn a_silent_send_is_raced_once() {
     let raced = [Input::Placed(0), Input::Spare(1)];
-    let start = Action::Start { send: 1, place: 1, reuse: true, resume: None };
+    let start = Action::Start {
+        send: 1,
+        place: 1,
+        reuse: true,
+        resume: None,
+    };
     assert_eq!(outcome(raced.clone()), [start]);
     let failed = Input::Send(1, SendEvent::NoConnection { share_full: false });
-    assert_eq!(outcome(raced.into_iter().chain([failed, Input::Spare(2)])), []);
+    assert_eq!(
+        outcome(raced.into_iter().chain([failed, Input::Spare(2)])),
+        []
+    );
 }
 
 #[test]
@@ -580,7 +742,15 @@
         Input::Send(0, SendEvent::Broke(Broke::Connection)),
         Input::Placed(1),
     ]);
-    assert_eq!(outcome(inputs), [Action::Start { send: 0, place: 1, reuse: true, resume: Some(1) }]);
+    assert_eq!(
+        outcome(inputs),
+        [Action::Start {
+            send: 0,
+            place: 1,
+            reuse: true,
+            resume: Some(1)
+        }]
+    );
 }
 
 /// The one that was asked to take a silent stream up goes on with it where the silent one breaks.
@@ -600,11 +770,26 @@
 /// With one attempt: what never got a byte may still go to another upstream.
 #[test]
 fn a_connection_that_never_came_up_is_no_attempt() {
-    let mut exchange = Exchange::new(Terms { idempotent: false, streaming: false, attempts: 1 });
+    let mut exchange = Exchange::new(Terms {
+        idempotent: false,
+        streaming: false,
+        attempts: 1,
+    });
     exchange.on(Input::Placed(0));
-    exchange.on(Input::Send(0, SendEvent::NoConnection { share_full: false }));
+    exchange.on(Input::Send(
+        0,
+        SendEvent::NoConnection { share_full: false },
+    ));
     let again = exchange.on(Input::Placed(1));
-    assert_eq!(again, [Action::Start { send: 0, place: 1, reuse: false, resume: None }]);
+    assert_eq!(
+        again,
+        [Action::Start {
+            send: 0,
+            place: 1,
+            reuse: false,
+            resume: None
+        }]
+    );
 }
 
 /// What comes behind the final answer, as some of it was under way already, leads to nothing.
@@ -622,8 +807,14 @@
     ];
     for last in [Input::ClientGone, Input::Send(0, SendEvent::TimeOver)] {
         for input in &late {
-            let before = [Input::Placed(0), Input::Spare(1)].into_iter().chain(head_came(0));
-            assert_eq!(outcome(before.chain([last.clone(), input.clone()])), [], "{input:?}");
+            let before = [Input::Placed(0), Input::Spare(1)]
+                .into_iter()
+                .chain(head_came(0));
+            assert_eq!(
+                outcome(before.chain([last.clone(), input.clone()])),
+                [],
+                "{input:?}"
+            );
         }
     }
 }
--- a/crates/sandtrack-proxy/tests/full_log.rs
+++ b/crates/sandtrack-proxy/tests/full_log.rs
@@ -18,7 +18,11 @@
 
 /// A log that is written to disk that is full.
 fn full() -> Stdio {
-    File::options().write(true).open("/dev/full").expect("the device that is always full").into()
+    File::options()
+        .write(true)
+        .open("/dev/full")
+        .expect("the device that is always full")
+        .into()
 }
 
 /// A log whose reader stands still: what it has not read fills the pipe. The reader has to be kept.
@@ -42,8 +46,8 @@
 }
 
 fn serves_and_ends(ip: &str, log: Stdio) {
-    let path =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("full-log-{ip}-{}.json", std::process::id()));
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("full-log-{ip}-{}.json", std::process::id()));
     let settings = format!(
         r#"{{"node_name":"front-odori-hall-2","ip_address":"{ip}","zone":"odori-hall","region":"ishikari",
         "zones":{{"odori-hall":"ishikari"}},"listen_addresses":{{"front":"{ip}:8161","readiness":"{ip}:8167"}},
@@ -51,19 +55,29 @@
     );
     std::fs::write(&path, settings).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack-proxy"));
-    command.env("SANDTRACK_BOOT", &path).stdout(Stdio::null()).stderr(log);
+    command
+        .env("SANDTRACK_BOOT", &path)
+        .stdout(Stdio::null())
+        .stderr(log);
     let mut proxy = Running(command.spawn().expect("a process"));
     let began = Instant::now();
     let mut stream = loop {
         let ended = proxy.0.try_wait().expect("its state");
-        assert!(ended.is_none() && began.elapsed() < Duration::from_secs(20), "it ended: {ended:?}");
+        assert!(
+            ended.is_none() && began.elapsed() < Duration::from_secs(20),
+            "it ended: {ended:?}"
+        );
         match TcpStream::connect((ip, 8167)) {
             Ok(stream) => break stream,
             Err(_) => std::thread::yield_now(),
         }
     };
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
-    stream.write_all(b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("written");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("a time limit");
+    stream
+        .write_all(b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
--- a/crates/sandtrack-proxy/tests/incident_long_prompts.rs
+++ b/crates/sandtrack-proxy/tests/incident_long_prompts.rs
@@ -29,7 +29,9 @@
 
 /// Prompts with long shared parts, each another one.
 fn long() -> Vec<String> {
-    (0..64).map(|at| format!("{at:x}:13300,ff{at:x}:3720")).collect()
+    (0..64)
+        .map(|at| format!("{at:x}:13300,ff{at:x}:3720"))
+        .collect()
 }
 
 fn short() -> Vec<String> {
@@ -42,23 +44,35 @@
 }
 
 #[test]
-fn while_a_region_is_free_of_bound_requests_most_long_prompts_are_read_there_and_short_ones_go_anywhere() {
+fn while_a_region_is_free_of_bound_requests_most_long_prompts_are_read_there_and_short_ones_go_anywhere(
+) {
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
     // One by one: so many go to the free region, all of whose upstreams read.
     let all = long();
-    let one =
-        |balancer: &mut Balancer, at: usize| drawn(balancer, 100.0, "/letters/1", &all[at..=at]).pop_first();
-    let readers: Vec<String> = (0..all.len()).filter_map(|at| one(&mut balancer, at)).collect();
-    let free: Vec<&String> = readers.iter().filter(|name| name.starts_with('c')).collect();
+    let one = |balancer: &mut Balancer, at: usize| {
+        drawn(balancer, 100.0, "/letters/1", &all[at..=at]).pop_first()
+    };
+    let readers: Vec<String> = (0..all.len())
+        .filter_map(|at| one(&mut balancer, at))
+        .collect();
+    let free: Vec<&String> = readers
+        .iter()
+        .filter(|name| name.starts_with('c'))
+        .collect();
     assert_eq!(readers.len(), 64);
-    assert!((36..=54).contains(&free.len()), "5 of weight 1 beside 6 of 0.35: 45 of 64; {}", free.len());
+    assert!(
+        (36..=54).contains(&free.len()),
+        "5 of weight 1 beside 6 of 0.35: 45 of 64; {}",
+        free.len()
+    );
     assert_eq!(free.iter().collect::<BTreeSet<_>>().len(), 5);
     assert_eq!(drawn(&mut balancer, 100.0, "/tags/1", &short()).len(), 6);
 }
 
 #[test]
-fn where_no_region_is_free_half_of_the_upstreams_read_long_prompts_and_the_rest_stream_what_is_bound() {
+fn where_no_region_is_free_half_of_the_upstreams_read_long_prompts_and_the_rest_stream_what_is_bound(
+) {
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
     evacuate(&mut balancer, &["c"]);
@@ -68,7 +82,10 @@
     assert_eq!(streams.len(), 3, "{streams:?}");
     assert!(readers.is_disjoint(&streams), "{readers:?} {streams:?}");
     // Some time after the last long prompt all serve again.
-    assert_eq!(drawn(&mut balancer, 100.0 + 4001.0, "/tags/1", &short()).len(), 6);
+    assert_eq!(
+        drawn(&mut balancer, 100.0 + 4001.0, "/tags/1", &short()).len(),
+        6
+    );
 }
 
 #[test]
@@ -91,7 +108,8 @@
     probe_all(&mut balancer, 0.0);
     evacuate(&mut balancer, &["c"]);
     let readers = drawn(&mut balancer, 100.0, "/letters/1", &long());
-    let place = |balancer: &Balancer, name: &str| balancer.upstreams.place(name).expect("it is listed");
+    let place =
+        |balancer: &Balancer, name: &str| balancer.upstreams.place(name).expect("it is listed");
     for name in ["a0", "a1", "a2", "b0", "b1", "b2"] {
         let place = place(&balancer, name);
         if !readers.contains(name) {
--- a/crates/sandtrack-proxy/tests/outcomes.rs
+++ b/crates/sandtrack-proxy/tests/outcomes.rs
@@ -30,7 +30,9 @@
 #[test]
 fn lines_of_a_second_are_bounded_and_what_was_left_out_is_told_later() {
     let mut outcomes = Outcomes::default();
-    let written = (0..50).filter(|_| outcomes.take_line(100.0).is_some()).count();
+    let written = (0..50)
+        .filter(|_| outcomes.take_line(100.0).is_some())
+        .count();
     assert_eq!(written, 20);
     assert_eq!(outcomes.take_line(1100.0), Some(30));
     assert_eq!(outcomes.take_line(1101.0), Some(0));
--- a/crates/sandtrack-proxy/tests/prefill.rs
+++ b/crates/sandtrack-proxy/tests/prefill.rs
@@ -26,7 +26,11 @@
 fn letter(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
     let parts = format!("{prefix:x}:{shared},ff{prefix:x}:1000");
     let counts = format!("{},50", shared + 1000);
-    request(balancer, "/letters/1", &[("Prompt-Prefix", &parts), ("Token-Counts", &counts)])
+    request(
+        balancer,
+        "/letters/1",
+        &[("Prompt-Prefix", &parts), ("Token-Counts", &counts)],
+    )
 }
 
 fn placed(balancer: &mut Balancer, now: f64, request: &ProxyRequest) -> usize {
@@ -39,7 +43,11 @@
 /// Tells the balancer that another proxy sent such a prompt.
 fn tell(balancer: &mut Balancer, now: f64, request: &ProxyRequest, place: usize, tokens: u32) {
     let upstream = upstream_key(balancer.upstreams.get(place));
-    let sent = PromptSent { upstream, prefix: prefix_key(request), tokens };
+    let sent = PromptSent {
+        upstream,
+        prefix: prefix_key(request),
+        tokens,
+    };
     balancer.fold(now, ToProxy::PromptsSent(vec![sent]));
 }
 
@@ -48,7 +56,11 @@
     let mut balancer = known();
     let letter = letter(&balancer, 7, 13_000);
     let first = placed(&mut balancer, 1.0, &letter);
-    let other = balancer.upstreams.listed().find(|place| *place != first).expect("there are several");
+    let other = balancer
+        .upstreams
+        .listed()
+        .find(|place| *place != first)
+        .expect("there are several");
     tell(&mut balancer, 1.0, &letter, other, 14_000);
     // Once that was read there it is the one that has the least to read.
     assert_eq!(placed(&mut balancer, 2000.0, &letter), other);
@@ -76,15 +88,25 @@
     let keeper = placed(&mut balancer, 1.0, &heavy);
     // Another prompt of which the same upstream is the first choice.
     let light = (100..400).map(|prefix| letter(&balancer, prefix, 13_000));
-    let light =
-        light.collect::<Vec<_>>().into_iter().find(|light| placed(&mut balancer, 1.0, light) == keeper);
+    let light = light
+        .collect::<Vec<_>>()
+        .into_iter()
+        .find(|light| placed(&mut balancer, 1.0, light) == keeper);
     let light = light.expect("one of hundreds");
     // Many short requests there do not move it; one long prompt under way does.
     (0..3).for_each(|_| balancer.sent(keeper));
     assert_eq!(placed(&mut balancer, 1.0, &light), keeper);
     balancer.prompt_sent(1.0, &heavy, keeper);
-    assert_ne!(placed(&mut balancer, 2.0, &light), keeper, "0.8 s of reading lie before it there");
-    assert_eq!(placed(&mut balancer, 1500.0, &light), keeper, "it has been read");
+    assert_ne!(
+        placed(&mut balancer, 2.0, &light),
+        keeper,
+        "0.8 s of reading lie before it there"
+    );
+    assert_eq!(
+        placed(&mut balancer, 1500.0, &light),
+        keeper,
+        "it has been read"
+    );
 }
 
 #[test]
@@ -92,7 +114,10 @@
     let (mut one, mut other) = (known(), known());
     for prefix in 1..200 {
         let letter = letter(&one, prefix, 13_000);
-        assert_eq!(placed(&mut one, 1.0, &letter), placed(&mut other, 1.0, &letter));
+        assert_eq!(
+            placed(&mut one, 1.0, &letter),
+            placed(&mut other, 1.0, &letter)
+        );
     }
 }
 
@@ -104,18 +129,28 @@
         for _ in 0..40 {
             balancer.note_trip(1.0, south, trip);
         }
-        let letters: Vec<ProxyRequest> = (1..100).map(|prefix| letter(&balancer, prefix, 13_000)).collect();
+        let letters: Vec<ProxyRequest> = (1..100)
+            .map(|prefix| letter(&balancer, prefix, 13_000))
+            .collect();
         let place = |letter: &ProxyRequest| {
             let place = placed(&mut balancer, 1.0, letter);
             balancer.upstreams.get(place).region.clone()
         };
-        letters.iter().map(place).filter(|region| region == "south").count()
+        letters
+            .iter()
+            .map(place)
+            .filter(|region| region == "south")
+            .count()
     };
     let policy = Policy::default();
     let reading = 14_000.0 / policy.prefill_rate;
     let fits = (1000.0 * policy.in_time - reading) / policy.trips;
     assert!(regions(fits * 0.9) > 30, "it fits");
-    assert_eq!(regions(fits * 1.2), 0, "it does not fit, and near ones are free");
+    assert_eq!(
+        regions(fits * 1.2),
+        0,
+        "it does not fit, and near ones are free"
+    );
 }
 
 #[test]
@@ -124,19 +159,29 @@
     let mut prefill = Prefill::default();
     for _ in 0..8 {
         let rate = prefill.rate("model", &policy);
-        let estimate = Estimate { kept: false, tokens: 14_000.0, ahead: 0.0, time: 14_000.0 / rate };
+        let estimate = Estimate {
+            kept: false,
+            tokens: 14_000.0,
+            ahead: 0.0,
+            time: 14_000.0 / rate,
+        };
         prefill.answered("model", &estimate, 14_000.0 / 80.0, &policy);
     }
     let rate = prefill.rate("model", &policy);
     assert!((rate - 80.0).abs() < 8.0, "{rate}");
-    assert_eq!(prefill.rate("printer", &policy), policy.prefill_rate, "another service's is its own");
+    assert_eq!(
+        prefill.rate("printer", &policy),
+        policy.prefill_rate,
+        "another service's is its own"
+    );
 }
 
 #[test]
 fn what_is_told_is_bounded_and_told_once() {
     let mut balancer = known();
-    let letters: Vec<ProxyRequest> =
-        (1..100).map(|prefix| letter(&balancer, prefix, 10_000 + prefix)).collect();
+    let letters: Vec<ProxyRequest> = (1..100)
+        .map(|prefix| letter(&balancer, prefix, 10_000 + prefix))
+        .collect();
     for letter in &letters {
         let place = placed(&mut balancer, 1.0, letter);
         balancer.prompt_sent(1.0, letter, place);
--- a/crates/sandtrack-proxy/tests/prompt_mix.rs
+++ b/crates/sandtrack-proxy/tests/prompt_mix.rs
@@ -3,8 +3,16 @@
 use std::collections::BTreeMap;
 
 /// Nothing but what was seen counts.
-const NO_PRIOR: Prior = Prior { weight: 0.7, requests: 0.0, least: 0.0 };
-const PRIOR: Prior = Prior { weight: 0.7, requests: 100.0, least: 0.35 };
+const NO_PRIOR: Prior = Prior {
+    weight: 0.7,
+    requests: 0.0,
+    least: 0.0,
+};
+const PRIOR: Prior = Prior {
+    weight: 0.7,
+    requests: 100.0,
+    least: 0.35,
+};
 
 fn homes(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
@@ -15,21 +23,32 @@
     let mut mix = PromptMix::default();
     for _ in 0..count {
         mix.long_prompt(0.0, long);
-        bound.iter().for_each(|(regions, tokens)| mix.other_request(0.0, &homes(regions), *tokens));
+        bound
+            .iter()
+            .for_each(|(regions, tokens)| mix.other_request(0.0, &homes(regions), *tokens));
     }
     mix
 }
 
 fn weights(
-    mix: &PromptMix, upstreams: &[(&'static str, usize)], prior: Prior,
+    mix: &PromptMix,
+    upstreams: &[(&'static str, usize)],
+    prior: Prior,
 ) -> BTreeMap<&'static str, f64> {
     mix.weights(0.0, &upstreams.iter().copied().collect(), prior)
 }
 
 #[test]
 fn without_bound_requests_all_regions_weigh_alike() {
-    let weights = weights(&seen(50, 300.0, &[]), &[("north", 10), ("south", 30)], NO_PRIOR);
-    assert!(weights.values().all(|weight| (weight - 1.0).abs() < 1e-9), "{weights:?}");
+    let weights = weights(
+        &seen(50, 300.0, &[]),
+        &[("north", 10), ("south", 30)],
+        NO_PRIOR,
+    );
+    assert!(
+        weights.values().all(|weight| (weight - 1.0).abs() < 1e-9),
+        "{weights:?}"
+    );
 }
 
 #[test]
@@ -37,7 +56,10 @@
     // Of 400 tokens 100 are bound to one of two like regions: a mean of 20 an upstream, 10 of them taken in the north.
     let mix = seen(50, 300.0, &[(&["north"], 100.0)]);
     let weights = weights(&mix, &[("north", 10), ("south", 10)], NO_PRIOR);
-    assert!((weights["north"] - 0.5).abs() < 1e-9 && (weights["south"] - 1.0).abs() < 1e-9, "{weights:?}");
+    assert!(
+        (weights["north"] - 0.5).abs() < 1e-9 && (weights["south"] - 1.0).abs() < 1e-9,
+        "{weights:?}"
+    );
 }
 
 #[test]
@@ -50,11 +72,23 @@
 #[test]
 fn little_evidence_leaves_the_usual_weight() {
     let upstreams = [("north", 10), ("south", 10)];
-    assert_eq!(weights(&PromptMix::default(), &upstreams, PRIOR)["north"], 0.7);
-    let after =
-        |count: usize| weights(&seen(count, 100.0, &[(&["north"], 900.0)]), &upstreams, PRIOR)["north"];
+    assert_eq!(
+        weights(&PromptMix::default(), &upstreams, PRIOR)["north"],
+        0.7
+    );
+    let after = |count: usize| {
+        weights(
+            &seen(count, 100.0, &[(&["north"], 900.0)]),
+            &upstreams,
+            PRIOR,
+        )["north"]
+    };
     assert!((after(1) - 0.7).abs() < 0.02, "{}", after(1));
-    assert!((after(50) - 0.525).abs() < 1e-6, "half of the evidence: {}", after(50));
+    assert!(
+        (after(50) - 0.525).abs() < 1e-6,
+        "half of the evidence: {}",
+        after(50)
+    );
 }
 
 #[test]
--- a/crates/sandtrack-proxy/tests/request.rs
+++ b/crates/sandtrack-proxy/tests/request.rs
@@ -11,7 +11,11 @@
     let configuration = balancer.configuration.clone().expect("there is one");
     for target in ["/slips", "/other/1", "/"] {
         let refused = ProxyRequest::decode(&configuration, head(target, &[]), Vec::new(), 0.0, 0.0);
-        assert_eq!(refused.err().map(|Refused(status, _)| status), Some(404), "{target}");
+        assert_eq!(
+            refused.err().map(|Refused(status, _)| status),
+            Some(404),
+            "{target}"
+        );
     }
 }
 
@@ -32,9 +36,18 @@
 #[test]
 fn its_time_is_what_the_client_waits_and_not_over_the_routes() {
     let balancer = balancer(Vec::new());
-    assert_eq!(request(&balancer, "/tags/1", &[("Deadline-Remaining", "2500")]).left(500.0), 2000.0);
-    assert_eq!(request(&balancer, "/tags/1", &[("Deadline-Remaining", "60000")]).left(0.0), 4000.0);
-    assert_eq!(request(&balancer, "/tags/1", &[("Deadline-Remaining", "soon")]).left(0.0), 4000.0);
+    assert_eq!(
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "2500")]).left(500.0),
+        2000.0
+    );
+    assert_eq!(
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "60000")]).left(0.0),
+        4000.0
+    );
+    assert_eq!(
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "soon")]).left(0.0),
+        4000.0
+    );
 }
 
 #[test]
@@ -43,10 +56,20 @@
     let prefix = ("Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250");
     let one = request(&balancer, "/letters/1", &[prefix]);
     assert_eq!(one.shared_tokens(), 1210);
-    let other =
-        request(&balancer, "/letters/2", &[("Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,0badcafe:99")]);
+    let other = request(
+        &balancer,
+        "/letters/2",
+        &[("Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,0badcafe:99")],
+    );
     assert_eq!(one.shared_key(), other.shared_key());
-    let third =
-        request(&balancer, "/letters/2", &[("Prompt-Prefix", "91bd3f06:410,5c1e07a2:800,0badcafe:99")]);
-    assert_ne!(one.shared_key(), third.shared_key(), "the order of the parts counts");
+    let third = request(
+        &balancer,
+        "/letters/2",
+        &[("Prompt-Prefix", "91bd3f06:410,5c1e07a2:800,0badcafe:99")],
+    );
+    assert_ne!(
+        one.shared_key(),
+        third.shared_key(),
+        "the order of the parts counts"
+    );
 }
--- a/crates/sandtrack-proxy/tests/zone_outlook.rs
+++ b/crates/sandtrack-proxy/tests/zone_outlook.rs
@@ -8,9 +8,14 @@
 
 /// Three upstreams in each of two zones of the own region, all probed.
 fn two_zones() -> Balancer {
-    let names = ["a", "b"].into_iter().flat_map(|zone| (0..3).map(move |at| (zone, at)));
-    let mut balancer =
-        balancer(names.map(|(zone, at)| entry(&format!("{zone}{at}"), "model", zone)).collect());
+    let names = ["a", "b"]
+        .into_iter()
+        .flat_map(|zone| (0..3).map(move |at| (zone, at)));
+    let mut balancer = balancer(
+        names
+            .map(|(zone, at)| entry(&format!("{zone}{at}"), "model", zone))
+            .collect(),
+    );
     probe_all(&mut balancer, 0.0);
     balancer
 }
@@ -43,7 +48,10 @@
     let mut outlook = ZoneOutlook::default();
     assert!(!outlook.failed(0.0, "a", "a1"));
     assert!(!outlook.failed(0.0, "a", "a1"), "the same one twice is one");
-    assert!(!outlook.failed(0.0, "b", "b1"), "another zone's do not count");
+    assert!(
+        !outlook.failed(0.0, "b", "b1"),
+        "another zone's do not count"
+    );
     assert!(outlook.failed(0.0, "a", "a2"));
     assert!(!outlook.failed(0.0, "a", "a3"), "it is told once");
     assert!(outlook.is_silent(0.0, "a") && !outlook.is_silent(0.0, "b"));
@@ -55,9 +63,18 @@
 fn a_zone_that_fell_silent_gets_nothing_until_one_of_it_is_heard() {
     let mut balancer = two_zones();
     break_one(&mut balancer, 1000.0, "b0");
-    assert_eq!(zones_drawn(&mut balancer, 1200.0).len(), 2, "one failure says nothing of its zone");
+    assert_eq!(
+        zones_drawn(&mut balancer, 1200.0).len(),
+        2,
+        "one failure says nothing of its zone"
+    );
     break_one(&mut balancer, 1300.0, "b1");
-    assert_eq!(zones_drawn(&mut balancer, 1500.0).into_iter().collect::<Vec<_>>(), ["a"]);
+    assert_eq!(
+        zones_drawn(&mut balancer, 1500.0)
+            .into_iter()
+            .collect::<Vec<_>>(),
+        ["a"]
+    );
     let heard = place_of(&balancer, "b2");
     balancer.heard(1600.0, heard);
     assert_eq!(zones_drawn(&mut balancer, 1700.0).len(), 2);
@@ -70,8 +87,10 @@
     balancer.probes_due(1000.0);
     break_one(&mut balancer, 1010.0, "b1");
     let due = balancer.probes_due(1010.0);
-    let zones: BTreeSet<String> =
-        due.iter().map(|(place, ..)| balancer.upstreams.get(*place).entry.zone.clone()).collect();
+    let zones: BTreeSet<String> = due
+        .iter()
+        .map(|(place, ..)| balancer.upstreams.get(*place).entry.zone.clone())
+        .collect();
     assert_eq!(due.len(), 2, "b1 and b2, b0 is under way: {due:?}");
     assert_eq!(zones.into_iter().collect::<Vec<_>>(), ["b"]);
 }
@@ -89,7 +108,10 @@
 fn a_failure_counts_until_its_upstream_would_have_been_asked_again() {
     let mut outlook = ZoneOutlook::default();
     outlook.failed(0.0, "a", "a1");
-    assert!(!outlook.failed(5001.0, "a", "a2"), "the other failure is too old");
+    assert!(
+        !outlook.failed(5001.0, "a", "a2"),
+        "the other failure is too old"
+    );
     assert!(outlook.failed(5002.0, "a", "a3"));
     assert!(outlook.is_silent(10_001.0, "a") && !outlook.is_silent(10_002.0, "a"));
 }
--- a/crates/sandtrack-replication/src/agreement.rs
+++ b/crates/sandtrack-replication/src/agreement.rs
@@ -41,7 +41,10 @@
 
 impl Proposing {
     pub(crate) fn drop_all(&mut self) {
-        *self = Self { round: 0, ..Self::default() };
+        *self = Self {
+            round: 0,
+            ..Self::default()
+        };
     }
 
     /// Factor of the next proposal's time and of the pause before it: it doubles with each failure, so that voters far from
@@ -52,7 +55,12 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    pub(crate) fn take_prepare(&mut self, sender: &Member, ballot: Ballot, effects: &mut Vec<Effect>) {
+    pub(crate) fn take_prepare(
+        &mut self,
+        sender: &Member,
+        ballot: Ballot,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.image.view.voters.contains(&self.me) {
             return;
         }
@@ -69,12 +77,21 @@
     }
 
     pub(crate) fn take_accept(
-        &mut self, sender: &Member, ballot: Ballot, view: View, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        ballot: Ballot,
+        view: View,
+        effects: &mut Vec<Effect>,
     ) {
         if !self.image.view.voters.contains(&self.me) {
             return;
         }
-        if self.image.accepted.as_ref().is_some_and(|(accepted, _)| *accepted == ballot) {
+        if self
+            .image
+            .accepted
+            .as_ref()
+            .is_some_and(|(accepted, _)| *accepted == ballot)
+        {
             self.send(&sender.address, Body::Accepted { ballot }, effects);
             return;
         }
@@ -87,7 +104,10 @@
     }
 
     pub(crate) fn take_promise(
-        &mut self, sender: &Member, ballot: Ballot, accepted: Option<(Ballot, View)>,
+        &mut self,
+        sender: &Member,
+        ballot: Ballot,
+        accepted: Option<(Ballot, View)>,
         effects: &mut Vec<Effect>,
     ) {
         let voters = self.image.view.voters.clone();
@@ -103,9 +123,14 @@
             return;
         }
         // What may have been agreed upon already has to stay.
-        let bound = proposal.promises.values().flatten().max_by(|one, other| one.0.cmp(&other.0));
+        let bound = proposal
+            .promises
+            .values()
+            .flatten()
+            .max_by(|one, other| one.0.cmp(&other.0));
         let bound = bound.map(|(_, view)| view.clone());
-        let Some(view) = bound.or_else(|| self.desired_view(&self.known()).map(|(view, _)| view)) else {
+        let Some(view) = bound.or_else(|| self.desired_view(&self.known()).map(|(view, _)| view))
+        else {
             self.proposing.proposal = None;
             return;
         };
@@ -114,14 +139,30 @@
             proposal.sent = self.now;
         }
         for voter in voters {
-            self.send(&voter.address, Body::Accept { ballot: ballot.clone(), view: view.clone() }, effects);
+            self.send(
+                &voter.address,
+                Body::Accept {
+                    ballot: ballot.clone(),
+                    view: view.clone(),
+                },
+                effects,
+            );
         }
     }
 
-    pub(crate) fn take_accepted(&mut self, sender: &Member, ballot: Ballot, effects: &mut Vec<Effect>) {
+    pub(crate) fn take_accepted(
+        &mut self,
+        sender: &Member,
+        ballot: Ballot,
+        effects: &mut Vec<Effect>,
+    ) {
         let majority = self.image.view.majority();
         let is_voter = self.image.view.voters.contains(sender);
-        let Some(proposal) = self.proposing.proposal.as_mut().filter(|proposal| proposal.ballot == ballot)
+        let Some(proposal) = self
+            .proposing
+            .proposal
+            .as_mut()
+            .filter(|proposal| proposal.ballot == ballot)
         else {
             return;
         };
@@ -147,7 +188,12 @@
 
     pub(crate) fn take_outbid(&mut self, ballot: Ballot, promised: Ballot) {
         self.proposing.round = self.proposing.round.max(promised.round);
-        if self.proposing.proposal.as_ref().is_some_and(|proposal| proposal.ballot == ballot) {
+        if self
+            .proposing
+            .proposal
+            .as_ref()
+            .is_some_and(|proposal| proposal.ballot == ballot)
+        {
             self.give_up_proposal();
         }
     }
@@ -161,11 +207,14 @@
 
     /// Proposes what is wanted once it has been wanted for long enough.
     pub(crate) fn agreement_tick(&mut self, effects: &mut Vec<Effect>) {
-        if self.latest.epoch != self.image.view.epoch || !self.image.view.voters.contains(&self.me) {
+        if self.latest.epoch != self.image.view.epoch || !self.image.view.voters.contains(&self.me)
+        {
             return;
         }
         if let Some(proposal) = &self.proposing.proposal {
-            if self.now - proposal.started > self.settings.timings.proposal * self.proposing.backoff() {
+            if self.now - proposal.started
+                > self.settings.timings.proposal * self.proposing.backoff()
+            {
                 self.give_up_proposal();
             } else if self.now - proposal.sent > self.settings.timings.repeat {
                 self.repeat_proposal(effects);
@@ -174,7 +223,11 @@
         }
         // A view that some voter accepted has to be brought to its end while all are there: left alone, it could
         // come back when the members that it builds on are gone.
-        let unfinished = self.image.accepted.clone().map(|(_, view)| (view, Reason::Unfinished));
+        let unfinished = self
+            .image
+            .accepted
+            .clone()
+            .map(|(_, view)| (view, Reason::Unfinished));
         let known = self.known();
         let Some((view, reason)) = self.desired_view(&known).or(unfinished) else {
             self.proposing.wanted = None;
@@ -182,7 +235,9 @@
             return;
         };
         let since = match &self.proposing.wanted {
-            Some((wanted, since)) if wanted.chain == view.chain && wanted.voters == view.voters => *since,
+            Some((wanted, since)) if wanted.chain == view.chain && wanted.voters == view.voters => {
+                *since
+            }
             _ => self.now,
         };
         self.proposing.wanted = Some((view, since));
@@ -207,9 +262,17 @@
     }
 
     fn propose(&mut self, effects: &mut Vec<Effect>) {
-        let promised = self.image.promised.as_ref().map_or(0, |ballot| ballot.round);
+        let promised = self
+            .image
+            .promised
+            .as_ref()
+            .map_or(0, |ballot| ballot.round);
         self.proposing.round = self.proposing.round.max(promised) + 1;
-        let ballot = Ballot { round: self.proposing.round, proposer: self.me.clone(), start: self.start };
+        let ballot = Ballot {
+            round: self.proposing.round,
+            proposer: self.me.clone(),
+            start: self.start,
+        };
         self.proposing.jitter = None;
         self.proposing.proposal = Some(Proposal {
             ballot: ballot.clone(),
@@ -220,7 +283,13 @@
             accepted: BTreeSet::new(),
         });
         for voter in self.image.view.voters.clone() {
-            self.send(&voter.address, Body::Prepare { ballot: ballot.clone() }, effects);
+            self.send(
+                &voter.address,
+                Body::Prepare {
+                    ballot: ballot.clone(),
+                },
+                effects,
+            );
         }
     }
 
@@ -235,10 +304,18 @@
         for voter in voters {
             match &proposal.view {
                 None if !proposal.promises.contains_key(&voter) => {
-                    bodies.push((voter.address, Body::Prepare { ballot: ballot.clone() }));
+                    bodies.push((
+                        voter.address,
+                        Body::Prepare {
+                            ballot: ballot.clone(),
+                        },
+                    ));
                 }
                 Some(view) if !proposal.accepted.contains(&voter) => {
-                    let body = Body::Accept { ballot: ballot.clone(), view: view.clone() };
+                    let body = Body::Accept {
+                        ballot: ballot.clone(),
+                        view: view.clone(),
+                    };
                     bodies.push((voter.address, body));
                 }
                 _ => {}
@@ -251,18 +328,33 @@
 
     /// The place of this process among the voters that may propose: the chain first, then the rest.
     fn rank(&self, known: &BTreeMap<Address, Known>) -> usize {
-        let alive = |member: &&Member| known.get(&member.address).is_some_and(|known| known.is_alive(member));
+        let alive = |member: &&Member| {
+            known
+                .get(&member.address)
+                .is_some_and(|known| known.is_alive(member))
+        };
         let view = &self.image.view;
-        let rest = view.voters.iter().filter(|voter| !view.chain.contains(voter));
-        let mut order =
-            view.chain.iter().filter(|member| view.voters.contains(member)).chain(rest).filter(alive);
-        order.position(|member| *member == self.me).unwrap_or(view.voters.len())
+        let rest = view
+            .voters
+            .iter()
+            .filter(|voter| !view.chain.contains(voter));
+        let mut order = view
+            .chain
+            .iter()
+            .filter(|member| view.voters.contains(member))
+            .chain(rest)
+            .filter(alive);
+        order
+            .position(|member| *member == self.me)
+            .unwrap_or(view.voters.len())
     }
 
     /// Whether a majority of the voters is heard, hears this process, and can write.
     fn majority_near(&self, known: &BTreeMap<Address, Known>) -> bool {
         let near = self.image.view.voters.iter().filter(|voter| {
-            known.get(&voter.address).is_some_and(|known| known.is_alive(voter) && known.can_write())
+            known
+                .get(&voter.address)
+                .is_some_and(|known| known.is_alive(voter) && known.can_write())
         });
         near.count() >= self.image.view.majority()
     }
@@ -281,7 +373,10 @@
         let silence = self.settings.timings.silence;
         let mut known = BTreeMap::new();
         for address in self.image.view.addresses() {
-            known.insert(address, Known::unheard(self.now - self.awake_since, silence));
+            known.insert(
+                address,
+                Known::unheard(self.now - self.awake_since, silence),
+            );
         }
         for (address, peer) in &self.peers.all {
             let heard = self.now - peer.heard;
--- a/crates/sandtrack-replication/src/alignment.rs
+++ b/crates/sandtrack-replication/src/alignment.rs
@@ -45,14 +45,22 @@
 impl Default for Aligning {
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
-        Self { asked: never, progress: f64::INFINITY, received: None, gave_up: never }
+        Self {
+            asked: never,
+            progress: f64::INFINITY,
+            received: None,
+            gave_up: never,
+        }
     }
 }
 
 impl Aligning {
     /// At the start of a view.
     pub(crate) fn begin_anew(&mut self) {
-        *self = Self { gave_up: self.gave_up, ..Self::default() };
+        *self = Self {
+            gave_up: self.gave_up,
+            ..Self::default()
+        };
     }
 }
 
@@ -69,11 +77,22 @@
         let lately = self.transfers.is_fetching() || self.now - self.aligning.asked < ASK_AGAIN;
         // What is on its way here, or being written, is not asked for again.
         let busy = |predecessor: &&Member| {
-            lately || self.disk.is_writing_log() || self.fragments.is_receiving(&predecessor.address)
+            lately
+                || self.disk.is_writing_log()
+                || self.fragments.is_receiving(&predecessor.address)
         };
-        if let Some(predecessor) = self.image.view.predecessor(&self.me).filter(|it| !busy(it)).cloned() {
+        if let Some(predecessor) = self
+            .image
+            .view
+            .predecessor(&self.me)
+            .filter(|it| !busy(it))
+            .cloned()
+        {
             self.aligning.asked = self.now;
-            let body = Body::Align { ends: self.image.ends(), applied: self.applied.at };
+            let body = Body::Align {
+                ends: self.image.ends(),
+                applied: self.applied.at,
+            };
             self.send(&predecessor.address, body, effects);
         }
     }
@@ -88,10 +107,14 @@
     fn note_progress(&mut self) {
         let epoch = self.image.view.epoch;
         let predecessor = self.image.view.predecessor(&self.me);
-        let in_line =
-            predecessor.and_then(|member| self.peers.all.get(&member.address)).is_some_and(|peer| {
+        let in_line = predecessor
+            .and_then(|member| self.peers.all.get(&member.address))
+            .is_some_and(|peer| {
                 self.now - peer.heard <= self.settings.timings.silence
-                    && peer.status.as_ref().is_some_and(|status| status.aligned == epoch)
+                    && peer
+                        .status
+                        .as_ref()
+                        .is_some_and(|status| status.aligned == epoch)
             });
         if !in_line || self.aligning.progress > self.now {
             self.aligning.progress = self.now;
@@ -119,7 +142,11 @@
     }
 
     pub(crate) fn take_align(
-        &mut self, sender: &Member, ends: &[Position], applied: Position, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        ends: &[Position],
+        applied: Position,
+        effects: &mut Vec<Effect>,
     ) {
         if !self.in_line() || self.image.view.successor(&self.me) != Some(sender) {
             return;
@@ -132,7 +159,12 @@
         let end = self.image.end().number;
         let entries = self.image.lot(after.number, end, LOT);
         let more = entries.last().is_some_and(|entry| entry.at.number < end);
-        let body = Body::InLine { after, on_applied: shared.is_none(), entries, more };
+        let body = Body::InLine {
+            after,
+            on_applied: shared.is_none(),
+            entries,
+            more,
+        };
         self.send(&sender.address, body, effects);
     }
 
@@ -140,9 +172,17 @@
     /// there is only one sequence of entries, so the shorter of the two runs is shared.
     fn last_shared(&self, ends: &[Position]) -> Option<Position> {
         let shared = ends.iter().rev().find_map(|theirs| {
-            let mine = self.image.ends().into_iter().rev().find(|mine| mine.epoch == theirs.epoch)?;
+            let mine = self
+                .image
+                .ends()
+                .into_iter()
+                .rev()
+                .find(|mine| mine.epoch == theirs.epoch)?;
             let number = mine.number.min(theirs.number);
-            let at = Position { number, epoch: theirs.epoch };
+            let at = Position {
+                number,
+                epoch: theirs.epoch,
+            };
             self.holds(at).then_some(at)
         });
         shared.filter(|at| at.number >= ends.first().map_or(0, |first| first.number))
@@ -163,7 +203,9 @@
         if self.image.view.is_head(&self.me) {
             // A head is chosen among the complete members, so its log is the authority as it stands.
             if self.image.is_complete(&self.me) {
-                records.push(Record::Aligned { epoch: self.image.view.epoch });
+                records.push(Record::Aligned {
+                    epoch: self.image.view.epoch,
+                });
             }
             return false;
         }
@@ -185,10 +227,18 @@
             return;
         }
         let committed = self.image.committed;
-        records.push(Record::Cut { after: lot.after.number });
-        records.extend(lot.entries.into_iter().map(|entry| Record::Entry { entry, committed }));
+        records.push(Record::Cut {
+            after: lot.after.number,
+        });
+        records.extend(
+            lot.entries
+                .into_iter()
+                .map(|entry| Record::Entry { entry, committed }),
+        );
         if !lot.more {
-            records.push(Record::Aligned { epoch: self.image.view.epoch });
+            records.push(Record::Aligned {
+                epoch: self.image.view.epoch,
+            });
         }
     }
 
--- a/crates/sandtrack-replication/src/api.rs
+++ b/crates/sandtrack-replication/src/api.rs
@@ -136,11 +136,18 @@
     /// Replace the WAL's content; durable before `Input::Written`.
     Rewrite { ticket: u64, records: Vec<Vec<u8>> },
     /// Committed; in order, each once.
-    Applied { number: u64, command: Vec<u8>, outcome: Vec<u8> },
+    Applied {
+        number: u64,
+        command: Vec<u8>,
+        outcome: Vec<u8>,
+    },
     /// The machine's state jumped to the one after command `number`, by a snapshot or at the start.
     Restored { number: u64 },
     /// The outcome of a submit, or the answer of a read.
-    Answer { call: u64, result: Result<Vec<u8>, Refusal> },
+    Answer {
+        call: u64,
+        result: Result<Vec<u8>, Refusal>,
+    },
     /// A later view than the one told before is known.
     ViewIs(View),
 }
--- a/crates/sandtrack-replication/src/applied.rs
+++ b/crates/sandtrack-replication/src/applied.rs
@@ -34,31 +34,53 @@
 
 impl<M: StateMachine> Applied<M> {
     pub(crate) fn new(machine: M) -> Self {
-        Self { machine, at: Position { number: 0, epoch: 0 }, outcomes: VecDeque::new() }
+        Self {
+            machine,
+            at: Position {
+                number: 0,
+                epoch: 0,
+            },
+            outcomes: VecDeque::new(),
+        }
     }
 
     /// Applies the entry after the last one.
     pub(crate) fn apply(&mut self, entry: &Entry) -> Vec<u8> {
         let follows = entry.at.number == self.at.number + 1 && entry.at.epoch >= self.at.epoch;
-        check(Invariant::AppliedInOrder, follows, || format!("{:?} behind {:?}", entry.at, self.at));
+        check(Invariant::AppliedInOrder, follows, || {
+            format!("{:?} behind {:?}", entry.at, self.at)
+        });
         let outcome = self.machine.apply(entry.at.number, &entry.command);
         self.at = entry.at;
         if self.outcomes.len() == OUTCOMES {
             self.outcomes.pop_front();
         }
         let number = entry.at.number;
-        self.outcomes.push_back(Outcome { call: entry.call.clone(), number, outcome: outcome.clone() });
+        self.outcomes.push_back(Outcome {
+            call: entry.call.clone(),
+            number,
+            outcome: outcome.clone(),
+        });
         outcome
     }
 
     pub(crate) fn outcome(&self, call: &CallId) -> Option<&Outcome> {
-        self.outcomes.iter().rev().find(|outcome| outcome.call == *call)
+        self.outcomes
+            .iter()
+            .rev()
+            .find(|outcome| outcome.call == *call)
     }
 
     pub(crate) fn snapshot(&self) -> Snapshot {
-        let state = State { machine: self.machine.snapshot(), outcomes: self.outcomes.clone() };
+        let state = State {
+            machine: self.machine.snapshot(),
+            outcomes: self.outcomes.clone(),
+        };
         // Writing into memory can't fail.
-        Snapshot { at: self.at, state: borsh::to_vec(&state).unwrap_or_default() }
+        Snapshot {
+            at: self.at,
+            state: borsh::to_vec(&state).unwrap_or_default(),
+        }
     }
 
     /// False, and no change, when the snapshot can't be read.
--- a/crates/sandtrack-replication/src/calls.rs
+++ b/crates/sandtrack-replication/src/calls.rs
@@ -92,7 +92,16 @@
         self.calls.next += 1;
         let number = self.calls.next;
         let (handed, full) = (BTreeSet::new(), BTreeSet::new());
-        let pending = Pending { call, kind, began, tried, tries: 0, handed, full, relayed: false };
+        let pending = Pending {
+            call,
+            kind,
+            began,
+            tried,
+            tries: 0,
+            handed,
+            full,
+            relayed: false,
+        };
         self.calls.pending.insert(number, pending);
         self.route(number, effects);
     }
@@ -109,7 +118,11 @@
         let Some(to) = self.towards_head(number) else {
             return;
         };
-        let call = CallId { origin: self.me.address.clone(), start: self.start, number };
+        let call = CallId {
+            origin: self.me.address.clone(),
+            start: self.start,
+            number,
+        };
         let head = self.latest.chain.first().cloned();
         let patience = self.settings.timings.call;
         let Some(pending) = self.calls.pending.get_mut(&number) else {
@@ -122,8 +135,16 @@
         pending.tried = self.now;
         pending.tries += 1;
         let body = match &pending.kind {
-            Kind::Submit(command) => Body::Submit { call, command: command.clone(), hops: 1 },
-            Kind::Read(question) => Body::Read { call, question: question.clone(), hops: 1 },
+            Kind::Submit(command) => Body::Submit {
+                call,
+                command: command.clone(),
+                hops: 1,
+            },
+            Kind::Read(question) => Body::Read {
+                call,
+                question: question.clone(),
+                hops: 1,
+            },
         };
         if to != self.me.address {
             pending.relayed |= head.as_ref().is_none_or(|head| head.address != to);
@@ -139,11 +160,18 @@
         if tries.is_multiple_of(2) || head == self.me.address {
             return Some(head);
         }
-        let near = self.peers.heard_within(self.now, self.settings.timings.silence);
+        let near = self
+            .peers
+            .heard_within(self.now, self.settings.timings.silence);
         let chain = self.latest.chain.iter().map(|member| &member.address);
-        let others: Vec<&Address> =
-            chain.filter(|address| **address != head && near.contains(address)).collect();
-        Some(others.get(tries / 2 % others.len().max(1)).map_or(head, |other| (*other).clone()))
+        let others: Vec<&Address> = chain
+            .filter(|address| **address != head && near.contains(address))
+            .collect();
+        Some(
+            others
+                .get(tries / 2 % others.len().max(1))
+                .map_or(head, |other| (*other).clone()),
+        )
     }
 
     /// The head, when a call that is not for this process may be passed on to it.
@@ -153,13 +181,26 @@
     }
 
     pub(crate) fn take_submit(
-        &mut self, sender: &Member, call: CallId, command: Vec<u8>, hops: u8, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        call: CallId,
+        command: Vec<u8>,
+        hops: u8,
+        effects: &mut Vec<Effect>,
     ) {
         let heads = self.image.view.epoch == self.latest.epoch && self.image.view.is_head(&self.me);
         if !heads {
             if let Some(head) = self.onward(hops) {
                 self.calls.wait(call.clone(), &sender.address, self.now);
-                self.send(&head, Body::Submit { call, command, hops: hops - 1 }, effects);
+                self.send(
+                    &head,
+                    Body::Submit {
+                        call,
+                        command,
+                        hops: hops - 1,
+                    },
+                    effects,
+                );
             }
             return;
         }
@@ -174,26 +215,45 @@
             return;
         }
         let in_log = self.image.entries.iter().any(|entry| entry.call == call);
-        let queued = self.calls.queue.iter_mut().find(|queued| queued.call == call);
+        let queued = self
+            .calls
+            .queue
+            .iter_mut()
+            .find(|queued| queued.call == call);
         match queued {
             Some(queued) => queued.since = self.now,
             None if in_log || self.disk.is_writing(&call) => {}
-            None => self.calls.queue.push_back(Queued { call, command, since: self.now }),
+            None => self.calls.queue.push_back(Queued {
+                call,
+                command,
+                since: self.now,
+            }),
         }
     }
 
     /// As the head: the next commands, each a new entry. None in a chain that could not commit them.
     pub(crate) fn gather_submits(&mut self, records: &mut Vec<Record>, calls: &mut Vec<CallId>) {
         let epoch = self.image.view.epoch;
-        let able = self.image.view.may_commit(self.settings.machines_borne, self.settings.zones_borne);
+        let able = self
+            .image
+            .view
+            .may_commit(self.settings.machines_borne, self.settings.zones_borne);
         if !self.is_head() || !able {
             return;
         }
         let committed = self.committed_in_log();
-        let mut at = Position { number: self.image.end().number, epoch };
+        let mut at = Position {
+            number: self.image.end().number,
+            epoch,
+        };
         let mut bytes = 0;
         while calls.len() < BATCH && bytes < BATCH_BYTES {
-            let Some(Queued { call, command, since }) = self.calls.queue.pop_front() else {
+            let Some(Queued {
+                call,
+                command,
+                since,
+            }) = self.calls.queue.pop_front()
+            else {
                 return;
             };
             if self.now - since > FRESH {
@@ -209,7 +269,10 @@
             at.number += 1;
             bytes += command.len();
             calls.push(call.clone());
-            records.push(Record::Entry { entry: Entry { at, call, command }, committed });
+            records.push(Record::Entry {
+                entry: Entry { at, call, command },
+                committed,
+            });
         }
     }
 
@@ -233,15 +296,34 @@
     }
 
     /// At the caller's process, or at one that passed the call on.
-    pub(crate) fn take_outcome(&mut self, call: CallId, outcome: Vec<u8>, effects: &mut Vec<Effect>) {
-        self.reply(&call, Body::Outcome { call: call.clone(), outcome: outcome.clone() }, effects);
+    pub(crate) fn take_outcome(
+        &mut self,
+        call: CallId,
+        outcome: Vec<u8>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.reply(
+            &call,
+            Body::Outcome {
+                call: call.clone(),
+                outcome: outcome.clone(),
+            },
+            effects,
+        );
         if call.origin == self.me.address {
             self.finish(&call, outcome, effects);
         }
     }
 
     pub(crate) fn take_disk_full(&mut self, call: CallId, head: Member, effects: &mut Vec<Effect>) {
-        self.reply(&call, Body::DiskFull { call: call.clone(), head: head.clone() }, effects);
+        self.reply(
+            &call,
+            Body::DiskFull {
+                call: call.clone(),
+                head: head.clone(),
+            },
+            effects,
+        );
         if call.origin == self.me.address && call.start == self.start {
             if let Some(pending) = self.calls.pending.get_mut(&call.number) {
                 pending.full.insert(head);
@@ -274,7 +356,10 @@
             return;
         }
         if let Some(pending) = self.calls.pending.remove(&call.number) {
-            effects.push(Effect::Answer { call: pending.call, result: Ok(result) });
+            effects.push(Effect::Answer {
+                call: pending.call,
+                result: Ok(result),
+            });
         }
     }
 
@@ -282,19 +367,30 @@
     pub(crate) fn calls_tick(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         let timings = self.settings.timings.clone();
-        self.calls.waiting.retain(|_, (_, since)| now - *since <= WAITING);
-        self.calls.queue.retain(|queued| now - queued.since <= FRESH);
+        self.calls
+            .waiting
+            .retain(|_, (_, since)| now - *since <= WAITING);
+        self.calls
+            .queue
+            .retain(|queued| now - queued.since <= FRESH);
         let numbers: Vec<u64> = self.calls.pending.keys().copied().collect();
         for number in numbers {
             let Some(pending) = self.calls.pending.get(&number) else {
                 continue;
             };
             if now - pending.began > timings.call {
-                effects.push(Effect::Answer { call: pending.call, result: Err(pending.refusal()) });
+                effects.push(Effect::Answer {
+                    call: pending.call,
+                    result: Err(pending.refusal()),
+                });
                 self.calls.pending.remove(&number);
                 continue;
             }
-            let call = CallId { origin: self.me.address.clone(), start: self.start, number };
+            let call = CallId {
+                origin: self.me.address.clone(),
+                start: self.start,
+                number,
+            };
             let stuck = self.fragments.is_stuck(&call, now);
             let on_its_way = if stuck { 0.0 } else { pending.on_its_way() };
             if now - pending.tried >= timings.repeat + on_its_way {
--- a/crates/sandtrack-replication/src/chain.rs
+++ b/crates/sandtrack-replication/src/chain.rs
@@ -40,7 +40,10 @@
 
 impl ChainState {
     pub(crate) fn new(floor: u64) -> Self {
-        Self { floor, ..Self::default() }
+        Self {
+            floor,
+            ..Self::default()
+        }
     }
 }
 
@@ -51,7 +54,9 @@
         }
         let end = self.image.end().number;
         let new = entries.into_iter().filter(|entry| entry.at.number > end);
-        self.chain.passed.extend(new.map(|entry| (entry.at.number, entry)));
+        self.chain
+            .passed
+            .extend(new.map(|entry| (entry.at.number, entry)));
     }
 
     /// What was passed, as far as it follows the log.
@@ -71,7 +76,11 @@
     }
 
     pub(crate) fn take_ack(
-        &mut self, sender: &Member, synced: u64, committed: u64, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        synced: u64,
+        committed: u64,
+        effects: &mut Vec<Effect>,
     ) {
         if !self.in_line() || self.image.view.successor(&self.me) != Some(sender) {
             return;
@@ -89,7 +98,12 @@
     }
 
     /// A status of the successor says as much as an acknowledgement, once it is in line.
-    pub(crate) fn successor_told(&mut self, sender: &Member, status: &Status, effects: &mut Vec<Effect>) {
+    pub(crate) fn successor_told(
+        &mut self,
+        sender: &Member,
+        status: &Status,
+        effects: &mut Vec<Effect>,
+    ) {
         if status.aligned == self.image.view.epoch {
             self.take_ack(sender, status.synced, status.confirmed, effects);
         }
@@ -103,13 +117,21 @@
         let end = self.image.end().number;
         let Some(successor) = self.image.view.successor(&self.me).cloned() else {
             let settings = &self.settings;
-            if self.image.view.may_commit(settings.machines_borne, settings.zones_borne) {
+            if self
+                .image
+                .view
+                .may_commit(settings.machines_borne, settings.zones_borne)
+            {
                 self.confirm(end, effects);
             }
             self.ack(effects);
             return;
         };
-        if self.chain.successor.is_some_and(|acknowledged| acknowledged >= self.chain.sent) {
+        if self
+            .chain
+            .successor
+            .is_some_and(|acknowledged| acknowledged >= self.chain.sent)
+        {
             self.chain.unacknowledged_since = self.now;
         }
         while self.chain.sent < end && self.unacknowledged().is_some_and(|bytes| bytes < WINDOW) {
@@ -121,7 +143,10 @@
 
     /// Bytes that were passed and not acknowledged; None before the successor is known to be in line.
     fn unacknowledged(&self) -> Option<usize> {
-        Some(self.image.bytes_between(self.chain.successor?, self.chain.sent))
+        Some(
+            self.image
+                .bytes_between(self.chain.successor?, self.chain.sent),
+        )
     }
 
     /// Passes the next lot; false when the log has none.
@@ -143,7 +168,9 @@
     /// Takes note that all up to `number` is committed.
     fn confirm(&mut self, number: u64, effects: &mut Vec<Effect>) {
         let end = self.image.end().number;
-        check(Invariant::CommittedIsDurable, number <= end, || format!("{number} of a log up to {end}"));
+        check(Invariant::CommittedIsDurable, number <= end, || {
+            format!("{number} of a log up to {end}")
+        });
         let number = number.min(end);
         if number <= self.chain.confirmed {
             return;
@@ -168,7 +195,11 @@
     pub(crate) fn apply(&mut self, entry: &Entry, effects: &mut Vec<Effect>) {
         let outcome = self.applied.apply(entry);
         let (number, command) = (entry.at.number, entry.command.clone());
-        effects.push(Effect::Applied { number, command, outcome });
+        effects.push(Effect::Applied {
+            number,
+            command,
+            outcome,
+        });
     }
 
     /// Tells the predecessor, when there is something new.
@@ -179,7 +210,10 @@
         };
         if self.in_line() && self.chain.acked != Some(news) {
             self.chain.acked = Some(news);
-            let body = Body::Ack { synced: news.0, committed: news.1 };
+            let body = Body::Ack {
+                synced: news.0,
+                committed: news.1,
+            };
             self.send(&predecessor.address, body, effects);
         }
     }
@@ -205,27 +239,39 @@
     /// hears nobody.
     pub fn is_caught_up(&self) -> bool {
         let silence = self.settings.timings.silence;
-        let near =
-            |address: &String| self.peers.all.get(address).filter(|peer| self.now - peer.heard <= silence);
+        let near = |address: &String| {
+            self.peers
+                .all
+                .get(address)
+                .filter(|peer| self.now - peer.heard <= silence)
+        };
         if self.in_chain() {
             let view = &self.image.view;
             let neighbours = [view.predecessor(&self.me), view.successor(&self.me)];
             let heard = |member: &&Member| {
-                near(&member.address)
-                    .is_some_and(|peer| peer.incarnation == member.incarnation && peer.epoch == view.epoch)
+                near(&member.address).is_some_and(|peer| {
+                    peer.incarnation == member.incarnation && peer.epoch == view.epoch
+                })
             };
             return self.in_line()
                 && self.chain.confirmed >= self.chain.floor
                 && neighbours.iter().flatten().all(heard);
         }
-        let in_chain = |address: &&String| self.latest.chain.iter().any(|member| member.address == **address);
+        let in_chain = |address: &&String| {
+            self.latest
+                .chain
+                .iter()
+                .any(|member| member.address == **address)
+        };
         let source = self
             .source
             .as_ref()
             .filter(in_chain)
             .and_then(near)
             .filter(|peer| peer.epoch >= self.latest.epoch);
-        let committed = source.and_then(|peer| peer.status.as_ref()).map(|status| status.applied);
+        let committed = source
+            .and_then(|peer| peer.status.as_ref())
+            .map(|status| status.applied);
         committed.is_some_and(|applied| applied <= self.applied.at.number)
     }
 }
--- a/crates/sandtrack-replication/src/disk.rs
+++ b/crates/sandtrack-replication/src/disk.rs
@@ -79,13 +79,21 @@
     }
 
     pub(crate) fn want_promise(&mut self, to: Address, ballot: Ballot) {
-        if self.promise.as_ref().is_none_or(|(_, wanted)| *wanted < ballot) {
+        if self
+            .promise
+            .as_ref()
+            .is_none_or(|(_, wanted)| *wanted < ballot)
+        {
             self.promise = Some((to, ballot));
         }
     }
 
     pub(crate) fn want_accept(&mut self, to: Address, ballot: Ballot, view: View) {
-        if self.accept.as_ref().is_none_or(|(_, wanted, _)| *wanted < ballot) {
+        if self
+            .accept
+            .as_ref()
+            .is_none_or(|(_, wanted, _)| *wanted < ballot)
+        {
             self.accept = Some((to, ballot, view));
         }
     }
@@ -99,12 +107,16 @@
     /// Whether the log is being written.
     pub(crate) fn is_writing_log(&self) -> bool {
         let of_log = |record: &Record| matches!(record, Record::Entry { .. } | Record::Cut { .. });
-        self.in_flight.as_ref().is_some_and(|write| write.records.iter().any(of_log))
+        self.in_flight
+            .as_ref()
+            .is_some_and(|write| write.records.iter().any(of_log))
     }
 
     /// Whether a call's command is being written.
     pub(crate) fn is_writing(&self, call: &CallId) -> bool {
-        self.in_flight.as_ref().is_some_and(|write| write.calls.contains(call))
+        self.in_flight
+            .as_ref()
+            .is_some_and(|write| write.calls.contains(call))
     }
 }
 
@@ -136,10 +148,12 @@
                 rewrite = self.gather_compaction(&mut records);
             }
             if records.is_empty() {
-                let due =
-                    self.now - self.disk.last_write > LAZY && self.applied.at.number > self.image.committed;
+                let due = self.now - self.disk.last_write > LAZY
+                    && self.applied.at.number > self.image.committed;
                 if self.disk.full || (due && self.in_line()) {
-                    records.push(Record::Committed { number: self.committed_in_log() });
+                    records.push(Record::Committed {
+                        number: self.committed_in_log(),
+                    });
                 }
             }
             if records.is_empty() {
@@ -154,7 +168,10 @@
     fn first_records(&self) -> Vec<Record> {
         let mut records = vec![Record::Identity(self.me.clone())];
         if self.latest.epoch == 1 && self.latest.voters.contains(&self.me) {
-            records.extend([Record::View(self.latest.clone()), Record::Aligned { epoch: 1 }]);
+            records.extend([
+                Record::View(self.latest.clone()),
+                Record::Aligned { epoch: 1 },
+            ]);
         }
         records
     }
@@ -171,37 +188,63 @@
         let epoch = self.image.view.epoch;
         let promised = self.image.promised.clone();
         if let Some((to, ballot, view)) = self.disk.accept.take() {
-            if promised.as_ref().is_none_or(|promised| *promised <= ballot) && view.epoch == epoch + 1 {
-                records.push(Record::Accepted { epoch, ballot: ballot.clone(), view });
+            if promised.as_ref().is_none_or(|promised| *promised <= ballot)
+                && view.epoch == epoch + 1
+            {
+                records.push(Record::Accepted {
+                    epoch,
+                    ballot: ballot.clone(),
+                    view,
+                });
                 after.push(After::Accepted { to, ballot });
             }
         }
         // After an acceptance the promise waits for the next write, so that it tells of it.
-        let promise = if after.is_empty() { self.disk.promise.take() } else { None };
+        let promise = if after.is_empty() {
+            self.disk.promise.take()
+        } else {
+            None
+        };
         if let Some((to, ballot)) = promise {
             if promised.as_ref().is_none_or(|promised| *promised < ballot) {
-                records.push(Record::Promise { epoch, ballot: ballot.clone() });
+                records.push(Record::Promise {
+                    epoch,
+                    ballot: ballot.clone(),
+                });
                 after.push(After::Promised { to, ballot });
             }
         }
     }
 
     /// The whole content anew, with a snapshot in place of the entries up to it.
-    pub(crate) fn content(&self, snapshot: Snapshot, entries: Vec<Entry>, aligned: u64) -> Vec<Record> {
+    pub(crate) fn content(
+        &self,
+        snapshot: Snapshot,
+        entries: Vec<Entry>,
+        aligned: u64,
+    ) -> Vec<Record> {
         let epoch = self.image.view.epoch;
         let mut records = vec![Record::Identity(self.me.clone())];
         if epoch > 0 {
             records.push(Record::View(self.image.view.clone()));
         }
         if let Some((ballot, view)) = self.image.accepted.clone() {
-            records.push(Record::Accepted { epoch, ballot, view });
+            records.push(Record::Accepted {
+                epoch,
+                ballot,
+                view,
+            });
         }
         if let Some(ballot) = self.image.promised.clone() {
             records.push(Record::Promise { epoch, ballot });
         }
         records.push(Record::Snapshot(snapshot));
         let committed = self.image.committed;
-        records.extend(entries.into_iter().map(|entry| Record::Entry { entry, committed }));
+        records.extend(
+            entries
+                .into_iter()
+                .map(|entry| Record::Entry { entry, committed }),
+        );
         records.push(Record::Aligned { epoch: aligned });
         records
     }
@@ -219,21 +262,31 @@
         let at = self.applied.at;
         // Entries beyond the snapshot that don't follow from it were never committed.
         let follows = self.image.at(at.number) == Some(at);
-        let entries = if follows { self.image.after(at.number) } else { Vec::new() };
+        let entries = if follows {
+            self.image.after(at.number)
+        } else {
+            Vec::new()
+        };
         *records = self.content(self.applied.snapshot(), entries, self.image.aligned);
         true
     }
 
     fn write(
-        &mut self, mut records: Vec<Record>, after: Vec<After>, calls: Vec<CallId>, rewrite: bool,
+        &mut self,
+        mut records: Vec<Record>,
+        after: Vec<After>,
+        calls: Vec<CallId>,
+        rewrite: bool,
         effects: &mut Vec<Effect>,
     ) {
         self.check_records(&records);
         let ticket = self.disk.next_ticket;
         self.disk.next_ticket += 1;
         // Writing into memory can't fail.
-        let bytes: Vec<Vec<u8>> =
-            records.iter().map(|record| borsh::to_vec(record).unwrap_or_default()).collect();
+        let bytes: Vec<Vec<u8>> = records
+            .iter()
+            .map(|record| borsh::to_vec(record).unwrap_or_default())
+            .collect();
         let size = bytes.iter().map(Vec::len).sum();
         // The state of a snapshot is in `bytes`, and not wanted again.
         for record in &mut records {
@@ -241,15 +294,28 @@
                 snapshot.state = Vec::new();
             }
         }
-        self.disk.in_flight =
-            Some(InFlight { ticket, records, after, calls, since: self.now, bytes: size, rewrite });
+        self.disk.in_flight = Some(InFlight {
+            ticket,
+            records,
+            after,
+            calls,
+            since: self.now,
+            bytes: size,
+            rewrite,
+        });
         if !self.disk.present {
             return self.written(ticket, effects);
         }
         effects.push(if rewrite {
-            Effect::Rewrite { ticket, records: bytes }
+            Effect::Rewrite {
+                ticket,
+                records: bytes,
+            }
         } else {
-            Effect::Write { ticket, records: bytes }
+            Effect::Write {
+                ticket,
+                records: bytes,
+            }
         });
     }
 
@@ -268,17 +334,23 @@
                 }
                 Record::Entry { entry, .. } => {
                     let number = entry.at.number;
-                    check(Invariant::LogHasNoGaps, number <= end + 1, || format!("{number} behind {end}"));
+                    check(Invariant::LogHasNoGaps, number <= end + 1, || {
+                        format!("{number} behind {end}")
+                    });
                     end = number;
                 }
                 Record::Snapshot(snapshot) => {
                     end = snapshot.at.number;
-                    check(Invariant::CommittedStays, end >= self.image.committed, || {
-                        format!("snapshot at {end}, {} committed", self.image.committed)
-                    });
+                    check(
+                        Invariant::CommittedStays,
+                        end >= self.image.committed,
+                        || format!("snapshot at {end}, {} committed", self.image.committed),
+                    );
                 }
                 // A rewrite tells of an acceptance before the promise that may have come behind it.
-                Record::Promise { ballot, .. } | Record::Accepted { ballot, .. } => promised = Some(ballot),
+                Record::Promise { ballot, .. } | Record::Accepted { ballot, .. } => {
+                    promised = Some(ballot)
+                }
                 Record::View(view) => {
                     let held = self.image.view.epoch;
                     check(Invariant::BallotRises, view.epoch >= held, || {
@@ -291,7 +363,9 @@
         }
         let held = self.image.promised.as_ref().filter(|_| same_epoch);
         let rises = promised.is_none() || promised >= held;
-        check(Invariant::BallotRises, rises, || format!("{promised:?} behind {held:?}"));
+        check(Invariant::BallotRises, rises, || {
+            format!("{promised:?} behind {held:?}")
+        });
     }
 
     pub(crate) fn written(&mut self, ticket: u64, effects: &mut Vec<Effect>) {
@@ -316,7 +390,9 @@
                     let accepted = self.image.accepted.clone();
                     self.send(&to, Body::Promise { ballot, accepted }, effects);
                 }
-                After::Accepted { to, ballot } => self.send(&to, Body::Accepted { ballot }, effects),
+                After::Accepted { to, ballot } => {
+                    self.send(&to, Body::Accepted { ballot }, effects)
+                }
                 After::Entered => self.enter(effects),
             }
         }
--- a/crates/sandtrack-replication/src/display.rs
+++ b/crates/sandtrack-replication/src/display.rs
@@ -13,7 +13,13 @@
 
 impl Display for View {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "view {}: chain {} voters {}", self.epoch, members(&self.chain), members(&self.voters))
+        write!(
+            f,
+            "view {}: chain {} voters {}",
+            self.epoch,
+            members(&self.chain),
+            members(&self.voters)
+        )
     }
 }
 
@@ -34,8 +40,14 @@
             Self::Status(status) => write!(f, "status {status}"),
             Self::NewView(view) => write!(f, "new {view}"),
             Self::Prepare { ballot } => write!(f, "prepare {ballot}"),
-            Self::Promise { ballot, accepted: None } => write!(f, "promise {ballot}"),
-            Self::Promise { ballot, accepted: Some((before, view)) } => {
+            Self::Promise {
+                ballot,
+                accepted: None,
+            } => write!(f, "promise {ballot}"),
+            Self::Promise {
+                ballot,
+                accepted: Some((before, view)),
+            } => {
                 write!(f, "promise {ballot}, accepted {before}: {view}")
             }
             Self::Accept { ballot, view } => write!(f, "accept {ballot}: {view}"),
@@ -45,35 +57,78 @@
                 let ends: Vec<String> = ends.iter().map(Position::to_string).collect();
                 write!(f, "align me, ends {}", ends.join(" "))
             }
-            Self::InLine { after, on_applied, entries, more } => {
+            Self::InLine {
+                after,
+                on_applied,
+                entries,
+                more,
+            } => {
                 let on_applied = if *on_applied { " on its own state" } else { "" };
-                write!(f, "in line after {after}{on_applied}: {}{}", listed(entries), followed(*more))
+                write!(
+                    f,
+                    "in line after {after}{on_applied}: {}{}",
+                    listed(entries),
+                    followed(*more)
+                )
             }
             Self::Pass { entries } => write!(f, "pass {}", listed(entries)),
-            Self::Ack { synced, committed } => write!(f, "ack synced {synced} committed {committed}"),
-            Self::Submit { call, command, hops } => {
-                write!(f, "submit {call} {} hops {hops}", String::from_utf8_lossy(command))
+            Self::Ack { synced, committed } => {
+                write!(f, "ack synced {synced} committed {committed}")
+            }
+            Self::Submit {
+                call,
+                command,
+                hops,
+            } => {
+                write!(
+                    f,
+                    "submit {call} {} hops {hops}",
+                    String::from_utf8_lossy(command)
+                )
             }
             Self::Outcome { call, outcome } => {
                 write!(f, "outcome {call} {}", String::from_utf8_lossy(outcome))
             }
             Self::DiskFull { call, head } => write!(f, "disk full {call} at {head}"),
-            Self::Read { call, question, hops } => {
-                write!(f, "read {call} {} hops {hops}", String::from_utf8_lossy(question))
+            Self::Read {
+                call,
+                question,
+                hops,
+            } => {
+                write!(
+                    f,
+                    "read {call} {} hops {hops}",
+                    String::from_utf8_lossy(question)
+                )
             }
-            Self::ReadPass { call, question, reply_to } => {
-                write!(f, "read pass {call} {} reply to {reply_to}", String::from_utf8_lossy(question))
+            Self::ReadPass {
+                call,
+                question,
+                reply_to,
+            } => {
+                write!(
+                    f,
+                    "read pass {call} {} reply to {reply_to}",
+                    String::from_utf8_lossy(question)
+                )
             }
             Self::ReadOutcome { call, answer } => {
                 write!(f, "read outcome {call} {}", String::from_utf8_lossy(answer))
             }
-            Self::Learn { entries, more } => write!(f, "learn: {}{}", listed(entries), followed(*more)),
+            Self::Learn { entries, more } => {
+                write!(f, "learn: {}{}", listed(entries), followed(*more))
+            }
             Self::Offer(id) => write!(f, "offer {id}"),
             Self::Fetch { id, offset } => write!(f, "fetch {id} from byte {offset}"),
             Self::Piece { id, offset, bytes } => {
                 write!(f, "piece of {id}, {} bytes from byte {offset}", bytes.len())
             }
-            Self::Fragment { id, length, offset, bytes } => {
+            Self::Fragment {
+                id,
+                length,
+                offset,
+                bytes,
+            } => {
                 write!(
                     f,
                     "fragment of long message {id}, {} bytes from byte {offset} of {length}",
@@ -114,7 +169,11 @@
 
 impl Display for Status {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "aligned {} synced {} applied {}", self.aligned, self.synced, self.applied)?;
+        write!(
+            f,
+            "aligned {} synced {} applied {}",
+            self.aligned, self.synced, self.applied
+        )?;
         match self.disk {
             DiskHealth::Well => {}
             DiskHealth::Stalled => write!(f, ", disk stalled")?,
--- a/crates/sandtrack-replication/src/fragments.rs
+++ b/crates/sandtrack-replication/src/fragments.rs
@@ -67,14 +67,21 @@
 
 impl Pace {
     fn new() -> Self {
-        Self { window: WINDOW, fastest: f64::INFINITY }
+        Self {
+            window: WINDOW,
+            fastest: f64::INFINITY,
+        }
     }
 
     /// A piece was acknowledged so many milliseconds after it was sent.
     fn acknowledged(&mut self, took: f64) {
         self.fastest = self.fastest.min(took);
         let is_queued = took > self.fastest + QUEUE;
-        let next = if is_queued { self.window - PIECE as u64 } else { self.window + PIECE as u64 };
+        let next = if is_queued {
+            self.window - PIECE as u64
+        } else {
+            self.window + PIECE as u64
+        };
         self.window = next.clamp(WINDOW, WINDOW_MOST);
     }
 }
@@ -153,7 +160,11 @@
 
 impl Incoming {
     fn begin(&mut self, id: u64) {
-        *self = Self { finished: self.finished, id, ..Self::default() };
+        *self = Self {
+            finished: self.finished,
+            id,
+            ..Self::default()
+        };
     }
 
     fn received(&self) -> u64 {
@@ -165,7 +176,8 @@
     }
 
     fn take(&mut self, offset: u64, bytes: Vec<u8>) {
-        if offset >= self.received() && offset < self.received() + WINDOW_MOST && !bytes.is_empty() {
+        if offset >= self.received() && offset < self.received() + WINDOW_MOST && !bytes.is_empty()
+        {
             self.early.insert(offset, bytes);
         }
         while let Some(bytes) = self.early.remove(&self.received()) {
@@ -194,7 +206,9 @@
     /// Drops what would be refused, as it belongs to an earlier epoch.
     pub(crate) fn drop_earlier_epochs(&mut self, epoch: u64) {
         for queue in self.outgoing.values_mut() {
-            queue.retain(|outgoing| outgoing.epoch == epoch || !outgoing.topic.belongs_to_an_epoch());
+            queue.retain(|outgoing| {
+                outgoing.epoch == epoch || !outgoing.topic.belongs_to_an_epoch()
+            });
         }
         self.outgoing.retain(|_, queue| !queue.is_empty());
     }
@@ -207,9 +221,13 @@
                 .any(|outgoing| matches!(&outgoing.topic, Topic::Submit(it) | Topic::Other(it) if it == call))
         };
         let stands = |queue: &VecDeque<Outgoing>| {
-            queue.front().is_some_and(|outgoing| now - outgoing.progress > SEND_AGAIN)
+            queue
+                .front()
+                .is_some_and(|outgoing| now - outgoing.progress > SEND_AGAIN)
         };
-        self.outgoing.values().any(|queue| stands(queue) && holds(queue))
+        self.outgoing
+            .values()
+            .any(|queue| stands(queue) && holds(queue))
     }
 
     /// Whether a long message of a process is on its way here.
@@ -224,7 +242,11 @@
 
     /// Bytes that are kept for long messages under way.
     fn bytes(&self) -> usize {
-        let outgoing = self.outgoing.values().flatten().map(|outgoing| outgoing.bytes.len());
+        let outgoing = self
+            .outgoing
+            .values()
+            .flatten()
+            .map(|outgoing| outgoing.bytes.len());
         let incoming = self.incoming.values().map(|incoming| incoming.bytes.len());
         outgoing.chain(incoming).sum()
     }
@@ -245,15 +267,27 @@
             Self::Learn { entries, .. } if is_long(entries) => {
                 span(entries).map(|(first, last)| Topic::Learn { first, last })
             }
-            Self::Submit { call, command, .. } if command.len() > WHOLE => Some(Topic::Submit(call.clone())),
-            Self::Read { call, question: bytes, .. }
-            | Self::ReadPass { call, question: bytes, .. }
-            | Self::ReadOutcome { call, answer: bytes }
-            | Self::Outcome { call, outcome: bytes }
-                if bytes.len() > WHOLE =>
-            {
-                Some(Topic::Other(call.clone()))
+            Self::Submit { call, command, .. } if command.len() > WHOLE => {
+                Some(Topic::Submit(call.clone()))
+            }
+            Self::Read {
+                call,
+                question: bytes,
+                ..
             }
+            | Self::ReadPass {
+                call,
+                question: bytes,
+                ..
+            }
+            | Self::ReadOutcome {
+                call,
+                answer: bytes,
+            }
+            | Self::Outcome {
+                call,
+                outcome: bytes,
+            } if bytes.len() > WHOLE => Some(Topic::Other(call.clone())),
             _ => None,
         }
     }
@@ -268,7 +302,10 @@
     /// Sends a message, in pieces when it is long.
     pub(crate) fn transmit(&mut self, to: &Address, message: Message, effects: &mut Vec<Effect>) {
         let Some(topic) = message.body.long_topic() else {
-            effects.push(Effect::Send { to: to.clone(), message });
+            effects.push(Effect::Send {
+                to: to.clone(),
+                message,
+            });
             return;
         };
         let queue = self.fragments.outgoing.entry(to.clone()).or_default();
@@ -295,24 +332,52 @@
 
     /// Sends what may be under way of the first message that waits for a receiver.
     fn send_pieces(&mut self, to: &Address, effects: &mut Vec<Effect>) {
-        let Some(outgoing) = self.fragments.outgoing.get_mut(to).and_then(VecDeque::front_mut) else {
+        let Some(outgoing) = self
+            .fragments
+            .outgoing
+            .get_mut(to)
+            .and_then(VecDeque::front_mut)
+        else {
             return;
         };
-        let window = self.fragments.paces.entry(to.clone()).or_insert_with(Pace::new).window;
+        let window = self
+            .fragments
+            .paces
+            .entry(to.clone())
+            .or_insert_with(Pace::new)
+            .window;
         let (id, length) = (outgoing.id, outgoing.bytes.len() as u64);
         for (offset, bytes) in outgoing.next_pieces(self.now, window) {
-            self.send(to, Body::Fragment { id, length, offset, bytes }, effects);
+            self.send(
+                to,
+                Body::Fragment {
+                    id,
+                    length,
+                    offset,
+                    bytes,
+                },
+                effects,
+            );
         }
     }
 
     pub(crate) fn take_fragment(
-        &mut self, sender: &Member, id: u64, length: u64, offset: u64, bytes: Vec<u8>,
+        &mut self,
+        sender: &Member,
+        id: u64,
+        length: u64,
+        offset: u64,
+        bytes: Vec<u8>,
         effects: &mut Vec<Effect>,
     ) {
         if length > LONGEST {
             return;
         }
-        let incoming = self.fragments.incoming.entry(sender.address.clone()).or_default();
+        let incoming = self
+            .fragments
+            .incoming
+            .entry(sender.address.clone())
+            .or_default();
         if id > incoming.finished {
             if id > incoming.id {
                 incoming.begin(id);
@@ -323,13 +388,21 @@
             incoming.take(offset, bytes);
             incoming.progress = self.now;
         }
-        let received = if id > incoming.finished { incoming.received() } else { length };
+        let received = if id > incoming.finished {
+            incoming.received()
+        } else {
+            length
+        };
         let mut whole = None;
         if id > incoming.finished && received >= length {
             incoming.finished = id;
             whole = Some(std::mem::take(&mut incoming.bytes));
         }
-        self.send(&sender.address, Body::FragmentTaken { id, received }, effects);
+        self.send(
+            &sender.address,
+            Body::FragmentTaken { id, received },
+            effects,
+        );
         let message = whole.and_then(|bytes| borsh::from_slice::<Message>(&bytes).ok());
         // A message of this kind within another is none of ours.
         if let Some(message) = message.filter(|message| message.body.long_topic().is_some()) {
@@ -338,7 +411,11 @@
     }
 
     pub(crate) fn take_fragment_taken(
-        &mut self, sender: &Member, id: u64, received: u64, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        id: u64,
+        received: u64,
+        effects: &mut Vec<Effect>,
     ) {
         let now = self.now;
         let Some(queue) = self.fragments.outgoing.get_mut(&sender.address) else {
@@ -349,7 +426,11 @@
         };
         if received > outgoing.acknowledged {
             let took = outgoing.take_acknowledged(now, received);
-            let pace = self.fragments.paces.entry(sender.address.clone()).or_insert_with(Pace::new);
+            let pace = self
+                .fragments
+                .paces
+                .entry(sender.address.clone())
+                .or_insert_with(Pace::new);
             took.into_iter().for_each(|took| pace.acknowledged(took));
         }
         if outgoing.acknowledged >= outgoing.bytes.len() as u64 {
@@ -365,7 +446,9 @@
     pub(crate) fn fragments_tick(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         let is_moving = |queue: &VecDeque<Outgoing>| {
-            queue.front().is_some_and(|outgoing| now - outgoing.progress <= GIVEN_UP)
+            queue
+                .front()
+                .is_some_and(|outgoing| now - outgoing.progress <= GIVEN_UP)
         };
         self.fragments.outgoing.retain(|_, queue| is_moving(queue));
         for incoming in self.fragments.incoming.values_mut() {
@@ -375,7 +458,10 @@
         }
         let mut late = Vec::new();
         for (address, queue) in &mut self.fragments.outgoing {
-            if let Some(outgoing) = queue.front_mut().filter(|outgoing| now - outgoing.moved > SEND_AGAIN) {
+            if let Some(outgoing) = queue
+                .front_mut()
+                .filter(|outgoing| now - outgoing.moved > SEND_AGAIN)
+            {
                 outgoing.send_anew(now);
                 late.push(address.clone());
             }
--- a/crates/sandtrack-replication/src/image.rs
+++ b/crates/sandtrack-replication/src/image.rs
@@ -66,7 +66,10 @@
             promised: None,
             accepted: None,
             aligned: 0,
-            base: Position { number: 0, epoch: 0 },
+            base: Position {
+                number: 0,
+                epoch: 0,
+            },
             entries: VecDeque::new(),
             committed: 0,
             snapshot: None,
@@ -97,7 +100,11 @@
             Record::Promise { epoch, ballot } if *epoch == self.view.epoch => {
                 self.promised = Some(ballot.clone());
             }
-            Record::Accepted { epoch, ballot, view } if *epoch == self.view.epoch => {
+            Record::Accepted {
+                epoch,
+                ballot,
+                view,
+            } if *epoch == self.view.epoch => {
                 self.promised = Some(ballot.clone());
                 self.accepted = Some((ballot.clone(), view.clone()));
             }
@@ -119,7 +126,8 @@
     }
 
     fn cut(&mut self, after: u64) {
-        self.entries.truncate(after.saturating_sub(self.base.number) as usize);
+        self.entries
+            .truncate(after.saturating_sub(self.base.number) as usize);
     }
 
     /// The end of the log.
@@ -137,12 +145,17 @@
 
     /// The entry of a number, when the log holds it.
     pub(crate) fn entry(&self, number: u64) -> Option<&Entry> {
-        self.entries.get(number.checked_sub(self.base.number + 1)? as usize)
+        self.entries
+            .get(number.checked_sub(self.base.number + 1)? as usize)
     }
 
     /// The entries after a number that is not before the log's begin.
     pub(crate) fn after(&self, number: u64) -> Vec<Entry> {
-        self.entries.iter().skip(number.saturating_sub(self.base.number) as usize).cloned().collect()
+        self.entries
+            .iter()
+            .skip(number.saturating_sub(self.base.number) as usize)
+            .cloned()
+            .collect()
     }
 
     /// The entries after a number and up to another, as many as `bytes` hold; one where there is any.
@@ -152,7 +165,10 @@
             size += entry.size();
             size == entry.size() || size <= bytes
         };
-        self.between(after, up_to).take_while(fits).cloned().collect()
+        self.between(after, up_to)
+            .take_while(fits)
+            .cloned()
+            .collect()
     }
 
     /// Bytes of the entries after a number and up to another.
@@ -162,7 +178,10 @@
 
     fn between(&self, after: u64, up_to: u64) -> impl Iterator<Item = &Entry> {
         let skipped = after.saturating_sub(self.base.number) as usize;
-        self.entries.iter().skip(skipped).take_while(move |entry| entry.at.number <= up_to)
+        self.entries
+            .iter()
+            .skip(skipped)
+            .take_while(move |entry| entry.at.number <= up_to)
     }
 
     /// The last position of each epoch in the log, from the log's begin.
@@ -184,6 +203,8 @@
     /// Whether the member whose image this is has all that was committed up to and in this view's epoch,
     /// as far as it may have been committed without it.
     pub(crate) fn is_complete(&self, member: &Member) -> bool {
-        self.view.position(member).is_some_and(|position| self.aligned >= self.view.since[position])
+        self.view
+            .position(member)
+            .is_some_and(|position| self.aligned >= self.view.since[position])
     }
 }
--- a/crates/sandtrack-replication/src/learning.rs
+++ b/crates/sandtrack-replication/src/learning.rs
@@ -39,7 +39,9 @@
 impl<M: StateMachine> Replica<M> {
     /// Picks whom to learn from: a member of the chain that was heard of late, or else whoever knows more.
     pub(crate) fn choose_source(&mut self) {
-        let near = self.peers.heard_within(self.now, self.settings.timings.silence * 2.0);
+        let near = self
+            .peers
+            .heard_within(self.now, self.settings.timings.silence * 2.0);
         if self.in_chain() {
             self.source = None;
             return;
@@ -54,11 +56,17 @@
         let sum: usize = self.me.address.bytes().map(usize::from).sum();
         let turned = (0..chain.len()).map(|step| &chain[(sum + step) % chain.len()].address);
         let knows_more = |address: &&Address| {
-            let status = self.peers.all.get(*address).and_then(|peer| peer.status.as_ref());
+            let status = self
+                .peers
+                .all
+                .get(*address)
+                .and_then(|peer| peer.status.as_ref());
             status.is_some_and(|status| status.applied > self.applied.at.number)
         };
-        let source =
-            turned.into_iter().find(|address| fits(address)).or_else(|| near.iter().find(knows_more));
+        let source = turned
+            .into_iter()
+            .find(|address| fits(address))
+            .or_else(|| near.iter().find(knows_more));
         self.source = source.cloned();
     }
 
@@ -73,18 +81,27 @@
         };
         let moved = status.applied > peer.learned.applied;
         if moved || peer.learned.sent <= status.applied {
-            peer.learned = Learned { applied: status.applied, since: self.now, ..peer.learned };
+            peer.learned = Learned {
+                applied: status.applied,
+                since: self.now,
+                ..peer.learned
+            };
         }
         let learned = peer.learned;
         // What is sent meanwhile does not count: while changes keep coming, a gap before them would never be filled.
         let under_way = self.image.bytes_between(status.applied, learned.sent);
         let patience = self.settings.timings.repeat * 2.0 + under_way as f64 / SLOWEST_LINK;
         let is_lost = self.now - learned.since > patience;
-        let after = if is_lost { status.applied } else { learned.sent.max(status.applied) };
+        let after = if is_lost {
+            status.applied
+        } else {
+            learned.sent.max(status.applied)
+        };
         if after >= last {
             return;
         }
-        let follows = after >= self.image.base.number && self.image.at(last) == Some(self.applied.at);
+        let follows =
+            after >= self.image.base.number && self.image.at(last) == Some(self.applied.at);
         if !follows {
             return self.offer_snapshot(to, effects);
         }
@@ -98,7 +115,14 @@
         if is_lost {
             peer.learned.since = self.now;
         }
-        self.send(to, Body::Learn { entries, more: sent < last }, effects);
+        self.send(
+            to,
+            Body::Learn {
+                entries,
+                more: sent < last,
+            },
+            effects,
+        );
     }
 
     /// Sends all observers that learn from here what was just committed.
@@ -119,7 +143,11 @@
 
     /// Takes committed entries in.
     pub(crate) fn take_learn(
-        &mut self, sender: &Member, entries: Vec<Entry>, more: bool, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        entries: Vec<Entry>,
+        more: bool,
+        effects: &mut Vec<Effect>,
     ) {
         for entry in entries {
             match entry.at.number.cmp(&(self.applied.at.number + 1)) {
@@ -128,7 +156,9 @@
                 Ordering::Greater => self.learning.keep(entry),
             }
         }
-        self.learning.early.retain(|number, _| *number > self.applied.at.number);
+        self.learning
+            .early
+            .retain(|number, _| *number > self.applied.at.number);
         if self.learning.untold > TOLD_AFTER || more && self.learning.untold > 0 {
             self.learning.untold = 0;
             self.send_status(&sender.address, effects);
@@ -149,11 +179,15 @@
     /// the whole state once more.
     pub(crate) fn is_log_followed(&self) -> bool {
         let lacking = self.image.base.number..self.applied.at.number;
-        let near =
-            self.peers.all.values().filter(|peer| self.now - peer.heard <= self.settings.timings.silence);
+        let near = self
+            .peers
+            .all
+            .values()
+            .filter(|peer| self.now - peer.heard <= self.settings.timings.silence);
         let mut statuses = near.filter_map(|peer| peer.status.as_ref());
         statuses.any(|status| {
-            let may_join = status.disk != DiskHealth::Absent && status.aligned != self.image.view.epoch;
+            let may_join =
+                status.disk != DiskHealth::Absent && status.aligned != self.image.view.epoch;
             may_join && lacking.contains(&status.applied)
         })
     }
@@ -161,10 +195,19 @@
     /// Outside the chain, and lacking more than the log of the source holds: the chain would have to wait for a
     /// snapshot to be fetched if it took this process in now.
     pub(crate) fn is_far_behind(&self) -> bool {
-        let Some(source) = self.source.as_ref().filter(|_| !self.latest.chain.contains(&self.me)) else {
+        let Some(source) = self
+            .source
+            .as_ref()
+            .filter(|_| !self.latest.chain.contains(&self.me))
+        else {
             return false;
         };
-        let status = self.peers.all.get(source).and_then(|peer| peer.status.as_ref());
-        status.is_none_or(|status| status.base > self.applied.at.number) || self.transfers.is_fetching()
+        let status = self
+            .peers
+            .all
+            .get(source)
+            .and_then(|peer| peer.status.as_ref());
+        status.is_none_or(|status| status.base > self.applied.at.number)
+            || self.transfers.is_fetching()
     }
 }
--- a/crates/sandtrack-replication/src/peers.rs
+++ b/crates/sandtrack-replication/src/peers.rs
@@ -51,7 +51,14 @@
 impl Peers {
     /// Takes note of a message; true when the sender is new or started anew.
     pub(crate) fn heard(&mut self, now: f64, from: &Address, message: &Message) -> bool {
-        let Message { incarnation, start, epoch, bound, sent, .. } = *message;
+        let Message {
+            incarnation,
+            start,
+            epoch,
+            bound,
+            sent,
+            ..
+        } = *message;
         let peer = self.all.entry(from.clone()).or_insert_with(|| Peer {
             heard: now,
             listed: f64::NEG_INFINITY,
@@ -90,7 +97,11 @@
     }
 
     pub(crate) fn status(&mut self, now: f64, from: &Address, me: &Address, status: Status) {
-        if let Some(peer) = self.all.get_mut(from).filter(|peer| peer.sent >= peer.latest_status) {
+        if let Some(peer) = self
+            .all
+            .get_mut(from)
+            .filter(|peer| peer.sent >= peer.latest_status)
+        {
             peer.latest_status = peer.sent;
             if status.hears.contains(me) {
                 peer.listed = now;
--- a/crates/sandtrack-replication/src/reads.rs
+++ b/crates/sandtrack-replication/src/reads.rs
@@ -7,17 +7,34 @@
 impl<M: StateMachine> Replica<M> {
     /// At the head, or on the way to it.
     pub(crate) fn take_read(
-        &mut self, sender: &Member, call: CallId, question: Vec<u8>, hops: u8, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        call: CallId,
+        question: Vec<u8>,
+        hops: u8,
+        effects: &mut Vec<Effect>,
     ) {
         if self.is_head() {
             self.pass_read(call, question, sender.address.clone(), effects);
         } else if let Some(head) = self.onward(hops) {
-            self.send(&head, Body::Read { call, question, hops: hops - 1 }, effects);
+            self.send(
+                &head,
+                Body::Read {
+                    call,
+                    question,
+                    hops: hops - 1,
+                },
+                effects,
+            );
         }
     }
 
     pub(crate) fn take_read_pass(
-        &mut self, sender: &Member, call: CallId, question: Vec<u8>, reply_to: Address,
+        &mut self,
+        sender: &Member,
+        call: CallId,
+        question: Vec<u8>,
+        reply_to: Address,
         effects: &mut Vec<Effect>,
     ) {
         if self.in_line() && self.image.view.predecessor(&self.me) == Some(sender) {
@@ -25,9 +42,19 @@
         }
     }
 
-    fn pass_read(&mut self, call: CallId, question: Vec<u8>, reply_to: Address, effects: &mut Vec<Effect>) {
+    fn pass_read(
+        &mut self,
+        call: CallId,
+        question: Vec<u8>,
+        reply_to: Address,
+        effects: &mut Vec<Effect>,
+    ) {
         if let Some(successor) = self.image.view.successor(&self.me).cloned() {
-            let body = Body::ReadPass { call, question, reply_to };
+            let body = Body::ReadPass {
+                call,
+                question,
+                reply_to,
+            };
             self.send(&successor.address, body, effects);
             return;
         }
@@ -40,7 +67,12 @@
     }
 
     /// At the caller's process, or on the way to it.
-    pub(crate) fn take_read_outcome(&mut self, call: CallId, answer: Vec<u8>, effects: &mut Vec<Effect>) {
+    pub(crate) fn take_read_outcome(
+        &mut self,
+        call: CallId,
+        answer: Vec<u8>,
+        effects: &mut Vec<Effect>,
+    ) {
         if call.origin == self.me.address {
             self.finish(&call, answer, effects);
         } else {
--- a/crates/sandtrack-replication/src/reconfiguration.rs
+++ b/crates/sandtrack-replication/src/reconfiguration.rs
@@ -54,7 +54,10 @@
 
     /// It can write, and stays.
     pub(crate) fn disk_works(&self) -> bool {
-        matches!(self.disk, DiskHealth::Well | DiskHealth::Absent | DiskHealth::CatchingUp)
+        matches!(
+            self.disk,
+            DiskHealth::Well | DiskHealth::Absent | DiskHealth::CatchingUp
+        )
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
@@ -90,7 +93,12 @@
 type Everyone = BTreeMap<Address, Known>;
 
 /// The view that should follow, and why; None when the present one is as good as can be.
-pub(crate) fn desired(view: &View, me: &Member, known: &Everyone, limits: &Limits) -> Option<(View, Reason)> {
+pub(crate) fn desired(
+    view: &View,
+    me: &Member,
+    known: &Everyone,
+    limits: &Limits,
+) -> Option<(View, Reason)> {
     let stay = staying(view, me, known);
     let stay = without_leavers(view, stay, known, limits);
     let lost = stay.len() < view.chain.len();
@@ -121,7 +129,11 @@
     let Some(it) = known.get(&member.address) else {
         return true;
     };
-    if it.incarnation.is_some_and(|incarnation| incarnation != member.incarnation) || !it.can_write() {
+    if it
+        .incarnation
+        .is_some_and(|incarnation| incarnation != member.incarnation)
+        || !it.can_write()
+    {
         return true;
     }
     if it.disk == DiskHealth::CatchingUp {
@@ -134,10 +146,15 @@
     // One that hears nobody of the chain may still be heard by all. Its neighbours find out, if they have a vote.
     let hears = |other: &Member| other != member && it.hears.contains(&other.address);
     let is_deaf = it.heard && !view.chain.iter().any(hears);
-    let has_judge = neighbours.iter().flatten().any(|neighbour| view.voters.contains(neighbour));
+    let has_judge = neighbours
+        .iter()
+        .flatten()
+        .any(|neighbour| view.voters.contains(neighbour));
     neighbours.contains(&Some(me))
         || is_deaf && !has_judge
-        || !known.values().any(|other| other.alive && other.hears.contains(&member.address))
+        || !known
+            .values()
+            .any(|other| other.alive && other.hears.contains(&member.address))
 }
 
 /// Whether `me`, which was told to stop, has to stay until the others can go on without it: it is in the chain (see
@@ -150,7 +167,8 @@
     let stays = |voter: &&Member| {
         let it = known.get(&voter.address).filter(|it| it.is_alive(voter));
         // One of the chain that is about to leave has to stay as well.
-        *voter != me && it.is_some_and(|it| it.disk_works() || it.is_leaving() && view.chain.contains(voter))
+        *voter != me
+            && it.is_some_and(|it| it.disk_works() || it.is_leaving() && view.chain.contains(voter))
     };
     let is_vote_needed =
         || view.voters.contains(me) && view.voters.iter().filter(stays).count() < view.majority();
@@ -165,16 +183,27 @@
 
 /// Leaves out each member that is about to leave, the last first, as long as the complete ones among the others are
 /// enough to commit: they hold all that was ever committed, and outlast what is to be borne.
-fn without_leavers(view: &View, stay: Vec<Member>, known: &Everyone, limits: &Limits) -> Vec<Member> {
+fn without_leavers(
+    view: &View,
+    stay: Vec<Member>,
+    known: &Everyone,
+    limits: &Limits,
+) -> Vec<Member> {
     let mut rest = stay;
     for position in (0..rest.len()).rev() {
-        if !known.get(&rest[position].address).is_some_and(Known::is_leaving) {
+        if !known
+            .get(&rest[position].address)
+            .is_some_and(Known::is_leaving)
+        {
             continue;
         }
         let mut others = rest.clone();
         others.remove(position);
-        let complete: Vec<Member> =
-            others.iter().filter(|member| is_complete(view, member, known)).cloned().collect();
+        let complete: Vec<Member> = others
+            .iter()
+            .filter(|member| is_complete(view, member, known))
+            .cloned()
+            .collect();
         let suffices = kept(view, &complete, known)
             .is_some_and(|left| left.may_commit(limits.machines_borne, limits.zones_borne));
         if suffices {
@@ -190,12 +219,17 @@
     let Some(position) = view.position(member) else {
         return false;
     };
-    position == 0 || known.get(&member.address).is_some_and(|it| it.aligned >= view.since[position])
+    position == 0
+        || known
+            .get(&member.address)
+            .is_some_and(|it| it.aligned >= view.since[position])
 }
 
 fn hear_each_other(one: &Address, other: &Address, known: &Everyone) -> bool {
     let hears = |one: &Address, other: &Address| {
-        known.get(one).is_some_and(|known| !known.alive || known.hears.contains(other))
+        known
+            .get(one)
+            .is_some_and(|known| !known.alive || known.hears.contains(other))
     };
     hears(one, other) && hears(other, one)
 }
@@ -205,7 +239,9 @@
     let mut linked: Vec<Member> = Vec::new();
     let mut apart = false;
     for member in stay {
-        let fits = linked.last().is_none_or(|last| hear_each_other(&last.address, &member.address, known));
+        let fits = linked
+            .last()
+            .is_none_or(|last| hear_each_other(&last.address, &member.address, known));
         if fits {
             linked.push(member);
         } else {
@@ -217,7 +253,10 @@
 
 /// The view with those that stay: first the complete ones, in their order. None when there is none.
 fn kept(view: &View, stay: &[Member], known: &Everyone) -> Option<View> {
-    let mut next = View { epoch: view.epoch + 1, ..View::none() };
+    let mut next = View {
+        epoch: view.epoch + 1,
+        ..View::none()
+    };
     let mut incomplete = Vec::new();
     for member in stay {
         let position = view.position(member)?;
@@ -242,11 +281,17 @@
 
 /// As the process tells it, or as the view knows it.
 fn zone(view: &View, member: &Member, known: &Everyone) -> String {
-    let it = known.get(&member.address).filter(|it| it.incarnation == Some(member.incarnation));
+    let it = known
+        .get(&member.address)
+        .filter(|it| it.incarnation == Some(member.incarnation));
     let told = it.map(|it| it.zone.clone()).filter(|zone| !zone.is_empty());
     let chain = view.chain.iter().zip(&view.zones);
     let mut all = chain.chain(view.voters.iter().zip(&view.voter_zones));
-    told.or_else(|| all.find(|(other, _)| *other == member).map(|(_, zone)| zone.clone())).unwrap_or_default()
+    told.or_else(|| {
+        all.find(|(other, _)| *other == member)
+            .map(|(_, zone)| zone.clone())
+    })
+    .unwrap_or_default()
 }
 
 /// Takes processes that are ready in at the end of the chain; true when there were any.
@@ -267,14 +312,30 @@
 }
 
 fn push(next: &mut View, member: Member, known: &Everyone) {
-    next.zones.push(known.get(&member.address).map(|it| it.zone.clone()).unwrap_or_default());
+    next.zones.push(
+        known
+            .get(&member.address)
+            .map(|it| it.zone.clone())
+            .unwrap_or_default(),
+    );
     next.since.push(next.epoch);
     next.chain.push(member);
 }
 
 /// Of the processes outside the chain that are ready: one of a zone that the chain lacks, a voter, the first.
-fn best_joiner(view: &View, next: &View, me: &Member, known: &Everyone, limits: &Limits) -> Option<Member> {
-    let newest = known.values().filter(|it| it.alive).map(|it| it.applied).max().unwrap_or(0);
+fn best_joiner(
+    view: &View,
+    next: &View,
+    me: &Member,
+    known: &Everyone,
+    limits: &Limits,
+) -> Option<Member> {
+    let newest = known
+        .values()
+        .filter(|it| it.alive)
+        .map(|it| it.applied)
+        .max()
+        .unwrap_or(0);
     let needed = !next.may_commit(limits.machines_borne, limits.zones_borne);
     let tail = next.chain.last()?;
     let ready = known.iter().filter_map(|(address, it)| {
@@ -287,7 +348,12 @@
     });
     let best = ready.min_by_key(|(member, it)| {
         let zone_there = !it.zone.is_empty() && next.zones.contains(&it.zone);
-        (zone_there, !view.voters.contains(member), member != me, member.address.clone())
+        (
+            zone_there,
+            !view.voters.contains(member),
+            member != me,
+            member.address.clone(),
+        )
     });
     best.map(|(member, _)| member)
 }
@@ -295,16 +361,28 @@
 /// The process as a member, if it could be taken in: it is here, has this view, and can write.
 fn ready(view: &View, address: &Address, it: &Known, known: &Everyone) -> Option<Member> {
     let without_disk = |it: &Known| it.disk == DiskHealth::Absent;
-    let all_without = || view.chain.iter().filter_map(|member| known.get(&member.address)).all(without_disk);
-    let fits = it.alive && it.epoch == view.epoch && it.disk_works() && (!without_disk(it) || all_without());
-    fits.then_some(Member { address: address.clone(), incarnation: it.incarnation? })
+    let all_without = || {
+        view.chain
+            .iter()
+            .filter_map(|member| known.get(&member.address))
+            .all(without_disk)
+    };
+    let fits = it.alive
+        && it.epoch == view.epoch
+        && it.disk_works()
+        && (!without_disk(it) || all_without());
+    fits.then_some(Member {
+        address: address.clone(),
+        incarnation: it.incarnation?,
+    })
 }
 
 /// Puts a process of a zone that a full chain lacks in the place of the last member whose zone it has twice. True
 /// when that was done.
 fn spread(view: &View, next: &mut View, me: &Member, known: &Everyone, limits: &Limits) -> bool {
     let twice = (0..next.chain.len()).rev().find(|position| {
-        next.zones[..*position].contains(&next.zones[*position]) && !next.zones[*position].is_empty()
+        next.zones[..*position].contains(&next.zones[*position])
+            && !next.zones[*position].is_empty()
     });
     let Some(position) = twice else {
         return false;
@@ -313,9 +391,15 @@
     other.chain.remove(position);
     other.since.remove(position);
     other.zones.remove(position);
-    let complete = other.since.iter().filter(|since| **since < other.epoch).count();
+    let complete = other
+        .since
+        .iter()
+        .filter(|since| **since < other.epoch)
+        .count();
     let joiner = best_joiner(view, &other, me, known, limits).filter(|joiner| {
-        known.get(&joiner.address).is_some_and(|it| !it.zone.is_empty() && !other.zones.contains(&it.zone))
+        known
+            .get(&joiner.address)
+            .is_some_and(|it| !it.zone.is_empty() && !other.zones.contains(&it.zone))
     });
     let Some(joiner) = joiner.filter(|_| complete > limits.machines_borne) else {
         return false;
@@ -329,22 +413,43 @@
 /// identity, or a free one, or that of the voter outside the chain that leaves or has been dead for longest; never so that the
 /// loss of a zone that is to be borne would take the majority.
 fn choose_voters(view: &View, next: &mut View, known: &Everyone, limits: &Limits) {
-    let most = CHAIN.max(2 * limits.machines_borne + 1).max(view.voters.len());
+    let most = CHAIN
+        .max(2 * limits.machines_borne + 1)
+        .max(view.voters.len());
     next.voters = view.voters.clone();
-    next.voter_zones = view.voters.iter().map(|voter| zone(view, voter, known)).collect();
+    next.voter_zones = view
+        .voters
+        .iter()
+        .map(|voter| zone(view, voter, known))
+        .collect();
     let leaves = |member: &&Member| known.get(&member.address).is_some_and(Known::is_leaving);
-    let mut candidates: Vec<Member> = next.chain.iter().filter(|member| !leaves(member)).cloned().collect();
-    candidates.extend(known.iter().filter_map(|(address, it)| ready(view, address, it, known)));
+    let mut candidates: Vec<Member> = next
+        .chain
+        .iter()
+        .filter(|member| !leaves(member))
+        .cloned()
+        .collect();
+    candidates.extend(
+        known
+            .iter()
+            .filter_map(|(address, it)| ready(view, address, it, known)),
+    );
     for member in &candidates {
         if next.voters.contains(member) {
             continue;
         }
-        if let Some(position) = next.voters.iter().position(|voter| voter.address == member.address) {
+        if let Some(position) = next
+            .voters
+            .iter()
+            .position(|voter| voter.address == member.address)
+        {
             next.voters[position] = member.clone();
             continue;
         }
         let free = (next.voters.len() < most).then_some(next.voters.len());
-        let place = dead_voter(next, known, limits.replace).or(free).or_else(|| crowded_voter(next, limits));
+        let place = dead_voter(next, known, limits.replace)
+            .or(free)
+            .or_else(|| crowded_voter(next, limits));
         let Some(position) = place else {
             continue;
         };
@@ -376,30 +481,50 @@
 /// An even number of voters bears no more than the odd one before it, and may bear the loss of a zone less well: then
 /// no single voter can be added, but two at once can.
 fn with_two_more_voters(
-    view: &View, next: &View, candidates: &[Member], known: &Everyone, limits: &Limits,
+    view: &View,
+    next: &View,
+    candidates: &[Member],
+    known: &Everyone,
+    limits: &Limits,
 ) -> Option<View> {
-    let outside: Vec<&Member> = candidates.iter().filter(|member| !next.voters.contains(member)).collect();
+    let outside: Vec<&Member> = candidates
+        .iter()
+        .filter(|member| !next.voters.contains(member))
+        .collect();
     let pairs = outside
         .iter()
         .enumerate()
         .flat_map(|(index, one)| outside[index + 1..].iter().map(move |other| (*one, *other)));
-    let larger = pairs.filter(|(one, other)| one != other).map(|(one, other)| {
-        let mut larger = next.clone();
-        for member in [one, other] {
-            let end = larger.voters.len();
-            set_voter(&mut larger, end, member, zone(view, member, known));
-        }
-        larger
-    });
-    larger.into_iter().find(|larger| larger.voters_outlast(limits.zones_borne))
+    let larger = pairs
+        .filter(|(one, other)| one != other)
+        .map(|(one, other)| {
+            let mut larger = next.clone();
+            for member in [one, other] {
+                let end = larger.voters.len();
+                set_voter(&mut larger, end, member, zone(view, member, known));
+            }
+            larger
+        });
+    larger
+        .into_iter()
+        .find(|larger| larger.voters_outlast(limits.zones_borne))
 }
 
 /// The voter outside the chain that has been dead for longest, or leaves.
 fn dead_voter(next: &View, known: &Everyone, replace: f64) -> Option<usize> {
-    let silent = |voter: &Member| known.get(&voter.address).map_or(f64::MAX, |it| it.silent_for);
-    let outside = next.voters.iter().enumerate().filter(|(_, voter)| !next.chain.contains(voter));
+    let silent = |voter: &Member| {
+        known
+            .get(&voter.address)
+            .map_or(f64::MAX, |it| it.silent_for)
+    };
+    let outside = next
+        .voters
+        .iter()
+        .enumerate()
+        .filter(|(_, voter)| !next.chain.contains(voter));
     let dead = outside.filter(|(_, voter)| is_dead(voter, known, replace));
-    dead.max_by(|one, other| silent(one.1).total_cmp(&silent(other.1))).map(|(position, _)| position)
+    dead.max_by(|one, other| silent(one.1).total_cmp(&silent(other.1)))
+        .map(|(position, _)| position)
 }
 
 /// While the loss of a zone would take the majority: the last voter outside the chain that shares its zone.
@@ -417,7 +542,11 @@
     let Some(it) = known.get(&voter.address) else {
         return true;
     };
-    let other_identity = it.incarnation.is_some_and(|incarnation| incarnation != voter.incarnation);
-    let heard = known.values().any(|other| other.alive && other.hears.contains(&voter.address));
+    let other_identity = it
+        .incarnation
+        .is_some_and(|incarnation| incarnation != voter.incarnation);
+    let heard = known
+        .values()
+        .any(|other| other.alive && other.hears.contains(&voter.address));
     other_identity || it.is_leaving() || (it.silent_for > replace && !heard)
 }
--- a/crates/sandtrack-replication/src/replica.rs
+++ b/crates/sandtrack-replication/src/replica.rs
@@ -59,20 +59,42 @@
 impl<M: StateMachine> Replica<M> {
     /// A replica with what its WAL held; `now` in milliseconds of the steady clock. A WAL that can't be
     /// read counts as lost, like an empty one: the process comes back under a new incarnation.
-    pub fn new(settings: Settings, recovered: Vec<Vec<u8>>, machine: M, now: f64) -> (Self, Vec<Effect>) {
+    pub fn new(
+        settings: Settings,
+        recovered: Vec<Vec<u8>>,
+        machine: M,
+        now: f64,
+    ) -> (Self, Vec<Effect>) {
         let mut random = Random::new(settings.seed);
         let start = random.number();
         let mut applied = Applied::new(machine);
         let mut effects = Vec::new();
         let image = Image::recover(&recovered)
-            .filter(|image| image.member.as_ref().is_some_and(|member| member.address == settings.me))
-            .filter(|image| image.snapshot.as_ref().is_none_or(|snapshot| applied.restore(snapshot)));
+            .filter(|image| {
+                image
+                    .member
+                    .as_ref()
+                    .is_some_and(|member| member.address == settings.me)
+            })
+            .filter(|image| {
+                image
+                    .snapshot
+                    .as_ref()
+                    .is_none_or(|snapshot| applied.restore(snapshot))
+            });
         let known = image.is_some();
         let mut image = image.unwrap_or_else(Image::empty);
         image.snapshot = None;
         let is_seed = settings.first_start && settings.seeds.contains(&settings.me);
-        let incarnation = if is_seed && !known { 0 } else { settings.incarnation_if_new };
-        let new = Member { address: settings.me.clone(), incarnation };
+        let incarnation = if is_seed && !known {
+            0
+        } else {
+            settings.incarnation_if_new
+        };
+        let new = Member {
+            address: settings.me.clone(),
+            incarnation,
+        };
         let me = image.member.clone().unwrap_or(new);
         let mut replica = Self {
             start,
@@ -101,7 +123,9 @@
         };
         replica.apply_up_to(replica.image.committed, &mut Vec::new());
         if replica.applied.at.number > 0 {
-            effects.push(Effect::Restored { number: replica.applied.at.number });
+            effects.push(Effect::Restored {
+                number: replica.applied.at.number,
+            });
         }
         if !known && is_seed {
             replica.latest = View::first(&replica.settings.seeds);
@@ -230,7 +254,10 @@
             self.send_status(from, effects);
         }
         self.tell_views(from, &message, effects);
-        let sender = Member { address: from.clone(), incarnation: message.incarnation };
+        let sender = Member {
+            address: from.clone(),
+            incarnation: message.incarnation,
+        };
         self.take(&sender, message, effects);
     }
 
@@ -239,35 +266,71 @@
         match *message.body {
             Body::Status(status) => self.take_status(sender, message.epoch, status, effects),
             Body::NewView(view) => self.learn_view(view, effects),
-            Body::Submit { call, command, hops } => {
+            Body::Submit {
+                call,
+                command,
+                hops,
+            } => {
                 self.take_submit(sender, call, command, hops, effects);
             }
-            Body::Read { call, question, hops } => self.take_read(sender, call, question, hops, effects),
+            Body::Read {
+                call,
+                question,
+                hops,
+            } => self.take_read(sender, call, question, hops, effects),
             Body::Outcome { call, outcome } => self.take_outcome(call, outcome, effects),
             Body::DiskFull { call, head } => self.take_disk_full(call, head, effects),
             Body::ReadOutcome { call, answer } => self.take_read_outcome(call, answer, effects),
             Body::Learn { entries, more } => self.take_learn(sender, entries, more, effects),
             Body::Offer(id) => self.take_offer(sender, id, effects),
             Body::Fetch { id, offset } => self.take_fetch(sender, id, offset, effects),
-            Body::Piece { id, offset, bytes } => self.take_piece(sender, id, offset, bytes, effects),
-            Body::Fragment { id, length, offset, bytes } => {
+            Body::Piece { id, offset, bytes } => {
+                self.take_piece(sender, id, offset, bytes, effects)
+            }
+            Body::Fragment {
+                id,
+                length,
+                offset,
+                bytes,
+            } => {
                 self.take_fragment(sender, id, length, offset, bytes, effects);
             }
-            Body::FragmentTaken { id, received } => self.take_fragment_taken(sender, id, received, effects),
+            Body::FragmentTaken { id, received } => {
+                self.take_fragment_taken(sender, id, received, effects)
+            }
             // What follows belongs to one epoch, and is refused in any other.
             _ if !now_in => {}
             Body::Prepare { ballot } => self.take_prepare(sender, ballot, effects),
-            Body::Promise { ballot, accepted } => self.take_promise(sender, ballot, accepted, effects),
+            Body::Promise { ballot, accepted } => {
+                self.take_promise(sender, ballot, accepted, effects)
+            }
             Body::Accept { ballot, view } => self.take_accept(sender, ballot, view, effects),
             Body::Accepted { ballot } => self.take_accepted(sender, ballot, effects),
             Body::Outbid { ballot, promised } => self.take_outbid(ballot, promised),
             Body::Align { ends, applied } => self.take_align(sender, &ends, applied, effects),
-            Body::InLine { after, on_applied, entries, more } => {
-                self.take_in_line(sender, Lot { after, on_applied, entries, more });
+            Body::InLine {
+                after,
+                on_applied,
+                entries,
+                more,
+            } => {
+                self.take_in_line(
+                    sender,
+                    Lot {
+                        after,
+                        on_applied,
+                        entries,
+                        more,
+                    },
+                );
             }
             Body::Pass { entries } => self.take_pass(sender, entries),
             Body::Ack { synced, committed } => self.take_ack(sender, synced, committed, effects),
-            Body::ReadPass { call, question, reply_to } => {
+            Body::ReadPass {
+                call,
+                question,
+                reply_to,
+            } => {
                 self.take_read_pass(sender, call, question, reply_to, effects);
             }
         }
@@ -319,7 +382,9 @@
     }
 
     pub(crate) fn status(&self) -> Status {
-        let mut hears = self.peers.heard_within(self.now, self.settings.timings.silence);
+        let mut hears = self
+            .peers
+            .heard_within(self.now, self.settings.timings.silence);
         let members = self.latest.addresses();
         if !members.is_empty() && !members.contains(&self.me.address) {
             // What observers hear of each other matters to nobody.
@@ -332,7 +397,11 @@
             synced: self.image.end().number,
             base: self.image.base.number,
             applied: self.applied.at.number,
-            confirmed: if self.in_line() { self.chain.confirmed } else { 0 },
+            confirmed: if self.in_line() {
+                self.chain.confirmed
+            } else {
+                0
+            },
             hears,
             source: self.source.clone(),
         }
@@ -349,8 +418,19 @@
         self.send(to, Body::Status(status), effects);
     }
 
-    fn take_status(&mut self, sender: &Member, epoch: u64, status: Status, effects: &mut Vec<Effect>) {
-        self.peers.status(self.now, &sender.address, &self.me.address.clone(), status.clone());
+    fn take_status(
+        &mut self,
+        sender: &Member,
+        epoch: u64,
+        status: Status,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.peers.status(
+            self.now,
+            &sender.address,
+            &self.me.address.clone(),
+            status.clone(),
+        );
         if epoch == self.image.view.epoch && self.in_line() {
             self.successor_told(sender, &status, effects);
         }
@@ -381,10 +461,18 @@
         let timings = &self.settings.timings;
         let members = self.latest.addresses();
         let inside = members.contains(&self.me.address);
-        let mut to = if self.latest.epoch == 0 { self.settings.seeds.clone() } else { members.clone() };
+        let mut to = if self.latest.epoch == 0 {
+            self.settings.seeds.clone()
+        } else {
+            members.clone()
+        };
         if inside || self.latest.epoch == 0 {
             let others = self.peers.heard_within(self.now, timings.silence * 3.0);
-            to.extend(others.into_iter().filter(|address| !members.contains(address)));
+            to.extend(
+                others
+                    .into_iter()
+                    .filter(|address| !members.contains(address)),
+            );
         }
         // Many observers are told less often.
         let slower = 1.0 + to.len().saturating_sub(members.len()) as f64 / 16.0;
@@ -420,7 +508,9 @@
     pub(crate) fn disk_health(&self) -> DiskHealth {
         match self.disk.health(self.now, self.settings.timings.stall) {
             DiskHealth::Well | DiskHealth::Absent if self.leaving => DiskHealth::Leaving,
-            DiskHealth::Well if self.is_far_behind() || self.makes_no_progress() => DiskHealth::CatchingUp,
+            DiskHealth::Well if self.is_far_behind() || self.makes_no_progress() => {
+                DiskHealth::CatchingUp
+            }
             health => health,
         }
     }
--- a/crates/sandtrack-replication/src/testimony.rs
+++ b/crates/sandtrack-replication/src/testimony.rs
@@ -19,7 +19,8 @@
     /// The view after it is decided by a majority of acceptances, so a majority that confirms the view shows that no later
     /// one was decided before the first of them spoke.
     pub fn confirms(&self, address: &str, view: &View) -> bool {
-        let is_it = |voter: &Member| voter.address == address && voter.incarnation == self.incarnation;
+        let is_it =
+            |voter: &Member| voter.address == address && voter.incarnation == self.incarnation;
         self.bound <= view.epoch && view.voters.iter().any(is_it)
     }
 }
@@ -27,19 +28,29 @@
 impl<M: StateMachine> Replica<M> {
     /// What this process says of itself as a voter.
     pub fn testimony(&self) -> Testimony {
-        Testimony { incarnation: self.me.incarnation, bound: self.bound() }
+        Testimony {
+            incarnation: self.me.incarnation,
+            bound: self.bound(),
+        }
     }
 
     /// What another process said of itself as a voter, since it started.
     pub fn testimony_of(&self, address: &str) -> Option<Testimony> {
         let peer = self.peers.all.get(address)?;
-        Some(Testimony { incarnation: peer.incarnation, bound: peer.bound })
+        Some(Testimony {
+            incarnation: peer.incarnation,
+            bound: peer.bound,
+        })
     }
 
     /// The latest epoch whose view is known here, or was accepted on the disk. A promise binds to no view: what was only
     /// promised can't have been decided.
     pub(crate) fn bound(&self) -> u64 {
-        let accepted = self.image.accepted.as_ref().map_or(0, |(_, view)| view.epoch);
+        let accepted = self
+            .image
+            .accepted
+            .as_ref()
+            .map_or(0, |(_, view)| view.epoch);
         self.latest.epoch.max(accepted)
     }
 
@@ -69,12 +80,17 @@
         let is_near = |peer: &&Peer| self.now - peer.heard <= self.settings.timings.silence;
         let peer = self.peers.all.get(source).filter(is_near);
         let in_chain = |peer: &&Peer| {
-            let member = Member { address: source.clone(), incarnation: peer.incarnation };
+            let member = Member {
+                address: source.clone(),
+                incarnation: peer.incarnation,
+            };
             self.latest.position(&member).is_some() && peer.epoch == self.latest.epoch
         };
         let status = peer.filter(in_chain).and_then(|peer| peer.status.as_ref());
         let holds_all = |status: &&Status| status.holds_all_in(self.latest.epoch);
-        status.filter(holds_all).is_some_and(|status| status.applied <= self.applied.at.number)
+        status
+            .filter(holds_all)
+            .is_some_and(|status| status.applied <= self.applied.at.number)
     }
 }
 
--- a/crates/sandtrack-replication/src/transfer.rs
+++ b/crates/sandtrack-replication/src/transfer.rs
@@ -51,7 +51,15 @@
 
 impl Incoming {
     fn new(id: SnapshotId, from: Address, now: f64) -> Self {
-        Self { id, from, state: Vec::new(), early: BTreeMap::new(), asked: 0, moved: now, progress: now }
+        Self {
+            id,
+            from,
+            state: Vec::new(),
+            early: BTreeMap::new(),
+            asked: 0,
+            moved: now,
+            progress: now,
+        }
     }
 
     fn received(&self) -> u64 {
@@ -83,8 +91,10 @@
 
     /// The snapshot, when it is the one that was offered.
     fn into_snapshot(self) -> Option<Snapshot> {
-        (self.id == identify(self.id.at, &self.state))
-            .then_some(Snapshot { at: self.id.at, state: self.state })
+        (self.id == identify(self.id.at, &self.state)).then_some(Snapshot {
+            at: self.id.at,
+            state: self.state,
+        })
     }
 }
 
@@ -113,7 +123,11 @@
 }
 
 fn identify(at: Position, state: &[u8]) -> SnapshotId {
-    SnapshotId { at, length: state.len() as u64, digest: crc32fast::hash(state) }
+    SnapshotId {
+        at,
+        length: state.len() as u64,
+        digest: crc32fast::hash(state),
+    }
 }
 
 impl<M: StateMachine> Replica<M> {
@@ -124,18 +138,36 @@
 
     /// Bytes of the snapshots that are kept for transfers.
     pub fn transfer_bytes(&self) -> usize {
-        let outgoing = self.transfers.outgoing.as_ref().map_or(0, |outgoing| outgoing.state.len());
-        outgoing + self.transfers.incoming.as_ref().map_or(0, |incoming| incoming.state.len())
+        let outgoing = self
+            .transfers
+            .outgoing
+            .as_ref()
+            .map_or(0, |outgoing| outgoing.state.len());
+        outgoing
+            + self
+                .transfers
+                .incoming
+                .as_ref()
+                .map_or(0, |incoming| incoming.state.len())
     }
 
     /// Offers a snapshot to a process that lacks more than the log holds: the one that is being sent already, where
     /// the log still goes on from it.
     pub(crate) fn offer_snapshot(&mut self, to: &Address, effects: &mut Vec<Effect>) {
         let follows = |at: Position| at == self.applied.at || self.holds(at);
-        if !self.transfers.outgoing.as_ref().is_some_and(|outgoing| follows(outgoing.id.at)) {
+        if !self
+            .transfers
+            .outgoing
+            .as_ref()
+            .is_some_and(|outgoing| follows(outgoing.id.at))
+        {
             let Snapshot { at, state } = self.applied.snapshot();
             let id = identify(at, &state);
-            self.transfers.outgoing = Some(Outgoing { id, state, receivers: BTreeMap::new() });
+            self.transfers.outgoing = Some(Outgoing {
+                id,
+                state,
+                receivers: BTreeMap::new(),
+            });
         }
         if let Some(outgoing) = &mut self.transfers.outgoing {
             outgoing.receivers.insert(to.clone(), self.now);
@@ -144,7 +176,12 @@
         }
     }
 
-    pub(crate) fn take_offer(&mut self, sender: &Member, id: SnapshotId, effects: &mut Vec<Effect>) {
+    pub(crate) fn take_offer(
+        &mut self,
+        sender: &Member,
+        id: SnapshotId,
+        effects: &mut Vec<Effect>,
+    ) {
         if id.at.number <= self.applied.at.number || id.length > LONGEST {
             return;
         }
@@ -156,7 +193,8 @@
                 }
             }
             // The sender of the one that is being fetched has it no more, or is not there.
-            Some(incoming) if incoming.from != sender.address && now - incoming.progress <= GIVEN_UP => {}
+            Some(incoming)
+                if incoming.from != sender.address && now - incoming.progress <= GIVEN_UP => {}
             incoming => *incoming = Some(Incoming::new(id, sender.address.clone(), now)),
         }
         self.fetch(effects);
@@ -174,10 +212,19 @@
     }
 
     pub(crate) fn take_fetch(
-        &mut self, sender: &Member, id: SnapshotId, offset: u64, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        id: SnapshotId,
+        offset: u64,
+        effects: &mut Vec<Effect>,
     ) {
         let now = self.now;
-        let Some(outgoing) = self.transfers.outgoing.as_mut().filter(|outgoing| outgoing.id == id) else {
+        let Some(outgoing) = self
+            .transfers
+            .outgoing
+            .as_mut()
+            .filter(|outgoing| outgoing.id == id)
+        else {
             return; // it is offered another one when it tells what it lacks
         };
         if offset >= id.length {
@@ -194,10 +241,20 @@
     }
 
     pub(crate) fn take_piece(
-        &mut self, sender: &Member, id: SnapshotId, offset: u64, bytes: Vec<u8>, effects: &mut Vec<Effect>,
+        &mut self,
+        sender: &Member,
+        id: SnapshotId,
+        offset: u64,
+        bytes: Vec<u8>,
+        effects: &mut Vec<Effect>,
     ) {
         let now = self.now;
-        let Some(incoming) = self.transfers.incoming.as_mut().filter(|incoming| incoming.id == id) else {
+        let Some(incoming) = self
+            .transfers
+            .incoming
+            .as_mut()
+            .filter(|incoming| incoming.id == id)
+        else {
             return;
         };
         incoming.take(offset, bytes);
@@ -205,16 +262,28 @@
         if !incoming.is_complete() {
             return self.fetch(effects);
         }
-        let snapshot = self.transfers.incoming.take().and_then(Incoming::into_snapshot);
+        let snapshot = self
+            .transfers
+            .incoming
+            .take()
+            .and_then(Incoming::into_snapshot);
         let is_restored = snapshot.is_some_and(|snapshot| self.restore(&snapshot, effects));
         if is_restored {
             // All are told before the sender hears that it is through: they keep the log that follows the snapshot.
             let mut told = self.latest.addresses();
             told.push(sender.address.clone());
             told.dedup();
-            told.into_iter().for_each(|address| self.send_status(&address, effects));
+            told.into_iter()
+                .for_each(|address| self.send_status(&address, effects));
         }
-        self.send(&sender.address, Body::Fetch { id, offset: id.length }, effects);
+        self.send(
+            &sender.address,
+            Body::Fetch {
+                id,
+                offset: id.length,
+            },
+            effects,
+        );
         if is_restored {
             self.align_at_once(effects);
         } else {
@@ -229,7 +298,9 @@
         }
         let restored = self.applied.restore(snapshot);
         if restored {
-            effects.push(Effect::Restored { number: snapshot.at.number });
+            effects.push(Effect::Restored {
+                number: snapshot.at.number,
+            });
         }
         restored
     }
@@ -237,9 +308,9 @@
     /// Asks again for what did not come, and forgets what nobody wants any more.
     pub(crate) fn transfers_tick(&mut self, effects: &mut Vec<Effect>) {
         let (now, applied) = (self.now, self.applied.at.number);
-        self.transfers
-            .incoming
-            .take_if(|incoming| incoming.id.at.number <= applied || now - incoming.progress > FORGOTTEN);
+        self.transfers.incoming.take_if(|incoming| {
+            incoming.id.at.number <= applied || now - incoming.progress > FORGOTTEN
+        });
         if let Some(incoming) = &mut self.transfers.incoming {
             if now - incoming.moved > ASK_AGAIN {
                 incoming.moved = now;
@@ -248,7 +319,9 @@
             }
         }
         self.transfers.outgoing.take_if(|outgoing| {
-            outgoing.receivers.retain(|_, asked| now - *asked <= FORGOTTEN);
+            outgoing
+                .receivers
+                .retain(|_, asked| now - *asked <= FORGOTTEN);
             outgoing.receivers.is_empty()
         });
     }
--- a/crates/sandtrack-replication/src/view.rs
+++ b/crates/sandtrack-replication/src/view.rs
@@ -45,8 +45,13 @@
 
     /// The first view of the system: the seeds as they were given, all empty.
     pub(crate) fn first(seeds: &[Address]) -> Self {
-        let members: Vec<Member> =
-            seeds.iter().map(|seed| Member { address: seed.clone(), incarnation: 0 }).collect();
+        let members: Vec<Member> = seeds
+            .iter()
+            .map(|seed| Member {
+                address: seed.clone(),
+                incarnation: 0,
+            })
+            .collect();
         Self {
             epoch: 1,
             since: vec![1; members.len()],
@@ -86,7 +91,10 @@
 
     /// Whether a majority of the voters is left when the most crowded zones that may be lost are.
     pub(crate) fn voters_outlast(&self, zones_borne: usize) -> bool {
-        let lost: usize = crowds(&self.voter_zones).into_iter().take(zones_borne).sum();
+        let lost: usize = crowds(&self.voter_zones)
+            .into_iter()
+            .take(zones_borne)
+            .sum();
         self.voters.len() - lost >= self.majority()
     }
 
--- a/crates/sandtrack-replication/tests/after_a_thousand_changes.rs
+++ b/crates/sandtrack-replication/tests/after_a_thousand_changes.rs
@@ -38,7 +38,11 @@
         let call = world.submit(through, world.newest().version);
         world.padding = 0;
         assert!(world.run_until(6000.0, |world| world.took(call).is_some()));
-        assert!(matches!(world.outcome(call), Some(Ok(_))), "{:?}", world.outcome(call));
+        assert!(
+            matches!(world.outcome(call), Some(Ok(_))),
+            "{:?}",
+            world.outcome(call)
+        );
     }
 }
 
@@ -63,7 +67,10 @@
     let mut reads = Vec::new();
     while !is_in_line(world, away) {
         let replica = world.nodes[away].replica.as_ref().unwrap();
-        assert!(replica.machine().applied >= MISSED || !replica.is_caught_up(), "it passes for caught up");
+        assert!(
+            replica.machine().applied >= MISSED || !replica.is_caught_up(),
+            "it passes for caught up"
+        );
         let head = world.checks.newest_view().unwrap().chain[0].address.clone();
         assert_ne!(head, world.nodes[away].address, "it leads");
         reads.push(world.read(away));
@@ -128,7 +135,12 @@
 /// the state does not.
 #[test]
 fn troubles_of_another_disk_don_t_keep_it_out_for_longer() {
-    for (mode, away) in [(DiskMode::Stalled, 2), (DiskMode::Full, 2), (SLOW, 2), (DiskMode::Stalled, 0)] {
+    for (mode, away) in [
+        (DiskMode::Stalled, 2),
+        (DiskMode::Full, 2),
+        (SLOW, 2),
+        (DiskMode::Stalled, 0),
+    ] {
         let mut world = world(45);
         comes_back(&mut world, away);
         let other = (away + 1) % 3;
@@ -136,7 +148,10 @@
         world.run(2000.0);
         world.set_disk(other, DiskMode::Well);
         until_in_line(&mut world, away, IN_LINE);
-        assert!(world.run_until(10_000.0, World::is_whole), "{mode:?}: all are in line again");
+        assert!(
+            world.run_until(10_000.0, World::is_whole),
+            "{mode:?}: all are in line again"
+        );
     }
 }
 
--- a/crates/sandtrack-replication/tests/calm.rs
+++ b/crates/sandtrack-replication/tests/calm.rs
@@ -18,7 +18,11 @@
         world.run(100.0);
         assert_eq!(world.outcome(call), Some(Ok(format!("won {}", node + 1))));
         // Three syncs of 0.5 ms, four hops of at most 1.2 ms; two more from outside the head.
-        assert!(world.took(call).unwrap() < 1.5 + 6.0 * 1.2 + 0.5, "{:?}", world.took(call));
+        assert!(
+            world.took(call).unwrap() < 1.5 + 6.0 * 1.2 + 0.5,
+            "{:?}",
+            world.took(call)
+        );
     }
     assert_eq!(world.checks.views(), 1);
 }
@@ -45,7 +49,11 @@
             world.kill(lost);
             let call = world.submit((lost + 1) % 3, 0);
             world.run(2500.0);
-            assert_eq!(world.outcome(call), Some(Ok("won 1".to_string())), "lost {lost}, seed {seed}");
+            assert_eq!(
+                world.outcome(call),
+                Some(Ok("won 1".to_string())),
+                "lost {lost}, seed {seed}"
+            );
         }
     }
 }
--- a/crates/sandtrack-replication/tests/catching_up.rs
+++ b/crates/sandtrack-replication/tests/catching_up.rs
@@ -34,7 +34,11 @@
     for _ in 0..count {
         let call = world.submit(0, world.newest().version);
         let answered = world.run_until(6000.0, |world| world.took(call).is_some());
-        assert!(answered && matches!(world.outcome(call), Some(Ok(_))), "{:?}", world.outcome(call));
+        assert!(
+            answered && matches!(world.outcome(call), Some(Ok(_))),
+            "{:?}",
+            world.outcome(call)
+        );
     }
 }
 
@@ -48,7 +52,10 @@
     }
     let is_done = done(world);
     world.run(2000.0);
-    let slowest = calls.iter().map(|call| world.took(*call).unwrap_or(Time::INFINITY)).fold(0.0, Time::max);
+    let slowest = calls
+        .iter()
+        .map(|call| world.took(*call).unwrap_or(Time::INFINITY))
+        .fold(0.0, Time::max);
     (is_done, slowest)
 }
 
@@ -64,7 +71,12 @@
 
 /// Bytes on their way to a machine since the last look.
 fn received(world: &mut World, machine: usize) -> usize {
-    world.network.bandwidth.received.insert(machine, 0).unwrap_or(0)
+    world
+        .network
+        .bandwidth
+        .received
+        .insert(machine, 0)
+        .unwrap_or(0)
 }
 
 #[test]
@@ -74,13 +86,19 @@
     let views = world.checks.views();
     let began = world.now;
     world.start(AWAY, false);
-    let (in_line, slowest) = changes_go_on(&mut world, 3.0 * ON_THE_WAY, |world| is_in_line(world, AWAY));
+    let (in_line, slowest) = changes_go_on(&mut world, 3.0 * ON_THE_WAY, |world| {
+        is_in_line(world, AWAY)
+    });
     let took = world.now - 2000.0 - began;
     assert!(in_line, "not in line after {took} ms");
     println!("in line after {took:.0} ms, slowest change {slowest:.0} ms");
     assert!(took < 2.0 * ON_THE_WAY, "in line after {took} ms");
     assert!(slowest < 1000.0, "a change took {slowest} ms");
-    assert_eq!(world.checks.views(), views + 1, "nobody is suspected: the only new view takes the joiner in");
+    assert_eq!(
+        world.checks.views(),
+        views + 1,
+        "nobody is suspected: the only new view takes the joiner in"
+    );
 }
 
 #[test]
@@ -97,20 +115,30 @@
     assert!(world.run_until(2.0 * ON_THE_WAY, |world| is_in_line(world, AWAY)));
     let bytes = received(&mut world, AWAY);
     println!("{bytes} bytes");
-    assert!(bytes < STATE + STATE / 8, "{bytes} bytes were sent for a state of {STATE}");
+    assert!(
+        bytes < STATE + STATE / 8,
+        "{bytes} bytes were sent for a state of {STATE}"
+    );
 }
 
 #[test]
 fn a_transfer_keeps_one_copy_at_each_end_and_none_afterwards() {
     let mut world = with_one_away();
     world.start(AWAY, false);
-    let bytes =
-        |world: &World, machine: usize| world.nodes[machine].replica.as_ref().unwrap().transfer_bytes();
+    let bytes = |world: &World, machine: usize| {
+        world.nodes[machine]
+            .replica
+            .as_ref()
+            .unwrap()
+            .transfer_bytes()
+    };
     let mut most = 0;
     let end = world.now + 2.0 * ON_THE_WAY;
     while world.now < end {
         world.run(20.0);
-        most = (0..3).map(|machine| bytes(&world, machine)).fold(most, usize::max);
+        most = (0..3)
+            .map(|machine| bytes(&world, machine))
+            .fold(most, usize::max);
     }
     assert!(is_in_line(&world, AWAY));
     assert!((STATE..STATE + STATE / 8).contains(&most), "{most} bytes");
@@ -122,10 +150,25 @@
     let mut world = with_one_away();
     world.network.flipped_words = Some((AWAY, "bytes from byte 1638400"));
     world.start(AWAY, false);
-    let refused = |world: &World| world.nodes[AWAY].replica.as_ref().unwrap().snapshots_refused();
+    let refused = |world: &World| {
+        world.nodes[AWAY]
+            .replica
+            .as_ref()
+            .unwrap()
+            .snapshots_refused()
+    };
     assert!(world.run_until(2.0 * ON_THE_WAY, |world| refused(world) == 1));
     assert!(!is_in_line(&world, AWAY));
-    assert!(world.nodes[AWAY].replica.as_ref().unwrap().machine().applied < 700, "nothing of it is taken");
+    assert!(
+        world.nodes[AWAY]
+            .replica
+            .as_ref()
+            .unwrap()
+            .machine()
+            .applied
+            < 700,
+        "nothing of it is taken"
+    );
     change(&mut world, 3);
     world.network.flipped_words = None;
     assert!(world.run_until(2.0 * ON_THE_WAY, |world| is_in_line(world, AWAY)));
@@ -139,12 +182,21 @@
     world.network.lost_words = Some((AWAY, "in line after"));
     world.start(AWAY, false);
     let taken_in = |world: &World| world.checks.newest_view().unwrap().chain.len() == 3;
-    assert!(world.run_until(3.0 * ON_THE_WAY, taken_in), "the joiner is taken in");
-    assert!(world.run_until(5000.0, |world| !taken_in(world)), "and left out");
+    assert!(
+        world.run_until(3.0 * ON_THE_WAY, taken_in),
+        "the joiner is taken in"
+    );
+    assert!(
+        world.run_until(5000.0, |world| !taken_in(world)),
+        "and left out"
+    );
     let (_, slowest) = changes_go_on(&mut world, 5000.0, |_| false);
     assert!(slowest < 1000.0, "a change took {slowest} ms");
     world.network.lost_words = None;
-    assert!(world.run_until(15_000.0, |world| is_in_line(world, AWAY)), "it comes back when it can");
+    assert!(
+        world.run_until(15_000.0, |world| is_in_line(world, AWAY)),
+        "it comes back when it can"
+    );
 }
 
 /// Three hundred changes of 2 KiB came meanwhile, and the log still holds them.
@@ -169,15 +221,23 @@
     while !is_in_line(&world, AWAY) {
         let replica = world.nodes[AWAY].replica.as_ref().unwrap();
         let behind = replica.machine().applied < 310;
-        assert!(!(behind && replica.is_caught_up()), "it does not pass for caught up");
+        assert!(
+            !(behind && replica.is_caught_up()),
+            "it does not pass for caught up"
+        );
         let view = world.checks.newest_view().unwrap().clone();
-        assert_ne!(view.chain[0].address, world.nodes[AWAY].address, "it does not lead");
+        assert_ne!(
+            view.chain[0].address, world.nodes[AWAY].address,
+            "it does not lead"
+        );
         calls.push(world.read(AWAY)); // the checks of the world refuse an old answer
         world.run(5.0);
         assert!(world.now < began + 2000.0, "in line within 2 s");
     }
     world.run(4500.0);
-    assert!(calls.iter().any(|call| matches!(world.outcome(*call), Some(Ok(_)))));
+    assert!(calls
+        .iter()
+        .any(|call| matches!(world.outcome(*call), Some(Ok(_)))));
 }
 
 /// The last complete member is away when the others come back with old logs: nobody acknowledges in its place.
@@ -195,10 +255,20 @@
     world.start(AWAY, false);
     let calls = [world.submit(AWAY, 0), world.read(AWAY)];
     world.run(6000.0);
-    assert!(calls.iter().all(|call| matches!(world.outcome(*call), Some(Err(_)))));
+    assert!(calls
+        .iter()
+        .all(|call| matches!(world.outcome(*call), Some(Err(_)))));
     world.start(0, false);
     assert!(world.run_until(4000.0, |world| is_in_line(world, AWAY)));
-    assert_eq!(world.nodes[AWAY].replica.as_ref().unwrap().machine().applied, 300);
+    assert_eq!(
+        world.nodes[AWAY]
+            .replica
+            .as_ref()
+            .unwrap()
+            .machine()
+            .applied,
+        300
+    );
     change(&mut world, 1);
 }
 
@@ -216,9 +286,14 @@
     received(&mut world, 1);
     let calls: Vec<u64> = (0..5).map(|_| world.submit(0, 0)).collect();
     world.run(6000.0);
-    assert!(calls.iter().all(|call| matches!(world.outcome(*call), Some(Ok(_)))));
+    assert!(calls
+        .iter()
+        .all(|call| matches!(world.outcome(*call), Some(Ok(_)))));
     let bytes = received(&mut world, 1);
-    assert!(bytes < 6 * 256 * 1024, "{bytes} bytes were passed for 5 changes");
+    assert!(
+        bytes < 6 * 256 * 1024,
+        "{bytes} bytes were passed for 5 changes"
+    );
     assert_eq!(world.checks.views(), views);
 }
 
@@ -271,9 +346,20 @@
         })
         .collect();
     world.run(10_000.0);
-    assert!((0..3).all(|machine| log_of(&world, machine) < 800), "the logs were rewritten");
-    let slowest = calls.iter().map(|call| world.took(*call).unwrap()).fold(0.0, Time::max);
-    assert!(calls.iter().all(|call| matches!(world.outcome(*call), Some(Ok(_)))), "slowest {slowest} ms");
+    assert!(
+        (0..3).all(|machine| log_of(&world, machine) < 800),
+        "the logs were rewritten"
+    );
+    let slowest = calls
+        .iter()
+        .map(|call| world.took(*call).unwrap())
+        .fold(0.0, Time::max);
+    assert!(
+        calls
+            .iter()
+            .all(|call| matches!(world.outcome(*call), Some(Ok(_)))),
+        "slowest {slowest} ms"
+    );
     println!("slowest change {slowest:.0} ms");
     assert!(slowest < ACKNOWLEDGE, "a change took {slowest} ms");
     world
@@ -291,7 +377,10 @@
 fn a_member_whose_rewrite_takes_long_does_not_hold_the_others_up_and_comes_back() {
     for slow in 0..3 {
         let world = rewritten_on_slow_disks(2 * STATE, &[slow]);
-        assert!((0..3).all(|machine| is_in_line(&world, machine)), "{slow} is back");
+        assert!(
+            (0..3).all(|machine| is_in_line(&world, machine)),
+            "{slow} is back"
+        );
     }
 }
 
@@ -311,7 +400,9 @@
     }
     world.wipe(AWAY);
     world.start(AWAY, false);
-    let (in_line, slowest) = changes_go_on(&mut world, 2.0 * ON_THE_WAY, |world| is_in_line(world, AWAY));
+    let (in_line, slowest) = changes_go_on(&mut world, 2.0 * ON_THE_WAY, |world| {
+        is_in_line(world, AWAY)
+    });
     assert!(in_line);
     println!("slowest change {slowest:.0} ms");
     assert!(slowest < 1000.0, "a change took {slowest} ms");
@@ -331,5 +422,8 @@
     assert!(is_in_line(&world, AWAY));
     let bytes = received(&mut world, AWAY);
     println!("{bytes} bytes");
-    assert!(bytes < STATE + STATE / 4, "{bytes} bytes were sent for a state of {STATE}");
+    assert!(
+        bytes < STATE + STATE / 4,
+        "{bytes} bytes were sent for a state of {STATE}"
+    );
 }
--- a/crates/sandtrack-replication/tests/cut_off.rs
+++ b/crates/sandtrack-replication/tests/cut_off.rs
@@ -36,8 +36,17 @@
     while world.now < end {
         let node = world.random.gen_range(0..world.nodes.len());
         // Each side builds on what it knows itself.
-        let base = world.nodes[node].replica.as_ref().unwrap().machine().version;
-        let call = if world.random.gen_bool(0.6) { world.submit(node, base) } else { world.read(node) };
+        let base = world.nodes[node]
+            .replica
+            .as_ref()
+            .unwrap()
+            .machine()
+            .version;
+        let call = if world.random.gen_bool(0.6) {
+            world.submit(node, base)
+        } else {
+            world.read(node)
+        };
         if node == one {
             here.push(call)
         } else {
@@ -50,7 +59,8 @@
 }
 
 fn play(machines: usize, borne: usize, index: usize, way: Way, between_regions: Time, seed: u64) {
-    let case = format!("{machines} machines, {index} cut {way:?}, {between_regions} ms, seed {seed}");
+    let case =
+        format!("{machines} machines, {index} cut {way:?}, {between_regions} ms, seed {seed}");
     let mut world = World::new(seed, machines, 1, borne);
     world.network.between_regions = between_regions;
     world.start_all(true);
@@ -61,7 +71,10 @@
     let (here, elsewhere) = calls(&mut world, index, CUT);
     for call in &here {
         let outcome = world.outcome(*call);
-        assert!(!matches!(outcome, Some(Ok(_))), "{case}: the side that is cut off answers {outcome:?}");
+        assert!(
+            !matches!(outcome, Some(Ok(_))),
+            "{case}: the side that is cut off answers {outcome:?}"
+        );
     }
     world.heal();
     let healed = world.now;
@@ -70,18 +83,32 @@
         let in_chain = replica.view().chain.contains(replica.member());
         (in_chain || machines > replica.view().chain.len()) && replica.is_caught_up()
     };
-    assert!(world.run_until(CATCH_UP, is_back), "{case}: back in line after the cut");
+    assert!(
+        world.run_until(CATCH_UP, is_back),
+        "{case}: back in line after the cut"
+    );
     world.run(healed + CATCH_UP - world.now);
     for call in &elsewhere {
         let outcome = world.outcome(*call);
-        assert!(matches!(outcome, Some(Ok(_))), "{case}: the others answer {outcome:?}");
+        assert!(
+            matches!(outcome, Some(Ok(_))),
+            "{case}: the others answer {outcome:?}"
+        );
         let took = world.took(*call).unwrap();
-        assert!(took <= ACKNOWLEDGE, "{case}: the others answer after {took} ms");
+        assert!(
+            took <= ACKNOWLEDGE,
+            "{case}: the others answer after {took} ms"
+        );
     }
     let (here, _) = calls(&mut world, index, 2000.0);
     world.run(2000.0);
     let outcomes: Vec<_> = here.iter().map(|call| world.outcome(*call)).collect();
-    assert!(outcomes.iter().all(|outcome| matches!(outcome, Some(Ok(_)))), "{case}: afterwards {outcomes:?}");
+    assert!(
+        outcomes
+            .iter()
+            .all(|outcome| matches!(outcome, Some(Ok(_)))),
+        "{case}: afterwards {outcomes:?}"
+    );
     world.checks.nothing_lost(&world.newest());
 }
 
