--- a/crates/sandtrack-replication/tests/durable_votes.rs
+++ b/crates/sandtrack-replication/tests/durable_votes.rs
@@ -25,12 +25,18 @@
 /// The answer that the first machine gives while its disk takes nothing, and whether it comes once the disk does.
 fn answer_waits_for_the_disk(asked: &str, answer: &str) {
     let mut world = about_to_change_the_view();
-    assert!(world.run_until(3000.0, |world| said(world, asked)), "`{asked}` was never sent");
+    assert!(
+        world.run_until(3000.0, |world| said(world, asked)),
+        "`{asked}` was never sent"
+    );
     world.set_disk(0, DiskMode::Stalled);
     world.run(HELD_UP);
     assert!(!said(&world, answer), "`{answer}` before it is on the disk");
     world.set_disk(0, DiskMode::Well);
-    assert!(world.run_until(3000.0, |world| said(world, answer)), "`{answer}` was never given");
+    assert!(
+        world.run_until(3000.0, |world| said(world, answer)),
+        "`{answer}` was never given"
+    );
 }
 
 #[test]
@@ -54,20 +60,32 @@
     world.log = Some(Vec::new());
     world.cut(&[2], &[0, 1]);
     world.hold = vec!["m2 -> m1: e1 new view".to_string()];
-    assert!(world.run_until(3000.0, |world| said(world, "m2 knows view 2")), "the second one decides");
+    assert!(
+        world.run_until(3000.0, |world| said(world, "m2 knows view 2")),
+        "the second one decides"
+    );
     assert!(!said(&world, "m1 knows view 2"));
     // By the time that the first one hears the third again, it takes the second for lost.
     world.cut(&[1], &[0]);
     world.run(1500.0);
     world.heal();
     world.cut(&[1], &[0, 2]);
-    assert!(world.run_until(8000.0, |world| said(world, "m1 knows view 2")), "the others go on");
+    assert!(
+        world.run_until(8000.0, |world| said(world, "m1 knows view 2")),
+        "the others go on"
+    );
     let views: Vec<String> = world
         .log
         .iter()
         .flatten()
-        .filter_map(|line| line.split_once("knows ").filter(|(_, view)| view.starts_with("view 2")))
+        .filter_map(|line| {
+            line.split_once("knows ")
+                .filter(|(_, view)| view.starts_with("view 2"))
+        })
         .map(|(_, view)| view.to_string())
         .collect();
-    assert!(views.iter().all(|view| *view == views[0]), "one view for an epoch: {views:#?}");
+    assert!(
+        views.iter().all(|view| *view == views[0]),
+        "one view for an epoch: {views:#?}"
+    );
 }
--- a/crates/sandtrack-replication/tests/far_voters.rs
+++ b/crates/sandtrack-replication/tests/far_voters.rs
@@ -32,7 +32,11 @@
             let mut world = with_one_wiped(seed, way);
             let began = world.now;
             let whole = world.run_until(10_000.0, World::is_whole);
-            assert!(whole, "{way} ms one way, seed {seed}: not whole after {:.0} ms", world.now - began);
+            assert!(
+                whole,
+                "{way} ms one way, seed {seed}: not whole after {:.0} ms",
+                world.now - began
+            );
         }
     }
 }
--- a/crates/sandtrack-replication/tests/guards.rs
+++ b/crates/sandtrack-replication/tests/guards.rs
@@ -17,7 +17,11 @@
     world.run(2000.0);
     let call = world.submit(0, 0);
     world.run(6000.0);
-    assert_eq!(world.outcome(call), Some(Err(Refusal::NoMajority)), "surely not in force");
+    assert_eq!(
+        world.outcome(call),
+        Some(Err(Refusal::NoMajority)),
+        "surely not in force"
+    );
     let joiner = world.add(true);
     world.start(joiner, false);
     world.run(3000.0);
@@ -55,7 +59,11 @@
     assert_eq!(world.outcome(call), Some(Err(Refusal::NoMajority)));
     world.set_disk(0, DiskMode::Well);
     world.run(50.0);
-    assert_eq!(in_force_after_all(&mut world), 1, "only what was being written");
+    assert_eq!(
+        in_force_after_all(&mut world),
+        1,
+        "only what was being written"
+    );
 }
 
 #[test]
@@ -68,14 +76,20 @@
     assert_eq!(world.outcome(call), Some(Err(Refusal::TimedOut)));
     world.set_disk(0, DiskMode::Well);
     world.run(50.0);
-    assert_eq!(in_force_after_all(&mut world), 1, "only what was being written");
+    assert_eq!(
+        in_force_after_all(&mut world),
+        1,
+        "only what was being written"
+    );
 }
 
 /// A process that was frozen finds another view when it wakes. It does not take up what it gave up long ago.
 #[test]
 fn a_call_that_was_given_up_is_not_sent_again() {
     let mut world = calm(3, 0, 1);
-    world.hold = ["m3 -> m1: e1 submit", "m3 -> m2: e1 submit"].map(str::to_string).to_vec();
+    world.hold = ["m3 -> m1: e1 submit", "m3 -> m2: e1 submit"]
+        .map(str::to_string)
+        .to_vec();
     world.submit(2, 0);
     world.freeze(2);
     world.run(6000.0);
@@ -91,7 +105,13 @@
     world.kill(1);
     world.run(2500.0);
     let view = world.checks.newest_view().unwrap();
-    assert_eq!(view.chain.iter().map(|member| member.address.as_str()).collect::<Vec<_>>(), ["m1", "m3"]);
+    assert_eq!(
+        view.chain
+            .iter()
+            .map(|member| member.address.as_str())
+            .collect::<Vec<_>>(),
+        ["m1", "m3"]
+    );
     world
 }
 
@@ -133,7 +153,10 @@
     world.set_disk(0, DiskMode::Full);
     let call = world.submit(0, 0);
     world.run(5000.0);
-    assert!(world.said("held back: m1 -> m2: e1 submit"), "the next head is given it");
+    assert!(
+        world.said("held back: m1 -> m2: e1 submit"),
+        "the next head is given it"
+    );
     assert_eq!(world.outcome(call), Some(Err(Refusal::TimedOut)));
 }
 
@@ -144,8 +167,13 @@
     let mut world = calm(3, 1, 1);
     world.kill(2);
     world.run(2500.0);
-    world.hold =
-        ["m2 -> m1: e2 ack", "m2 -> m1: e2 status", "m2 -> m3: e4 in line"].map(str::to_string).to_vec();
+    world.hold = [
+        "m2 -> m1: e2 ack",
+        "m2 -> m1: e2 status",
+        "m2 -> m3: e4 in line",
+    ]
+    .map(str::to_string)
+    .to_vec();
     let call = world.submit(3, 0);
     world.run(50.0);
     assert!(
@@ -154,9 +182,13 @@
     );
     world.kill(0);
     world.start(2, false);
-    assert!(world.run_until(3000.0, |world| world.said("held back: m2 -> m3: e4 in line")));
+    assert!(world.run_until(3000.0, |world| world
+        .said("held back: m2 -> m3: e4 in line")));
     world.run(500.0);
-    assert!(world.said("m4 -> m2: e4 submit"), "the caller's process asks the new head");
+    assert!(
+        world.said("m4 -> m2: e4 submit"),
+        "the caller's process asks the new head"
+    );
     assert_eq!(world.outcome(call), None);
     world.hold.clear();
     world.run(500.0);
@@ -164,7 +196,10 @@
 }
 
 fn addresses(members: &[Member]) -> Vec<&str> {
-    members.iter().map(|member| member.address.as_str()).collect()
+    members
+        .iter()
+        .map(|member| member.address.as_str())
+        .collect()
 }
 
 fn newest_view(world: &World) -> View {
@@ -209,7 +244,10 @@
     world.start(2, false);
     world.run(2000.0);
     let voters = newest_view(&world).voters;
-    assert!(voters.contains(world.nodes[2].member.as_ref().unwrap()), "{voters:?}");
+    assert!(
+        voters.contains(world.nodes[2].member.as_ref().unwrap()),
+        "{voters:?}"
+    );
     let mut once = addresses(&voters);
     once.sort_unstable();
     assert_eq!(once, ["m1", "m2", "m3", "m4", "m5"]);
@@ -241,7 +279,10 @@
     world.kill(4);
     world.run(8000.0);
     let view = newest_view(&world);
-    assert!(!addresses(&view.chain).contains(&"m2") && view.chain.len() == 3, "{view}");
+    assert!(
+        !addresses(&view.chain).contains(&"m2") && view.chain.len() == 3,
+        "{view}"
+    );
     assert_eq!(addresses(&view.voters), ["m1", "m2", "m3"]);
 }
 
@@ -249,15 +290,23 @@
 #[test]
 fn what_is_learned_follows_the_state_without_a_gap() {
     let mut world = calm(3, 1, 1);
-    world.hold =
-        ["m1 -> m4: e1 learn", "m2 -> m4: e1 learn", "m3 -> m4: e1 learn"].map(str::to_string).to_vec();
+    world.hold = [
+        "m1 -> m4: e1 learn",
+        "m2 -> m4: e1 learn",
+        "m3 -> m4: e1 learn",
+    ]
+    .map(str::to_string)
+    .to_vec();
     world.submit(0, 0);
     world.run(20.0);
     assert!(world.said("m4: e1 learn: 1@1"));
     world.hold.clear();
     world.submit(0, 1);
     world.run(2000.0);
-    assert_eq!(world.nodes[3].replica.as_ref().unwrap().machine().applied, 2);
+    assert_eq!(
+        world.nodes[3].replica.as_ref().unwrap().machine().applied,
+        2
+    );
 }
 
 /// The first machine has an entry that was never committed, and learns another one in its place; its disk takes nothing.
@@ -289,7 +338,11 @@
     world.kill(0);
     world.start(0, false);
     let replica = world.nodes[0].replica.as_ref().unwrap();
-    assert_eq!(replica.machine().applied, 0, "a lone machine shows what was surely committed");
+    assert_eq!(
+        replica.machine().applied,
+        0,
+        "a lone machine shows what was surely committed"
+    );
     world.heal();
     world.run(4000.0);
     assert!(world.is_whole());
@@ -301,13 +354,23 @@
     let mut world = with_a_divergent_log();
     world.hold = vec!["m3 -> m1: e3 in line".to_string()];
     world.set_disk(0, DiskMode::Well);
-    assert!(world.run_until(3000.0, |world| world.said("held back: m3 -> m1: e3 in line")));
+    assert!(world.run_until(3000.0, |world| world
+        .said("held back: m3 -> m1: e3 in line")));
     // Each picks a member of the chain by its address: one of three picks the first machine.
     let observers: Vec<usize> = (0..3).map(|_| world.add(false)).collect();
-    observers.iter().for_each(|observer| world.start(*observer, false));
+    observers
+        .iter()
+        .for_each(|observer| world.start(*observer, false));
     world.run(1500.0);
     assert!(world.said("learns from m1"));
-    let applied = |observer: &usize| world.nodes[*observer].replica.as_ref().unwrap().machine().applied;
+    let applied = |observer: &usize| {
+        world.nodes[*observer]
+            .replica
+            .as_ref()
+            .unwrap()
+            .machine()
+            .applied
+    };
     assert_eq!(observers.iter().map(applied).collect::<Vec<_>>(), [1, 1, 1]);
 }
 
@@ -324,16 +387,23 @@
     world.cut(&[2], &[0, 1, 3]);
     world.run(6000.0);
     let view = newest_view(&world);
-    assert_eq!((view.epoch, addresses(&view.voters)), (3, vec!["m1", "m2", "m4"]));
+    assert_eq!(
+        (view.epoch, addresses(&view.voters)),
+        (3, vec!["m1", "m2", "m4"])
+    );
     world.heal();
     world.run(1000.0);
     assert!(world.said("m3 knows view 3"));
     world.hold = vec!["m4 -> m1: e3 promise".to_string()];
     world.kill(1);
-    assert!(world.run_until(3000.0, |world| world.said("held back: m4 -> m1: e3 promise 1 of m1/0")));
+    assert!(world.run_until(3000.0, |world| world
+        .said("held back: m4 -> m1: e3 promise 1 of m1/0")));
     world.set_disk(2, DiskMode::Well);
     world.run(100.0);
-    assert!(!world.said("m1 -> m4: e3 accept"), "one voter of three has promised");
+    assert!(
+        !world.said("m1 -> m4: e3 accept"),
+        "one voter of three has promised"
+    );
     world.hold.clear();
     world.run(3000.0);
     let call = world.submit(0, world.newest().version);
@@ -354,7 +424,14 @@
     let call = world.submit(1, 0);
     world.run(500.0);
     assert_eq!(world.outcome(call), Some(Ok("won 1".to_string())));
-    let states = [0, 1, 2].map(|machine| world.nodes[machine].replica.as_ref().unwrap().machine().clone());
+    let states = [0, 1, 2].map(|machine| {
+        world.nodes[machine]
+            .replica
+            .as_ref()
+            .unwrap()
+            .machine()
+            .clone()
+    });
     assert!(states.iter().all(|state| *state == states[0]), "{states:?}");
 }
 
@@ -376,11 +453,17 @@
 fn a_chain_that_is_too_short_commits_nothing() {
     let mut world = alone_under_stricter_settings();
     world.run(3000.0);
-    assert_eq!(world.nodes[0].replica.as_ref().unwrap().machine().applied, 0);
+    assert_eq!(
+        world.nodes[0].replica.as_ref().unwrap().machine().applied,
+        0
+    );
     let joiner = world.add(true);
     world.start(joiner, false);
     world.run(3000.0);
-    assert_eq!(world.nodes[0].replica.as_ref().unwrap().machine().applied, 1);
+    assert_eq!(
+        world.nodes[0].replica.as_ref().unwrap().machine().applied,
+        1
+    );
 }
 
 #[test]
@@ -388,7 +471,11 @@
     let mut world = alone_under_stricter_settings();
     let read = world.read(0);
     world.run(5000.0);
-    assert!(matches!(world.outcome(read), Some(Err(_))), "{:?}", world.outcome(read));
+    assert!(
+        matches!(world.outcome(read), Some(Err(_))),
+        "{:?}",
+        world.outcome(read)
+    );
 }
 
 /// A copy of a command comes when its entry has gone from the log, by a rewrite.
@@ -424,7 +511,8 @@
     world.run(2500.0);
     world.hold = vec!["m2 -> m3: e3 in line".to_string()];
     world.start(2, false);
-    assert!(world.run_until(3000.0, |world| world.said("held back: m2 -> m3: e3 in line")));
+    assert!(world.run_until(3000.0, |world| world
+        .said("held back: m2 -> m3: e3 in line")));
     world.tell_to_stop(0);
     world.run(1000.0);
     assert!(world.is_needed(0));
@@ -477,7 +565,10 @@
 }
 
 fn wait_for(world: &mut World, words: &str) {
-    assert!(world.run_until(3000.0, |world| world.said(words)), "`{words}` was never said");
+    assert!(
+        world.run_until(3000.0, |world| world.said(words)),
+        "`{words}` was never said"
+    );
 }
 
 /// The third machine is promised the first one's vote, then what the second one asks of it arrives. Nobody hears of what
@@ -500,7 +591,10 @@
 #[test]
 fn a_rewritten_log_keeps_the_promise() {
     let mut world = two_proposers(&["m2 -> m1: e1 accept", "m3 -> m1: e1 accept"]);
-    wait_for(&mut world, &format!("held back: m3 -> m1: e1 accept {HIGHER}"));
+    wait_for(
+        &mut world,
+        &format!("held back: m3 -> m1: e1 accept {HIGHER}"),
+    );
     rewrite_and_start_again(&mut world);
     the_lower_ballot_decides_nothing(&mut world, "accept");
 }
@@ -509,7 +603,10 @@
 #[test]
 fn what_was_promised_meanwhile_is_not_accepted_under_a_lower_ballot() {
     let mut world = two_proposers(&["m2 -> m1: e1 accept", "m3 -> m1: e1 accept"]);
-    wait_for(&mut world, &format!("held back: m2 -> m1: e1 accept {LOWER}"));
+    wait_for(
+        &mut world,
+        &format!("held back: m2 -> m1: e1 accept {LOWER}"),
+    );
     world.set_disk(0, DiskMode::Stalled);
     wait_for(&mut world, &format!("m3 -> m1: e1 prepare {HIGHER}"));
     world.run(5.0);
@@ -520,7 +617,10 @@
 #[test]
 fn what_was_promised_meanwhile_is_not_promised_to_a_lower_ballot() {
     let mut world = two_proposers(&["m2 -> m1: e1 prepare", "m3 -> m1: e1 accept"]);
-    wait_for(&mut world, &format!("held back: m2 -> m1: e1 prepare {LOWER}"));
+    wait_for(
+        &mut world,
+        &format!("held back: m2 -> m1: e1 prepare {LOWER}"),
+    );
     world.set_disk(0, DiskMode::Stalled);
     wait_for(&mut world, &format!("m3 -> m1: e1 prepare {HIGHER}"));
     world.run(5.0);
@@ -542,7 +642,10 @@
     world.start(4, false);
     world.heal();
     world.run(2000.0);
-    assert_eq!(addresses(&newest_view(&world).chain), ["m2", "m3", "m4", "m1", "m5"]);
+    assert_eq!(
+        addresses(&newest_view(&world).chain),
+        ["m2", "m3", "m4", "m1", "m5"]
+    );
     assert!(world.said(&format!("m5 -> m1: e{next} align me")));
     world.hold.clear();
     world.run(1000.0);
@@ -585,7 +688,10 @@
     world.run(12_000.0);
     let call = world.submit(1, world.newest().version);
     world.run(500.0);
-    assert!(matches!(world.outcome(call), Some(Ok(_))), "the one that has all of it leads");
+    assert!(
+        matches!(world.outcome(call), Some(Ok(_))),
+        "the one that has all of it leads"
+    );
     world.checks.nothing_lost(&world.newest());
 }
 
@@ -599,7 +705,9 @@
         calls.push(world.submit(3, 0));
         world.run(500.0);
     }
-    assert!(calls.iter().all(|call| !matches!(world.outcome(*call), Some(Ok(_)))));
+    assert!(calls
+        .iter()
+        .all(|call| !matches!(world.outcome(*call), Some(Ok(_)))));
 }
 
 /// A voter outside the chain is told to stop as another voter is lost: without it there is no majority, so nobody could go
@@ -617,7 +725,9 @@
         (vec!["m1", "m2", "m4"], vec!["m1", "m2", "m3"])
     );
     assert!(!world.is_needed(2), "a majority is there without it");
-    world.hold = ["m3 -> m1: e2 promise", "m1 -> m3: e2 promise"].map(str::to_string).to_vec();
+    world.hold = ["m3 -> m1: e2 promise", "m1 -> m3: e2 promise"]
+        .map(str::to_string)
+        .to_vec();
     world.kill(1);
     world.tell_to_stop(2);
     world.run(1500.0);
--- a/crates/sandtrack-replication/tests/joiner_under_load.rs
+++ b/crates/sandtrack-replication/tests/joiner_under_load.rs
@@ -48,10 +48,16 @@
     let took = world.now - began;
     let came = world.network.bandwidth.received[&AWAY];
     println!("in line after {took:.0} ms, {came} bytes came to it");
-    assert!(is_in_line(world, AWAY), "not in line after {took:.0} ms, {came} bytes came to it");
+    assert!(
+        is_in_line(world, AWAY),
+        "not in line after {took:.0} ms, {came} bytes came to it"
+    );
     world.padding = 0;
     world.run(4500.0);
-    let slowest = calls.iter().map(|call| world.took(*call).unwrap_or(Time::INFINITY)).fold(0.0, Time::max);
+    let slowest = calls
+        .iter()
+        .map(|call| world.took(*call).unwrap_or(Time::INFINITY))
+        .fold(0.0, Time::max);
     println!("slowest change {slowest:.0} ms");
     assert!(slowest < 1000.0, "a change took {slowest:.0} ms");
     took
--- a/crates/sandtrack-replication/tests/large_changes.rs
+++ b/crates/sandtrack-replication/tests/large_changes.rs
@@ -26,11 +26,21 @@
 }
 
 fn applied(world: &World, machine: usize) -> u64 {
-    world.nodes[machine].replica.as_ref().unwrap().machine().applied
+    world.nodes[machine]
+        .replica
+        .as_ref()
+        .unwrap()
+        .machine()
+        .applied
 }
 
 fn received(world: &mut World, machine: usize) -> usize {
-    world.network.bandwidth.received.insert(machine, 0).unwrap_or(0)
+    world
+        .network
+        .bandwidth
+        .received
+        .insert(machine, 0)
+        .unwrap_or(0)
 }
 
 fn is_in_line(world: &World, machine: usize) -> bool {
@@ -47,14 +57,24 @@
     world.padding = bytes;
     world.submit(through, world.newest().version);
     world.padding = 0;
-    let all = |world: &World| (0..world.nodes.len()).all(|machine| applied(world, machine) > before);
+    let all =
+        |world: &World| (0..world.nodes.len()).all(|machine| applied(world, machine) > before);
     let began = world.now;
-    assert!(world.run_until(span, all), "{bytes} bytes through {through}: not everywhere after {span} ms");
-    println!("{bytes} bytes through {through}: everywhere after {:.0} ms", world.now - began);
+    assert!(
+        world.run_until(span, all),
+        "{bytes} bytes through {through}: not everywhere after {span} ms"
+    );
+    println!(
+        "{bytes} bytes through {through}: everywhere after {:.0} ms",
+        world.now - began
+    );
     world.run(1000.0);
     assert_eq!(world.checks.views(), views, "nobody is suspected");
     let gap = world.network.heartbeats.longest;
-    assert!(gap <= HEARTBEAT_GAP, "a heartbeat came {gap:.0} ms after the one before");
+    assert!(
+        gap <= HEARTBEAT_GAP,
+        "a heartbeat came {gap:.0} ms after the one before"
+    );
 }
 
 #[test]
@@ -65,7 +85,10 @@
         goes_through(&mut world, 0, bytes, 2.2 * on_the_way(bytes) + 500.0);
         for machine in 1..3 {
             let came = received(&mut world, machine);
-            assert!(came < bytes + bytes / 8, "{came} bytes came to {machine} for a change of {bytes}");
+            assert!(
+                came < bytes + bytes / 8,
+                "{came} bytes came to {machine} for a change of {bytes}"
+            );
         }
     }
 }
@@ -78,7 +101,10 @@
             let mut world = slow_links(22, 3, 2);
             goes_through(&mut world, through, bytes, 4.5 * on_the_way(bytes) + 500.0);
             let came = received(&mut world, 0);
-            assert!(came < bytes + bytes / 8, "{came} bytes came to the head for a change of {bytes}");
+            assert!(
+                came < bytes + bytes / 8,
+                "{came} bytes came to the head for a change of {bytes}"
+            );
         }
     }
 }
@@ -95,10 +121,14 @@
     world.submit(3, world.newest().version);
     world.padding = 0;
     world.network.heartbeats.clear();
-    assert!(world.run_until(20_000.0, |world| (0..3).all(|machine| applied(world, machine) > 0)));
+    assert!(world.run_until(20_000.0, |world| (0..3)
+        .all(|machine| applied(world, machine) > 0)));
     assert_eq!(world.checks.views(), views, "nobody is suspected");
     let gap = world.network.heartbeats.longest;
-    assert!(gap <= HEARTBEAT_GAP, "a heartbeat came {gap:.0} ms after the one before");
+    assert!(
+        gap <= HEARTBEAT_GAP,
+        "a heartbeat came {gap:.0} ms after the one before"
+    );
 }
 
 /// Small changes that come while a large one is on its way wait for it, and reads don't.
@@ -147,14 +177,24 @@
         world.network.heartbeats.clear();
         let began = world.now;
         let span = 1.5 * on_the_way(8 * MEGABYTE) + 1500.0;
-        assert!(world.run_until(span, |world| is_in_line(world, 2)), "wiped {wiped}: not in line");
+        assert!(
+            world.run_until(span, |world| is_in_line(world, 2)),
+            "wiped {wiped}: not in line"
+        );
         println!("wiped {wiped}: in line after {:.0} ms", world.now - began);
         world.run(2000.0);
         let came = received(&mut world, 2);
         assert!(came < 9 * MEGABYTE, "wiped {wiped}: {came} bytes came");
-        assert_eq!(world.checks.views(), views + 1, "wiped {wiped}: the only new view takes it in");
+        assert_eq!(
+            world.checks.views(),
+            views + 1,
+            "wiped {wiped}: the only new view takes it in"
+        );
         let gap = world.network.heartbeats.longest;
-        assert!(gap <= HEARTBEAT_GAP, "a heartbeat came {gap:.0} ms after the one before");
+        assert!(
+            gap <= HEARTBEAT_GAP,
+            "a heartbeat came {gap:.0} ms after the one before"
+        );
     }
 }
 
@@ -172,9 +212,8 @@
     world.cut(&[0], &[1]);
     world.run(300.0);
     world.heal();
-    assert!(
-        world.run_until(2.5 * on_the_way(bytes), |world| (0..3).all(|machine| applied(world, machine) > 0))
-    );
+    assert!(world.run_until(2.5 * on_the_way(bytes), |world| (0..3)
+        .all(|machine| applied(world, machine) > 0)));
     let came = received(&mut world, 1);
     assert!(came < bytes + bytes / 8, "{came} bytes came");
     assert_eq!(world.checks.views(), views);
@@ -189,7 +228,14 @@
     world.run(12_000.0);
     for machine in 0..4 {
         assert_eq!(applied(&world, machine), 1);
-        assert_eq!(world.nodes[machine].replica.as_ref().unwrap().fragment_bytes(), 0);
+        assert_eq!(
+            world.nodes[machine]
+                .replica
+                .as_ref()
+                .unwrap()
+                .fragment_bytes(),
+            0
+        );
     }
 }
 
@@ -203,7 +249,8 @@
     world.padding = 4 * MEGABYTE;
     let call = world.submit(0, 0);
     world.padding = 0;
-    assert!(world.run_until(8000.0, |world| (0..3).all(|machine| applied(world, machine) > 0)));
+    assert!(world.run_until(8000.0, |world| (0..3)
+        .all(|machine| applied(world, machine) > 0)));
     let took = world.now - world.calls[&call].began;
     println!("everywhere after {took:.0} ms");
     assert!(took < 5000.0, "everywhere after {took:.0} ms");
--- a/crates/sandtrack-replication/tests/leaving.rs
+++ b/crates/sandtrack-replication/tests/leaving.rs
@@ -26,7 +26,10 @@
     let call = world.submit(node, world.newest().version);
     world.run(patience);
     let outcome = world.outcome(call);
-    assert!(matches!(outcome, Some(Ok(_))), "an order through machine {node}: {outcome:?}");
+    assert!(
+        matches!(outcome, Some(Ok(_))),
+        "an order through machine {node}: {outcome:?}"
+    );
 }
 
 /// One member holds what was acknowledged last, another is back without it, the third is being replaced. The first is
@@ -50,7 +53,11 @@
     for node in [1, 2] {
         let read = world.read(node);
         world.run(3000.0);
-        assert_eq!(world.outcome(read), Some(Ok("1 1".to_string())), "read at machine {node}");
+        assert_eq!(
+            world.outcome(read),
+            Some(Ok("1 1".to_string())),
+            "read at machine {node}"
+        );
     }
     order(&mut world, 1, 100.0);
 }
@@ -91,8 +98,14 @@
         order(&mut world, left, 100.0);
         let view = world.checks.newest_view().unwrap().clone();
         let address = &world.nodes[successor].address;
-        assert!(view.voters.iter().any(|voter| voter.address == *address), "{view}");
-        assert!(view.chain.iter().any(|member| member.address == *address), "{view}");
+        assert!(
+            view.voters.iter().any(|voter| voter.address == *address),
+            "{view}"
+        );
+        assert!(
+            view.chain.iter().any(|member| member.address == *address),
+            "{view}"
+        );
         world.wipe((leaver + 2) % 3);
         order(&mut world, left, 3000.0);
         world.checks.nothing_lost(&world.newest());
@@ -142,8 +155,16 @@
         world.tell_to_stop(other);
         world.run(500.0);
         let needed = [world.is_needed(one), world.is_needed(other)];
-        assert_eq!(needed.iter().filter(|needed| **needed).count(), 1, "{one} and {other}: {needed:?}");
-        let (first, second) = if needed[0] { (other, one) } else { (one, other) };
+        assert_eq!(
+            needed.iter().filter(|needed| **needed).count(),
+            1,
+            "{one} and {other}: {needed:?}"
+        );
+        let (first, second) = if needed[0] {
+            (other, one)
+        } else {
+            (one, other)
+        };
         world.kill(first);
         order(&mut world, 3, 200.0);
         world.start(first, false);
--- a/crates/sandtrack-replication/tests/rare.rs
+++ b/crates/sandtrack-replication/tests/rare.rs
@@ -28,7 +28,10 @@
     world.cut(&[0], &[2, 3, 4]);
     world.start(0, false);
     world.run(1000.0);
-    assert_eq!(world.nodes[0].replica.as_ref().unwrap().machine().version, 2);
+    assert_eq!(
+        world.nodes[0].replica.as_ref().unwrap().machine().version,
+        2
+    );
 }
 
 /// A proposal that only some accepted is finished while all are there, not when its head has lost its disk: here
@@ -39,10 +42,16 @@
     world.kill(2);
     world.run(2500.0);
     world.start(2, false);
-    assert!(world.run_until(3000.0, |world| world.said("m1 knows view 3")), "the joiner is taken in");
+    assert!(
+        world.run_until(3000.0, |world| world.said("m1 knows view 3")),
+        "the joiner is taken in"
+    );
     world.kill(1); // and not brought in line
     let proposed = "m1 -> m3: e3 accept 1 of m1/0: view 4: chain [m1/0 m3/0]";
-    assert!(world.run_until(3000.0, |world| world.said(proposed)), "a proposal");
+    assert!(
+        world.run_until(3000.0, |world| world.said(proposed)),
+        "a proposal"
+    );
     world.network.cut.insert((2, 0));
     world.run(2.0); // accepted, but the proposer never hears of it
     assert!(!world.said("knows view 4"));
@@ -83,17 +92,27 @@
         world.submit(0, base);
         world.run(12.0);
     }
-    assert!(world.nodes[0].disk.len() < 1000, "{} records", world.nodes[0].disk.len());
+    assert!(
+        world.nodes[0].disk.len() < 1000,
+        "{} records",
+        world.nodes[0].disk.len()
+    );
     world.start(2, false);
     world.run(2000.0);
     let replica = world.nodes[2].replica.as_ref().unwrap();
-    assert_eq!((replica.machine().applied, replica.is_caught_up()), (1200, true));
+    assert_eq!(
+        (replica.machine().applied, replica.is_caught_up()),
+        (1200, true)
+    );
     assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
     // It comes back from its own disk.
     world.kill(2);
     world.start(2, false);
     world.run(100.0);
-    assert_eq!(world.nodes[2].replica.as_ref().unwrap().machine().applied, 1200);
+    assert_eq!(
+        world.nodes[2].replica.as_ref().unwrap().machine().applied,
+        1200
+    );
 }
 
 /// A lone machine that starts again shows what was surely committed, and answers nothing.
@@ -108,8 +127,13 @@
     world.start(2, false);
     let calls = [world.submit(2, 1), world.read(2)];
     world.run(6000.0);
-    assert_eq!(world.nodes[2].replica.as_ref().unwrap().machine().version, 1);
-    assert!(calls.iter().all(|call| world.outcome(*call).unwrap().is_err()));
+    assert_eq!(
+        world.nodes[2].replica.as_ref().unwrap().machine().version,
+        1
+    );
+    assert!(calls
+        .iter()
+        .all(|call| world.outcome(*call).unwrap().is_err()));
     assert!(!world.nodes[2].replica.as_ref().unwrap().is_caught_up());
 }
 
@@ -123,7 +147,11 @@
         world.kill(leaver);
         let call = world.submit((leaver + 1) % 3, 0);
         world.run(50.0);
-        assert_eq!(world.outcome(call), Some(Ok("won 1".to_string())), "{leaver} left");
+        assert_eq!(
+            world.outcome(call),
+            Some(Ok("won 1".to_string())),
+            "{leaver} left"
+        );
     }
 }
 
@@ -143,7 +171,12 @@
             world.run(50.0);
         }
         let early: Vec<u64> = calls.into_iter().take(40).collect();
-        assert!(early.iter().all(|call| matches!(world.outcome(*call), Some(Ok(_)))), "{returning} returned");
+        assert!(
+            early
+                .iter()
+                .all(|call| matches!(world.outcome(*call), Some(Ok(_)))),
+            "{returning} returned"
+        );
     }
 }
 
@@ -159,7 +192,10 @@
         world.run(4.0);
     }
     world.run(200.0);
-    let slowest = calls.iter().map(|call| world.took(*call).unwrap_or(f64::MAX)).fold(0.0, f64::max);
+    let slowest = calls
+        .iter()
+        .map(|call| world.took(*call).unwrap_or(f64::MAX))
+        .fold(0.0, f64::max);
     assert!(slowest < 60.0, "{slowest}");
 }
 
@@ -182,7 +218,11 @@
     world.heal();
     let call = world.submit(0, 0);
     world.run(4000.0);
-    assert!(matches!(world.outcome(call), Some(Ok(_))), "{:?}", world.outcome(call));
+    assert!(
+        matches!(world.outcome(call), Some(Ok(_))),
+        "{:?}",
+        world.outcome(call)
+    );
     let replica = world.nodes[2].replica.as_ref().unwrap();
     assert!(replica.machine().applied == 3 && replica.is_caught_up());
 }
@@ -214,10 +254,16 @@
 fn late_answers_of_an_earlier_epoch_count_for_nothing() {
     let mut world = calm(3, 0, 1);
     world.kill(2);
-    world.hold = ["m1 -> m2: e1 promise", "m1 -> m2: e1 accepted"].map(str::to_string).to_vec();
-    world.run_until(3000.0, |world| world.said("held back: m1 -> m2: e1 promise"));
+    world.hold = ["m1 -> m2: e1 promise", "m1 -> m2: e1 accepted"]
+        .map(str::to_string)
+        .to_vec();
+    world.run_until(3000.0, |world| {
+        world.said("held back: m1 -> m2: e1 promise")
+    });
     assert!(world.release("m1 -> m2: e1 promise 1 of m2/0"));
-    world.run_until(500.0, |world| world.said("held back: m1 -> m2: e1 accepted"));
+    world.run_until(500.0, |world| {
+        world.said("held back: m1 -> m2: e1 accepted")
+    });
     assert!(world.release("m1 -> m2: e1 accepted 1 of m2/0"));
     world.run(500.0);
     assert_eq!(world.checks.newest_view().unwrap().epoch, 2);
@@ -230,7 +276,11 @@
     world.run(5.0);
     assert!(world.release("m1 -> m2: e1 accepted 1 of m2/0"));
     world.run(200.0);
-    assert_eq!(world.nodes[1].replica.as_ref().unwrap().view().epoch, 2, "alone it decides nothing");
+    assert_eq!(
+        world.nodes[1].replica.as_ref().unwrap().view().epoch,
+        2,
+        "alone it decides nothing"
+    );
     world.run(5000.0);
     let call = world.submit(0, 0);
     world.run(100.0);
@@ -249,8 +299,12 @@
         assert_eq!(view, "view 2: chain [m1/0 m2/0] voters [m1/0 m2/0 m3/0]");
         // The first proposal: m2 never writes its own promise; its acceptances are under way for long.
         world.start(2, false);
-        let held =
-            ["m2 -> m1: e2 accept", "m2 -> m3: e2 accept", "m1 -> m2: e2 prepare", "m1 -> m3: e2 prepare"];
+        let held = [
+            "m2 -> m1: e2 accept",
+            "m2 -> m3: e2 accept",
+            "m1 -> m2: e2 prepare",
+            "m1 -> m3: e2 prepare",
+        ];
         world.hold = held.map(str::to_string).to_vec();
         world.set_disk(1, DiskMode::Stalled);
         let first = "m2 -> m3: e2 accept 1 of m2/0: view 3: chain [m1/0 m2/0 m3/0]";
@@ -297,7 +351,10 @@
         world.run(200.0);
     }
     let view = world.checks.newest_view().unwrap();
-    assert!(view.chain.iter().all(|member| member.address != "m3"), "it is left out: {view:?}");
+    assert!(
+        view.chain.iter().all(|member| member.address != "m3"),
+        "it is left out: {view:?}"
+    );
     let call = world.submit(0, 0);
     world.run(500.0);
     assert_eq!(world.outcome(call), Some(Ok("won 1".to_string())));
--- a/crates/sandtrack-replication/tests/recovery.rs
+++ b/crates/sandtrack-replication/tests/recovery.rs
@@ -51,7 +51,11 @@
 fn comes_back_as_new(me: &str, found: Vec<Vec<u8>>) {
     let (replica, effects) = Replica::new(settings(me, false, 8), found, Nothing, 0.0);
     assert_eq!(replica.member().incarnation, 8);
-    assert_eq!(replica.view().epoch, 0, "no view and no promise of the former member");
+    assert_eq!(
+        replica.view().epoch,
+        0,
+        "no view and no promise of the former member"
+    );
     let (_, records, replaces) = first_write(&effects).unwrap();
     assert!(replaces, "the former content is replaced");
     let (again, _) = Replica::new(settings(me, false, 9), records, Nothing, 0.0);
--- a/crates/sandtrack-replication/tests/returns.rs
+++ b/crates/sandtrack-replication/tests/returns.rs
@@ -11,7 +11,13 @@
 const ACKNOWLEDGE: Time = 4000.0;
 
 /// The steps of a proposal, as messages.
-const STEPS: [&str; 5] = [": e1 prepare", ": e1 promise", ": e1 accept ", ": e1 accepted", "knows view 2"];
+const STEPS: [&str; 5] = [
+    ": e1 prepare",
+    ": e1 promise",
+    ": e1 accept ",
+    ": e1 accepted",
+    "knows view 2",
+];
 
 #[derive(Clone, Copy, Debug)]
 enum Absence {
@@ -33,7 +39,9 @@
 }
 
 fn leave(world: &mut World, index: usize, absence: Absence) {
-    let others: Vec<usize> = (0..world.nodes.len()).filter(|other| *other != index).collect();
+    let others: Vec<usize> = (0..world.nodes.len())
+        .filter(|other| *other != index)
+        .collect();
     match absence {
         Absence::Frozen => world.freeze(index),
         Absence::CutOff => world.cut(&[index], &others),
@@ -52,22 +60,36 @@
 /// Orders and reads through each process, answered in time.
 fn all_answer(world: &mut World, case: &str) {
     for index in world.running() {
-        let calls = [world.submit(index, world.newest().version), world.read(index)];
+        let calls = [
+            world.submit(index, world.newest().version),
+            world.read(index),
+        ];
         world.run(ACKNOWLEDGE);
         for call in calls {
-            assert!(won(world, call), "{case}: m{} answers {:?}", index + 1, world.outcome(call));
+            assert!(
+                won(world, call),
+                "{case}: m{} answers {:?}",
+                index + 1,
+                world.outcome(call)
+            );
         }
     }
     world.checks.nothing_lost(&world.newest());
 }
 
 fn returns_at(index: usize, absence: Absence, step: &str, after: Time, seed: u64) {
-    let case = format!("m{} {absence:?}, back {after} ms after `{step}`, seed {seed}", index + 1);
+    let case = format!(
+        "m{} {absence:?}, back {after} ms after `{step}`, seed {seed}",
+        index + 1
+    );
     let mut world = calm(seed, 3, 1);
     world.submit(0, 0);
     world.run(100.0);
     leave(&mut world, index, absence);
-    assert!(world.run_until(4000.0, |world| world.said(step)), "{case}: never said");
+    assert!(
+        world.run_until(4000.0, |world| world.said(step)),
+        "{case}: never said"
+    );
     world.run(after);
     come_back(&mut world, index, absence);
     // What it believes at that moment is worth nothing: reads must not be old, of two orders at most one wins.
@@ -76,7 +98,11 @@
         world.read(node);
     }
     world.run(ACKNOWLEDGE);
-    assert!(world.is_whole(), "{case}: {}", world.checks.newest_view().unwrap());
+    assert!(
+        world.is_whole(),
+        "{case}: {}",
+        world.checks.newest_view().unwrap()
+    );
     all_answer(&mut world, &case);
 }
 
@@ -96,12 +122,18 @@
 /// The first two members of the chain propose at the same moment, each without having heard of the other's proposal; what
 /// they ask each other and the rest for arrives in both orders, some milliseconds apart.
 fn two_propose(machines: usize, borne: usize, first: usize, apart: Time, seed: u64) {
-    let case = format!("{machines} machines, m{} is heard first by {apart} ms, seed {seed}", first + 1);
+    let case = format!(
+        "{machines} machines, m{} is heard first by {apart} ms, seed {seed}",
+        first + 1
+    );
     let mut world = calm(seed, machines, borne);
     world.kill(machines - 1);
     let epoch = world.checks.newest_view().unwrap().epoch;
-    let prepare = |from: usize, to: usize| format!("m{} -> m{}: e{epoch} prepare", from + 1, to + 1);
-    world.hold = (0..machines).flat_map(|to| [prepare(0, to), prepare(1, to)]).collect();
+    let prepare =
+        |from: usize, to: usize| format!("m{} -> m{}: e{epoch} prepare", from + 1, to + 1);
+    world.hold = (0..machines)
+        .flat_map(|to| [prepare(0, to), prepare(1, to)])
+        .collect();
     let held = |world: &World, from, to| world.said(&format!("held back: {}", prepare(from, to)));
     let both = |world: &World| held(world, 0, 1) && held(world, 1, 0);
     assert!(world.run_until(4000.0, both), "{case}: both propose");
@@ -125,7 +157,10 @@
 fn two_voters_propose_at_the_same_moment() {
     for (machines, borne) in [(3, 1), (5, 2)] {
         for first in [0, 1] {
-            for (seed, apart) in [0.0, 0.3, 0.6, 1.0, 1.5, 2.5, 4.0, 8.0].into_iter().enumerate() {
+            for (seed, apart) in [0.0, 0.3, 0.6, 1.0, 1.5, 2.5, 4.0, 8.0]
+                .into_iter()
+                .enumerate()
+            {
                 two_propose(machines, borne, first, apart, seed as u64);
             }
         }
@@ -144,7 +179,12 @@
     world.start(successor, false);
     world.run(5000.0);
     let view = world.checks.newest_view().unwrap();
-    let has = |address: &str| view.chain.iter().chain(&view.voters).any(|member| member.address == address);
+    let has = |address: &str| {
+        view.chain
+            .iter()
+            .chain(&view.voters)
+            .any(|member| member.address == address)
+    };
     assert!(has("m4") && !has("m3"), "{view}");
     let call = world.submit(0, 1);
     world.run(100.0);
@@ -161,14 +201,24 @@
 /// It took part in nothing that counts: no vote, no acknowledgement, no place in a view. What it says in the epoch that its
 /// old disk knows is refused by all who know a later one.
 fn took_no_part(world: &World, case: &str) {
-    for words in ["promise", "accepted", "ack synced", "in line after", "pass "] {
-        let counts =
-            |line: &&String| line.contains(" m3 -> ") && line.contains(words) && !line.contains(": e1 ");
+    for words in [
+        "promise",
+        "accepted",
+        "ack synced",
+        "in line after",
+        "pass ",
+    ] {
+        let counts = |line: &&String| {
+            line.contains(" m3 -> ") && line.contains(words) && !line.contains(": e1 ")
+        };
         let line = world.log.iter().flatten().find(counts);
         assert!(line.is_none(), "{case}: {line:?}");
     }
     let view = world.checks.newest_view().unwrap();
-    assert!(!view.chain.iter().any(|member| member.address == "m3"), "{case}: {view}");
+    assert!(
+        !view.chain.iter().any(|member| member.address == "m3"),
+        "{case}: {view}"
+    );
 }
 
 /// Voters that confirm the view that a process knows, as far as it has heard of late.
@@ -197,7 +247,10 @@
         start_with(&mut world, 2, disk);
         let calls = [world.read(2), world.submit(2, 2)];
         world.run(5000.0);
-        assert!(calls.iter().all(|call| world.outcome(*call).is_some()), "{case}");
+        assert!(
+            calls.iter().all(|call| world.outcome(*call).is_some()),
+            "{case}"
+        );
         took_no_part(&world, &case);
         let call = world.submit(0, world.newest().version);
         world.run(100.0);
@@ -221,18 +274,32 @@
         for _ in 0..6 {
             let calls: Vec<u64> = nodes
                 .iter()
-                .flat_map(|node| [world.submit(*node, 1), world.submit(*node, 2), world.read(*node)])
+                .flat_map(|node| {
+                    [
+                        world.submit(*node, 1),
+                        world.submit(*node, 2),
+                        world.read(*node),
+                    ]
+                })
                 .collect();
             world.run(4500.0);
             for call in calls {
                 assert!(!won(&world, call), "{case}: {:?}", world.outcome(call));
             }
         }
-        assert_eq!(world.checks.newest_view().unwrap().epoch, epoch, "{case}: no view without a majority");
+        assert_eq!(
+            world.checks.newest_view().unwrap().epoch,
+            epoch,
+            "{case}: no view without a majority"
+        );
         for node in &nodes {
             let replica = world.nodes[*node].replica.as_ref().unwrap();
             let confirming = confirming(replica);
-            assert!(confirming < replica.view().majority(), "{case}: m{} has the lease", node + 1);
+            assert!(
+                confirming < replica.view().majority(),
+                "{case}: m{} has the lease",
+                node + 1
+            );
         }
         for index in [0, 1, 3].into_iter().filter(|index| !there.contains(index)) {
             world.start(index, false);
@@ -260,7 +327,9 @@
     start_with(&mut world, 2, third);
     start_with(&mut world, 1, second);
     for _ in 0..4 {
-        let calls = [1, 2].map(|node| [world.submit(node, 2), world.read(node)]).concat();
+        let calls = [1, 2]
+            .map(|node| [world.submit(node, 2), world.read(node)])
+            .concat();
         world.run(4500.0);
         for call in calls {
             assert!(!won(&world, call), "{:?}", world.outcome(call));
--- a/crates/sandtrack-replication/tests/transcripts.rs
+++ b/crates/sandtrack-replication/tests/transcripts.rs
@@ -18,9 +18,14 @@
 
 fn compare(name: &str, mut world: World) {
     let lines = world.log.take().unwrap();
-    let told: Vec<String> = lines.into_iter().filter(|line| !line.contains(" status ")).collect();
+    let told: Vec<String> = lines
+        .into_iter()
+        .filter(|line| !line.contains(" status "))
+        .collect();
     let text = told.join("\n") + "\n";
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/transcripts").join(format!("{name}.txt"));
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/transcripts")
+        .join(format!("{name}.txt"));
     if std::env::var("SANDTRACK_APPROVE").is_ok() {
         std::fs::write(&path, &text).unwrap();
     }
@@ -28,7 +33,11 @@
     for (number, (line, approved)) in text.lines().zip(approved.lines()).enumerate() {
         assert_eq!(line, approved, "{name}, line {}", number + 1);
     }
-    assert_eq!(text.lines().count(), approved.lines().count(), "{name}: lines");
+    assert_eq!(
+        text.lines().count(),
+        approved.lines().count(),
+        "{name}: lines"
+    );
 }
 
 fn won(world: &World, call: u64) -> bool {
@@ -52,7 +61,9 @@
     let mut world = calm(1);
     let calls: Vec<u64> = (0..4).map(|node| world.read(node)).collect();
     world.run(50.0);
-    assert!(calls.iter().all(|call| world.outcome(*call) == Some(Ok("0 0".to_string()))));
+    assert!(calls
+        .iter()
+        .all(|call| world.outcome(*call) == Some(Ok("0 0".to_string()))));
     compare("read", world);
 }
 
@@ -82,7 +93,10 @@
     world.run(2500.0);
     assert!(won(&world, call));
     let view = world.checks.newest_view().unwrap().clone();
-    assert!(view.voters.iter().all(|voter| voter.address != "m1" || voter.incarnation > 0));
+    assert!(view
+        .voters
+        .iter()
+        .all(|voter| voter.address != "m1" || voter.incarnation > 0));
     assert_eq!(view.chain.len(), 3);
     compare("wiped-member", world);
 }
@@ -99,8 +113,14 @@
     world.start(new, false);
     world.run(4500.0);
     let view = world.checks.newest_view().unwrap().clone();
-    assert!(view.voters.iter().any(|voter| voter.address == "m4"), "{view}");
-    assert!(view.voters.iter().all(|voter| voter.address != "m3"), "{view}");
+    assert!(
+        view.voters.iter().any(|voter| voter.address == "m4"),
+        "{view}"
+    );
+    assert!(
+        view.voters.iter().all(|voter| voter.address != "m3"),
+        "{view}"
+    );
     let call = world.submit(new, 1);
     world.run(50.0);
     assert!(won(&world, call));
@@ -119,7 +139,10 @@
     world.run(500.0);
     // Both changes are on top of the same version: the one that was acknowledged stays the only one.
     assert!(!won(&world, stale[0]));
-    assert_eq!(world.outcome(stale[1]).unwrap().unwrap().split(' ').next(), Some("2"));
+    assert_eq!(
+        world.outcome(stale[1]).unwrap().unwrap().split(' ').next(),
+        Some("2")
+    );
     compare("frozen-head-wakes", world);
 }
 
@@ -168,7 +191,11 @@
     }
     let call = world.read(2);
     world.run(20.0);
-    assert_eq!(world.outcome(call), Some(Ok("1 1".to_string())), "the view on the disks serves at once");
+    assert_eq!(
+        world.outcome(call),
+        Some(Ok("1 1".to_string())),
+        "the view on the disks serves at once"
+    );
     compare("all-killed-at-once", world);
 }
 
@@ -209,10 +236,17 @@
     }
     let call = world.submit(0, 0);
     world.run(4500.0);
-    assert_eq!(world.outcome(call), Some(Err(sandtrack_replication::Refusal::Full)));
+    assert_eq!(
+        world.outcome(call),
+        Some(Err(sandtrack_replication::Refusal::Full))
+    );
     let read = world.read(0);
     world.run(50.0);
-    assert_eq!(world.outcome(read), Some(Ok("0 0".to_string())), "what is committed stays readable");
+    assert_eq!(
+        world.outcome(read),
+        Some(Ok("0 0".to_string())),
+        "what is committed stays readable"
+    );
     for index in 0..3 {
         world.set_disk(index, DiskMode::Well);
     }
--- a/crates/sandtrack-replication/tests/troubled.rs
+++ b/crates/sandtrack-replication/tests/troubled.rs
@@ -47,13 +47,18 @@
     let failed = Mutex::new(Vec::new());
     let totals = [const { AtomicU64::new(0) }; 3];
     std::thread::scope(|scope| {
-        for _ in 0..std::thread::available_parallelism().map_or(2, usize::from).min(8) {
+        for _ in 0..std::thread::available_parallelism()
+            .map_or(2, usize::from)
+            .min(8)
+        {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed > count {
                     return;
                 }
-                match std::panic::catch_unwind(|| figures(&play(seed, machines, borne, harsh, false))) {
+                match std::panic::catch_unwind(|| {
+                    figures(&play(seed, machines, borne, harsh, false))
+                }) {
                     Ok(figures) => {
                         for (total, figure) in totals.iter().zip(figures) {
                             total.fetch_add(figure, Ordering::Relaxed);
@@ -72,7 +77,11 @@
     for seed in failed.iter().take(3) {
         println!("again with its log: SANDTRACK_WORLD={seed}, and the name of this test");
     }
-    assert!(failed.is_empty(), "{machines} machines, {} of {count} seeds failed: {failed:?}", failed.len());
+    assert!(
+        failed.is_empty(),
+        "{machines} machines, {} of {count} seeds failed: {failed:?}",
+        failed.len()
+    );
 }
 
 /// One world with its log, also when it fails.
--- a/crates/sandtrack-replication/tests/world/bandwidth.rs
+++ b/crates/sandtrack-replication/tests/world/bandwidth.rs
@@ -33,7 +33,9 @@
 
     /// How long a message waits and takes; None when too much waits already, and it is lost.
     pub fn pass(&mut self, now: Time, from: usize, to: usize, message: &Message) -> Option<Time> {
-        let speeds = [from, to].into_iter().filter_map(|machine| self.speeds.get(&machine));
+        let speeds = [from, to]
+            .into_iter()
+            .filter_map(|machine| self.speeds.get(&machine));
         let Some(speed) = speeds.copied().reduce(f64::min) else {
             return Some(0.0);
         };
--- a/crates/sandtrack-replication/tests/world/checks.rs
+++ b/crates/sandtrack-replication/tests/world/checks.rs
@@ -29,20 +29,33 @@
     /// earlier one commits nothing.
     pub fn applied(&mut self, node: usize, number: u64, epoch: Option<u64>, command: &[u8]) {
         if let Some((known, first)) = self.committed.get(&number) {
-            assert_eq!(first, command, "node {node}: applied sequences agree at {number}");
+            assert_eq!(
+                first, command,
+                "node {node}: applied sequences agree at {number}"
+            );
             if let Some(epoch) = epoch {
-                assert!(*known == 0 || *known == epoch, "node {node}: epochs agree at {number}");
+                assert!(
+                    *known == 0 || *known == epoch,
+                    "node {node}: epochs agree at {number}"
+                );
             }
             return;
         }
-        let last = self.committed.last_key_value().map_or(0, |(number, _)| *number);
+        let last = self
+            .committed
+            .last_key_value()
+            .map_or(0, |(number, _)| *number);
         assert_eq!(number, last + 1, "node {node}: commits come in order");
         if let Some(epoch) = epoch {
             let newest = self.newest_epoch;
-            assert!(epoch >= newest, "node {node}: epoch {epoch} committed {number} after epoch {newest}");
+            assert!(
+                epoch >= newest,
+                "node {node}: epoch {epoch} committed {number} after epoch {newest}"
+            );
             self.newest_epoch = epoch;
         }
-        self.committed.insert(number, (epoch.unwrap_or(0), command.to_vec()));
+        self.committed
+            .insert(number, (epoch.unwrap_or(0), command.to_vec()));
     }
 
     /// There is one view for each epoch.
@@ -66,11 +79,25 @@
         if *before == machine.applied {
             return;
         }
-        assert!(*before < machine.applied, "node {node} went back to {}", machine.applied);
+        assert!(
+            *before < machine.applied,
+            "node {node} went back to {}",
+            machine.applied
+        );
         *before = machine.applied;
-        let last = self.committed.last_key_value().map_or(0, |(number, _)| *number);
-        assert!(machine.applied <= last, "node {node} shows {}, which is not committed", machine.applied);
-        let known = self.states.entry(machine.applied).or_insert_with(|| machine.clone());
+        let last = self
+            .committed
+            .last_key_value()
+            .map_or(0, |(number, _)| *number);
+        assert!(
+            machine.applied <= last,
+            "node {node} shows {}, which is not committed",
+            machine.applied
+        );
+        let known = self
+            .states
+            .entry(machine.applied)
+            .or_insert_with(|| machine.clone());
         assert_eq!(known, machine, "node {node}: states agree");
     }
 
--- a/crates/sandtrack-replication/tests/world/faults.rs
+++ b/crates/sandtrack-replication/tests/world/faults.rs
@@ -42,7 +42,11 @@
         while world.now < end {
             // Now and then a calm, long enough for disks to be lost after it.
             let calm = world.random.gen_bool(0.15);
-            let pause = if calm { 8000.0 } else { world.random.gen_range(50.0..1500.0) };
+            let pause = if calm {
+                8000.0
+            } else {
+                world.random.gen_range(50.0..1500.0)
+            };
             self.calls(world, pause);
             if calm && world.now - world.troubled >= CATCH_UP {
                 self.lose_disks(world);
@@ -75,15 +79,21 @@
 
     fn end_due(&mut self, world: &mut World) {
         let now = world.now;
-        let (due, rest) = std::mem::take(&mut self.undo).into_iter().partition(|(at, _)| *at <= now);
+        let (due, rest) = std::mem::take(&mut self.undo)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.undo = rest;
         let due: Vec<(Time, Undo)> = due;
         for (_, undo) in due {
             match undo {
-                Undo::End { index, at_latest, .. } if world.is_needed(index) && now < at_latest => {
+                Undo::End {
+                    index, at_latest, ..
+                } if world.is_needed(index) && now < at_latest => {
                     self.undo.push((now, undo));
                 }
-                Undo::End { index, replaced, .. } => self.end_leaver(world, index, replaced),
+                Undo::End {
+                    index, replaced, ..
+                } => self.end_leaver(world, index, replaced),
                 undo => end(world, undo),
             }
         }
@@ -131,8 +141,8 @@
                 self.later(world, 200.0, 6000.0, Undo::Thaw(index));
             }
             3 => {
-                let mode =
-                    [DiskMode::Stalled, DiskMode::Full, DiskMode::Slow(13.0)][world.random.gen_range(0..3)];
+                let mode = [DiskMode::Stalled, DiskMode::Full, DiskMode::Slow(13.0)]
+                    [world.random.gen_range(0..3)];
                 world.set_disk(index, mode);
                 self.later(world, 300.0, 6000.0, Undo::Disk(index));
             }
@@ -146,7 +156,9 @@
                 // One machine off, or one way, or one link.
                 let other = world.random.gen_range(0..count);
                 let pairs: Vec<(usize, usize)> = match world.random.gen_range(0..4) {
-                    0 => pairs(count).filter(|(a, b)| *a == index || *b == index).collect(),
+                    0 => pairs(count)
+                        .filter(|(a, b)| *a == index || *b == index)
+                        .collect(),
                     1 => pairs(count).filter(|(a, _)| *a == index).collect(),
                     2 => pairs(count).filter(|(_, b)| *b == index).collect(),
                     _ => vec![(index, other), (other, index)],
@@ -171,10 +183,20 @@
             }
             9 => {
                 // The head, or the tail, right now.
-                let chain = world.checks.newest_view().map(|view| view.chain.clone()).unwrap_or_default();
-                let end = if world.random.gen() { chain.first() } else { chain.last() };
-                let found =
-                    world.nodes.iter().position(|node| end.is_some_and(|end| end.address == node.address));
+                let chain = world
+                    .checks
+                    .newest_view()
+                    .map(|view| view.chain.clone())
+                    .unwrap_or_default();
+                let end = if world.random.gen() {
+                    chain.first()
+                } else {
+                    chain.last()
+                };
+                let found = world
+                    .nodes
+                    .iter()
+                    .position(|node| end.is_some_and(|end| end.address == node.address));
                 if let Some(index) = found.filter(|index| world.nodes[*index].replica.is_some()) {
                     world.kill(index);
                     self.later(world, 50.0, 4000.0, Undo::Start(index));
@@ -209,14 +231,22 @@
     /// To be started again; or, in a calm, for good, with another machine in its place.
     fn tell_to_stop(&mut self, world: &mut World, index: usize) {
         let calm = world.now - world.troubled >= CATCH_UP;
-        let replaced = calm && world.nodes[index].has_disk && world.nodes.len() < 12 && world.random.gen();
+        let replaced =
+            calm && world.nodes[index].has_disk && world.nodes.len() < 12 && world.random.gen();
         if replaced {
             let successor = world.add(true);
             world.start(successor, false);
         }
         world.tell_to_stop(index);
         let at_latest = world.now + GRACE;
-        self.undo.push((world.now, Undo::End { index, replaced, at_latest }));
+        self.undo.push((
+            world.now,
+            Undo::End {
+                index,
+                replaced,
+                at_latest,
+            },
+        ));
     }
 
     fn cut(&mut self, world: &mut World, pairs: Vec<(usize, usize)>) {
@@ -232,14 +262,18 @@
             let node = &world.nodes[index];
             node.has_disk && !node.removed
         };
-        let mut left: Vec<usize> = (0..world.nodes.len()).filter(|index| with_disk(world, *index)).collect();
+        let mut left: Vec<usize> = (0..world.nodes.len())
+            .filter(|index| with_disk(world, *index))
+            .collect();
         let mut victims = Vec::new();
         for _ in 0..world.random.gen_range(1..=world.borne) {
             victims.push(left.swap_remove(world.random.gen_range(0..left.len())));
         }
         if world.zones_borne > 0 && world.random.gen_bool(0.5) {
             let zone = world.nodes[victims[0]].zone.clone();
-            let (lost, rest) = left.into_iter().partition(|index| world.nodes[*index].zone == zone);
+            let (lost, rest) = left
+                .into_iter()
+                .partition(|index| world.nodes[*index].zone == zone);
             left = rest;
             victims.extend::<Vec<usize>>(lost);
         }
@@ -265,7 +299,9 @@
 
 fn end(world: &mut World, undo: Undo) {
     match undo {
-        Undo::Start(index) if world.nodes[index].replica.is_none() && !world.nodes[index].removed => {
+        Undo::Start(index)
+            if world.nodes[index].replica.is_none() && !world.nodes[index].removed =>
+        {
             world.start(index, false);
         }
         Undo::Start(_) => {}
@@ -292,5 +328,7 @@
 }
 
 fn pairs(count: usize) -> impl Iterator<Item = (usize, usize)> {
-    (0..count).flat_map(move |a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b)
+    (0..count)
+        .flat_map(move |a| (0..count).map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
 }
--- a/crates/sandtrack-replication/tests/world/losses.rs
+++ b/crates/sandtrack-replication/tests/world/losses.rs
@@ -93,7 +93,13 @@
     between_regions: 0.0,
     disk: 0.5,
 };
-pub const GROWN: Layout = Layout { machines: 6, borne: 2, zones_borne: 1, catch_up: 6000.0, ..SMALL };
+pub const GROWN: Layout = Layout {
+    machines: 6,
+    borne: 2,
+    zones_borne: 1,
+    catch_up: 6000.0,
+    ..SMALL
+};
 
 /// What is still to happen to a machine that was hit.
 #[derive(Clone, Copy, Debug)]
@@ -190,12 +196,19 @@
         let mut all: Vec<usize> = chain.collect();
         let others = (0..self.world.nodes.len())
             .filter(|index| self.world.nodes[*index].has_disk && !self.world.nodes[*index].removed);
-        all.extend(others.filter(|index| !all.contains(index)).collect::<Vec<_>>());
+        all.extend(
+            others
+                .filter(|index| !all.contains(index))
+                .collect::<Vec<_>>(),
+        );
         all[place % all.len()]
     }
 
     fn index_of(&self, member: &Member) -> Option<usize> {
-        self.world.nodes.iter().position(|node| !node.removed && node.address == member.address)
+        self.world
+            .nodes
+            .iter()
+            .position(|node| !node.removed && node.address == member.address)
     }
 
     fn later(&mut self, after: Time, due: Due) {
@@ -221,17 +234,26 @@
         self.hit.push(index);
         // What it was asked right before may find no answer.
         let calls = &self.world.calls;
-        self.expected.retain(|call| calls[call].node != index || calls[call].ended.is_some());
+        self.expected
+            .retain(|call| calls[call].node != index || calls[call].ended.is_some());
         match loss {
             Loss::Killed => self.world.kill(index),
             Loss::PowerLost => self.world.lose_power(index),
-            Loss::Frozen | Loss::FrozenThenWiped | Loss::FrozenThenReplaced => self.world.freeze(index),
+            Loss::Frozen | Loss::FrozenThenWiped | Loss::FrozenThenReplaced => {
+                self.world.freeze(index)
+            }
             Loss::Wiped | Loss::Replaced => self.world.wipe(index),
             Loss::Left => self.leave(index, true),
             Loss::LeftForAnother => {
                 let successor = self.add_in_place_of(index);
                 self.world.start(successor, false);
-                self.later(AWAY, Due::Leave { leaver: index, successor: Some(successor) });
+                self.later(
+                    AWAY,
+                    Due::Leave {
+                        leaver: index,
+                        successor: Some(successor),
+                    },
+                );
             }
             Loss::CutOff | Loss::CutOffThenWiped | Loss::CutOffThenReplaced => {
                 self.cut(index, true, true, near);
@@ -244,10 +266,34 @@
             Loss::Replaced => self.replace(index),
             Loss::Frozen => self.later(FROZEN, Due::Thaw(index)),
             Loss::CutOff | Loss::Unheard | Loss::Deaf => self.later(CUT, Due::Heal(index)),
-            Loss::FrozenThenWiped => self.later(FROZEN, Due::Lose { index, replaced: false }),
-            Loss::FrozenThenReplaced => self.later(FROZEN, Due::Lose { index, replaced: true }),
-            Loss::CutOffThenWiped => self.later(CUT, Due::Lose { index, replaced: false }),
-            Loss::CutOffThenReplaced => self.later(CUT, Due::Lose { index, replaced: true }),
+            Loss::FrozenThenWiped => self.later(
+                FROZEN,
+                Due::Lose {
+                    index,
+                    replaced: false,
+                },
+            ),
+            Loss::FrozenThenReplaced => self.later(
+                FROZEN,
+                Due::Lose {
+                    index,
+                    replaced: true,
+                },
+            ),
+            Loss::CutOffThenWiped => self.later(
+                CUT,
+                Due::Lose {
+                    index,
+                    replaced: false,
+                },
+            ),
+            Loss::CutOffThenReplaced => self.later(
+                CUT,
+                Due::Lose {
+                    index,
+                    replaced: true,
+                },
+            ),
             Loss::Left | Loss::LeftForAnother => {}
         }
     }
@@ -268,15 +314,28 @@
     }
 
     fn cut(&mut self, index: usize, outward: bool, inward: bool, near: &[usize]) {
-        self.world.say(|_| format!("{} is cut off: out {outward}, in {inward}", name(index)));
-        self.cut.push(Cut { index, outward, inward, near: near.to_vec() });
+        self.world
+            .say(|_| format!("{} is cut off: out {outward}, in {inward}", name(index)));
+        self.cut.push(Cut {
+            index,
+            outward,
+            inward,
+            near: near.to_vec(),
+        });
         self.apply_cuts();
     }
 
     /// Also towards machines that were added after the cut began.
     fn apply_cuts(&mut self) {
-        for Cut { index, outward, inward, near } in self.cut.clone() {
-            for other in (0..self.world.nodes.len()).filter(|other| *other != index && !near.contains(other))
+        for Cut {
+            index,
+            outward,
+            inward,
+            near,
+        } in self.cut.clone()
+        {
+            for other in
+                (0..self.world.nodes.len()).filter(|other| *other != index && !near.contains(other))
             {
                 if outward {
                     self.world.network.cut.insert((index, other));
@@ -296,13 +355,21 @@
         self.cut.retain(|cut| cut.index != index);
         self.world.network.cut.clear();
         self.apply_cuts();
-        self.world.say(|_| format!("{} is joined again", name(index)));
+        self.world
+            .say(|_| format!("{} is joined again", name(index)));
     }
 
     fn leave(&mut self, leaver: usize, returns: bool) {
         self.world.tell_to_stop(leaver);
         let at_latest = self.world.now + GRACE;
-        self.later(0.0, Due::End { leaver, returns, at_latest });
+        self.later(
+            0.0,
+            Due::End {
+                leaver,
+                returns,
+                at_latest,
+            },
+        );
     }
 
     fn happen(&mut self, due: Due) {
@@ -320,7 +387,11 @@
                 }
             }
             Due::Leave { leaver, successor } => self.leave(leaver, successor.is_none()),
-            Due::End { leaver, returns, at_latest } => {
+            Due::End {
+                leaver,
+                returns,
+                at_latest,
+            } => {
                 if self.world.is_needed(leaver) && self.world.now < at_latest {
                     return self.later(10.0, due);
                 }
@@ -355,7 +426,10 @@
 
     fn call(&mut self) {
         let running = self.world.running();
-        let Some(node) = running.get(self.world.random.gen_range(0..running.len().max(1))).copied() else {
+        let Some(node) = running
+            .get(self.world.random.gen_range(0..running.len().max(1)))
+            .copied()
+        else {
             return;
         };
         let base = self.world.newest().version;
@@ -379,7 +453,9 @@
             let mut hit = self.targets(*target);
             if let Target::Place(place) = *target {
                 // The next one that is not hit at this moment.
-                let free = (place..).map(|place| self.machine_at(place)).find(|index| !taken(index));
+                let free = (place..)
+                    .map(|place| self.machine_at(place))
+                    .find(|index| !taken(index));
                 hit = free.into_iter().collect();
             }
             hit.retain(|index| !taken(index));
@@ -412,13 +488,18 @@
 
     fn check_answers(&mut self) {
         let now = self.world.now;
-        let (old, rest): (Vec<u64>, Vec<u64>) =
-            self.expected.iter().partition(|call| now - self.world.calls[call].began > ACKNOWLEDGE);
+        let (old, rest): (Vec<u64>, Vec<u64>) = self
+            .expected
+            .iter()
+            .partition(|call| now - self.world.calls[call].began > ACKNOWLEDGE);
         self.expected = rest;
         for call in old {
             let outcome = self.world.outcome(call);
             let asked = &self.world.calls[&call];
-            assert!(matches!(outcome, Some(Ok(_))), "{outcome:?} was answered to {asked:?}");
+            assert!(
+                matches!(outcome, Some(Ok(_))),
+                "{outcome:?} was answered to {asked:?}"
+            );
         }
         self.world.checks.nothing_lost(&self.world.newest());
     }
@@ -428,11 +509,15 @@
     fn check_whole(&self) {
         let view = self.view();
         let lives = |member: &&Member| {
-            self.world.nodes.iter().filter(|node| !node.frozen && !node.removed).any(|node| {
-                node.replica
-                    .as_ref()
-                    .is_some_and(|replica| replica.member() == *member && replica.view().epoch == view.epoch)
-            })
+            self.world
+                .nodes
+                .iter()
+                .filter(|node| !node.frozen && !node.removed)
+                .any(|node| {
+                    node.replica.as_ref().is_some_and(|replica| {
+                        replica.member() == *member && replica.view().epoch == view.epoch
+                    })
+                })
         };
         let living = view.voters.iter().filter(lives).count();
         let majority = view.voters.len() / 2 + 1;
@@ -440,13 +525,23 @@
         assert!(living >= majority + borne, "{living} voters live of {view}");
         for zone in (0..self.layout.zones).filter(|_| self.layout.zones_borne > 0) {
             let outside = |member: &&Member| {
-                self.index_of(member).is_none_or(|index| self.world.nodes[index].zone != zone_name(zone))
+                self.index_of(member)
+                    .is_none_or(|index| self.world.nodes[index].zone != zone_name(zone))
             };
             let left = view.voters.iter().filter(outside).filter(lives).count();
-            assert!(left >= majority, "{left} voters would live without zone {zone}: {view}");
-            assert!(view.chain.iter().any(|member| outside(&member)), "all of the chain in one zone: {view}");
+            assert!(
+                left >= majority,
+                "{left} voters would live without zone {zone}: {view}"
+            );
+            assert!(
+                view.chain.iter().any(|member| outside(&member)),
+                "all of the chain in one zone: {view}"
+            );
         }
-        assert!(view.chain.iter().all(|member| lives(&member)), "all of the chain live: {view}");
+        assert!(
+            view.chain.iter().all(|member| lives(&member)),
+            "all of the chain live: {view}"
+        );
         assert!(self.world.is_whole(), "in line: {view}");
     }
 
@@ -454,11 +549,17 @@
         self.world.run(ACKNOWLEDGE);
         self.check_answers();
         for index in self.world.running() {
-            let calls = [self.world.submit(index, self.world.newest().version), self.world.read(index)];
+            let calls = [
+                self.world.submit(index, self.world.newest().version),
+                self.world.read(index),
+            ];
             self.world.run(1500.0);
             for call in calls {
                 let outcome = self.world.outcome(call);
-                assert!(matches!(outcome, Some(Ok(_))), "machine {index} answers {outcome:?}");
+                assert!(
+                    matches!(outcome, Some(Ok(_))),
+                    "machine {index} answers {outcome:?}"
+                );
             }
         }
         self.world.checks.nothing_lost(&self.world.newest());
@@ -478,7 +579,9 @@
 
 /// Plays all cases on several threads, and names those that failed.
 pub fn play_all(name: &str, layout: Layout, cases: &[Vec<Vec<Hit>>]) {
-    let one: Option<usize> = std::env::var("SANDTRACK_SPACING_ONE").ok().map(|one| one.parse().unwrap());
+    let one: Option<usize> = std::env::var("SANDTRACK_SPACING_ONE")
+        .ok()
+        .map(|one| one.parse().unwrap());
     if let Some(one) = one {
         if let Some(case) = cases.get(one) {
             println!("{name} {one}: {case:?}");
@@ -488,7 +591,9 @@
     }
     let next = AtomicUsize::new(0);
     let failed = Mutex::new(Vec::new());
-    let threads = std::thread::available_parallelism().map_or(2, usize::from).min(THREADS);
+    let threads = std::thread::available_parallelism()
+        .map_or(2, usize::from)
+        .min(THREADS);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -496,7 +601,9 @@
                 let Some(case) = cases.get(number) else {
                     return;
                 };
-                if std::panic::catch_unwind(|| drop(play(number as u64, layout, case, false))).is_err() {
+                if std::panic::catch_unwind(|| drop(play(number as u64, layout, case, false)))
+                    .is_err()
+                {
                     failed.lock().unwrap().push(number);
                 }
             });
@@ -504,7 +611,11 @@
     });
     let mut failed = failed.into_inner().unwrap();
     failed.sort_unstable();
-    println!("{name}: {} orders of losses played, {} failed", cases.len(), failed.len());
+    println!(
+        "{name}: {} orders of losses played, {} failed",
+        cases.len(),
+        failed.len()
+    );
     for number in failed.iter().take(40) {
         println!("SANDTRACK_SPACING_ONE={number}: {:?}", cases[*number]);
     }
@@ -512,13 +623,19 @@
         let least = shrunk(*number as u64, layout, cases[*number].clone());
         println!("SANDTRACK_SPACING_ONE={number}, shrunk: {least:?}");
     }
-    assert!(failed.is_empty(), "{name}: {} of {} failed: {failed:?}", failed.len(), cases.len());
+    assert!(
+        failed.is_empty(),
+        "{name}: {} of {} failed: {failed:?}",
+        failed.len(),
+        cases.len()
+    );
 }
 
 /// A failing case without the losses that it fails without.
 fn shrunk(seed: u64, layout: Layout, case: Vec<Vec<Hit>>) -> Vec<Vec<Hit>> {
-    let fails =
-        |case: &[Vec<Hit>]| std::panic::catch_unwind(|| drop(play(seed, layout, case, false))).is_err();
+    let fails = |case: &[Vec<Hit>]| {
+        std::panic::catch_unwind(|| drop(play(seed, layout, case, false))).is_err()
+    };
     let mut least = case;
     let mut moment = 0;
     while moment < least.len() {
--- a/crates/sandtrack-replication/tests/world/mod.rs
+++ b/crates/sandtrack-replication/tests/world/mod.rs
@@ -55,9 +55,20 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: usize, to: usize, message: Message },
-    DiskDone { node: usize, generation: u64, ticket: u64 },
-    Tick { node: usize, generation: u64 },
+    Deliver {
+        from: usize,
+        to: usize,
+        message: Message,
+    },
+    DiskDone {
+        node: usize,
+        generation: u64,
+        ticket: u64,
+    },
+    Tick {
+        node: usize,
+        generation: u64,
+    },
 }
 
 struct Timed {
@@ -79,7 +90,10 @@
 }
 impl Ord for Timed {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
+        other
+            .at
+            .total_cmp(&self.at)
+            .then(other.order.cmp(&self.order))
     }
 }
 
@@ -266,14 +280,20 @@
             self.run(3000.0);
             for call in calls {
                 let outcome = self.outcome(call);
-                assert!(matches!(outcome, Some(Ok(_))), "after a calm, machine {index} answers {outcome:?}");
+                assert!(
+                    matches!(outcome, Some(Ok(_))),
+                    "after a calm, machine {index} answers {outcome:?}"
+                );
             }
         }
     }
 
     pub fn start(&mut self, index: usize, first_start: bool) {
         // After the very first start: the first three of the operator's list as it stands, up or down.
-        let there = self.nodes.iter().filter(|node| node.has_disk && !node.removed);
+        let there = self
+            .nodes
+            .iter()
+            .filter(|node| node.has_disk && !node.removed);
         let present = there.take(3).map(|node| node.address.clone()).collect();
         let mut seeds = self.seeds.clone();
         let node = &mut self.nodes[index];
@@ -291,7 +311,10 @@
         settings.zones_borne = self.zones_borne;
         settings.seed = index as u64 * 1000 + node.generation;
         settings.incarnation_if_new = index as u64 * 1000 + 100 + node.wipes * 10 + node.generation;
-        let machine = Register { ballast: self.ballast, ..Register::default() };
+        let machine = Register {
+            ballast: self.ballast,
+            ..Register::default()
+        };
         let (replica, effects) = Replica::new(settings, node.disk.clone(), machine, self.now);
         node.member = Some(replica.member().clone());
         node.replica = Some(replica);
@@ -325,7 +348,10 @@
 
     /// Whether a process has to run on after it was told to stop.
     pub fn is_needed(&self, index: usize) -> bool {
-        self.nodes[index].replica.as_ref().is_some_and(Replica::is_needed)
+        self.nodes[index]
+            .replica
+            .as_ref()
+            .is_some_and(Replica::is_needed)
     }
 
     /// The machine loses power: the write under way is not on its disk.
@@ -364,9 +390,17 @@
     pub fn set_disk(&mut self, index: usize, mode: DiskMode) {
         self.say(|world| format!("disk of {} is {mode:?}", world.nodes[index].address));
         self.nodes[index].mode = mode;
-        if let (true, Some((ticket, _, _))) = (mode != DiskMode::Stalled, &self.nodes[index].write) {
+        if let (true, Some((ticket, _, _))) = (mode != DiskMode::Stalled, &self.nodes[index].write)
+        {
             let (ticket, generation) = (*ticket, self.nodes[index].generation);
-            self.plan(1.0, Event::DiskDone { node: index, generation, ticket });
+            self.plan(
+                1.0,
+                Event::DiskDone {
+                    node: index,
+                    generation,
+                    ticket,
+                },
+            );
         }
     }
 
@@ -388,7 +422,9 @@
 
     fn cuts(&self) -> String {
         let cuts = self.network.cut.iter();
-        let cuts: Vec<String> = cuts.map(|(from, to)| format!("{}-x->{}", name(*from), name(*to))).collect();
+        let cuts: Vec<String> = cuts
+            .map(|(from, to)| format!("{}-x->{}", name(*from), name(*to)))
+            .collect();
         cuts.join(" ")
     }
 
@@ -397,18 +433,32 @@
         let text = |(from, to, message): &(usize, usize, Message)| {
             format!("{} -> {}: {message}", name(*from), name(*to))
         };
-        let Some((from, to, message)) = self.held.iter().find(|held| text(held).starts_with(begin)).cloned()
+        let Some((from, to, message)) = self
+            .held
+            .iter()
+            .find(|held| text(held).starts_with(begin))
+            .cloned()
         else {
             return false;
         };
         self.say(|_| format!("released: {} -> {}: {message}", name(from), name(to)));
-        self.input(to, Input::Received { from: name(from), message });
+        self.input(
+            to,
+            Input::Received {
+                from: name(from),
+                message,
+            },
+        );
         true
     }
 
     fn plan(&mut self, after: Time, event: Event) {
         self.order += 1;
-        self.events.push(Timed { at: self.now + after, order: self.order, event });
+        self.events.push(Timed {
+            at: self.now + after,
+            order: self.order,
+            event,
+        });
     }
 
     fn plan_tick(&mut self, index: usize) {
@@ -416,7 +466,13 @@
         if let Some(replica) = &node.replica {
             let after = (replica.next_tick() - self.now).max(0.1) + 0.1;
             let generation = node.generation;
-            self.plan(after, Event::Tick { node: index, generation });
+            self.plan(
+                after,
+                Event::Tick {
+                    node: index,
+                    generation,
+                },
+            );
         }
     }
 
@@ -468,8 +524,13 @@
                 if message.is_status() {
                     self.network.heartbeats.came(self.now, from, to);
                 }
-                self.say(|world| format!("{} -> {}: {message}", name(from), world.nodes[to].address));
-                let input = Input::Received { from: self.nodes[from].address.clone(), message };
+                self.say(|world| {
+                    format!("{} -> {}: {message}", name(from), world.nodes[to].address)
+                });
+                let input = Input::Received {
+                    from: self.nodes[from].address.clone(),
+                    message,
+                };
                 self.input(to, input);
             }
             Event::Tick { node, generation } => {
@@ -478,13 +539,18 @@
                     self.plan_tick(node);
                 }
             }
-            Event::DiskDone { node, generation, ticket } => self.disk_done(node, generation, ticket),
+            Event::DiskDone {
+                node,
+                generation,
+                ticket,
+            } => self.disk_done(node, generation, ticket),
         }
     }
 
     fn disk_done(&mut self, index: usize, generation: u64, ticket: u64) {
         let node = &mut self.nodes[index];
-        if node.generation != generation || node.mode == DiskMode::Stalled || node.replica.is_none() {
+        if node.generation != generation || node.mode == DiskMode::Stalled || node.replica.is_none()
+        {
             return;
         }
         let Some((_, records, replaces)) = node.write.take_if(|write| write.0 == ticket) else {
@@ -520,7 +586,11 @@
                 Effect::Send { to, message } => self.transmit(index, &to, message),
                 Effect::Write { ticket, records } => self.write(index, ticket, records, false),
                 Effect::Rewrite { ticket, records } => self.write(index, ticket, records, true),
-                Effect::Applied { number, command, outcome } => {
+                Effect::Applied {
+                    number,
+                    command,
+                    outcome,
+                } => {
                     self.say(|world| {
                         let node = &world.nodes[index];
                         format!(
@@ -562,7 +632,14 @@
             DiskMode::Slow(span) => span + by_size * (span / 0.5 - 1.0),
             DiskMode::Stalled => return,
         };
-        self.plan(after + by_size, Event::DiskDone { node: index, generation, ticket });
+        self.plan(
+            after + by_size,
+            Event::DiskDone {
+                node: index,
+                generation,
+                ticket,
+            },
+        );
     }
 
     fn transmit(&mut self, from: usize, to: &str, message: Message) {
@@ -573,25 +650,43 @@
             return;
         }
         let has = |words: Option<(usize, &str)>| {
-            words.is_some_and(|(machine, words)| machine == to && message.to_string().contains(words))
+            words.is_some_and(|(machine, words)| {
+                machine == to && message.to_string().contains(words)
+            })
         };
         if has(self.network.lost_words) {
             return;
         }
-        let message = if has(self.network.flipped_words) { flipped(&message) } else { message };
+        let message = if has(self.network.flipped_words) {
+            flipped(&message)
+        } else {
+            message
+        };
         let Some(queued) = self.network.bandwidth.pass(self.now, from, to, &message) else {
             return;
         };
-        let copies = if self.random.gen_bool(self.network.doubled) { 2 } else { 1 };
+        let copies = if self.random.gen_bool(self.network.doubled) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let mut after = queued + self.network.delay + self.network.spread * self.random.gen::<f64>();
+            let mut after =
+                queued + self.network.delay + self.network.spread * self.random.gen::<f64>();
             if from % 2 != to % 2 {
                 after += self.network.between_regions;
             }
             if self.random.gen_bool(self.network.late) {
                 after += self.network.latest * self.random.gen::<f64>();
             }
-            self.plan(after, Event::Deliver { from, to, message: message.clone() });
+            self.plan(
+                after,
+                Event::Deliver {
+                    from,
+                    to,
+                    message: message.clone(),
+                },
+            );
         }
     }
 
@@ -601,7 +696,12 @@
         let version = self.next_version.max(base + 1);
         self.next_version = version;
         let call = self.begin_call(node, Some((base, version)));
-        self.say(|world| format!("{} is asked to set {base} {version}", world.nodes[node].address));
+        self.say(|world| {
+            format!(
+                "{} is asked to set {base} {version}",
+                world.nodes[node].address
+            )
+        });
         let mut command = format!("set {base} {version}").into_bytes();
         if self.padding > 0 {
             command.push(b' ');
@@ -614,14 +714,26 @@
     pub fn read(&mut self, node: usize) -> u64 {
         let call = self.begin_call(node, None);
         self.say(|world| format!("{} is asked to read", world.nodes[node].address));
-        self.input(node, Input::Read { call, question: b"get".to_vec() });
+        self.input(
+            node,
+            Input::Read {
+                call,
+                question: b"get".to_vec(),
+            },
+        );
         call
     }
 
     fn begin_call(&mut self, node: usize, command: Option<(u64, u64)>) -> u64 {
         self.next_call += 1;
         let floor = self.checks.floor;
-        let call = Call { node, command, began: self.now, floor, ended: None };
+        let call = Call {
+            node,
+            command,
+            began: self.now,
+            floor,
+            ended: None,
+        };
         self.calls.insert(self.next_call, call);
         self.next_call
     }
@@ -655,8 +767,14 @@
 
     /// The state of the process that knows most.
     pub fn newest(&self) -> Register {
-        let machines = self.nodes.iter().filter_map(|node| Some(node.replica.as_ref()?.machine()));
-        machines.max_by_key(|machine| machine.applied).cloned().unwrap_or_default()
+        let machines = self
+            .nodes
+            .iter()
+            .filter_map(|node| Some(node.replica.as_ref()?.machine()));
+        machines
+            .max_by_key(|machine| machine.applied)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Whether all that the newest view builds on is there: its voters' disks, and a chain that is long enough
@@ -666,14 +784,23 @@
             return false;
         };
         let has_disk = |member: &Member| {
-            self.nodes.iter().any(|node| !node.removed && node.member.as_ref() == Some(member))
+            self.nodes
+                .iter()
+                .any(|node| !node.removed && node.member.as_ref() == Some(member))
         };
         let in_line = |member: &Member| {
-            self.nodes.iter().filter_map(|node| node.replica.as_ref()).any(|replica| {
-                replica.member() == member && replica.view().epoch == view.epoch && replica.is_caught_up()
-            })
+            self.nodes
+                .iter()
+                .filter_map(|node| node.replica.as_ref())
+                .any(|replica| {
+                    replica.member() == member
+                        && replica.view().epoch == view.epoch
+                        && replica.is_caught_up()
+                })
         };
-        view.voters.iter().all(has_disk) && view.chain.len() > self.borne && view.chain.iter().all(in_line)
+        view.voters.iter().all(has_disk)
+            && view.chain.len() > self.borne
+            && view.chain.iter().all(in_line)
     }
 
     pub fn running(&self) -> Vec<usize> {
--- a/crates/sandtrack-replication/tests/world/register.rs
+++ b/crates/sandtrack-replication/tests/world/register.rs
@@ -15,15 +15,27 @@
 
 impl StateMachine for Register {
     fn apply(&mut self, number: u64, command: &[u8]) -> Vec<u8> {
-        assert_eq!(number, self.applied + 1, "commands are applied without gaps");
+        assert_eq!(
+            number,
+            self.applied + 1,
+            "commands are applied without gaps"
+        );
         self.applied = number;
         let text = String::from_utf8(command.to_vec()).unwrap();
-        let words: Vec<u64> = text.split(' ').skip(1).map(|word| word.parse().unwrap()).collect();
+        let words: Vec<u64> = text
+            .split(' ')
+            .skip(1)
+            .map(|word| word.parse().unwrap())
+            .collect();
         if words[0] == self.version && words[1] > self.version {
             self.version = words[1];
             self.wins.push((words[0], words[1]));
         }
-        let word = if self.version == words[1] { "won" } else { "lost" };
+        let word = if self.version == words[1] {
+            "won"
+        } else {
+            "lost"
+        };
         format!("{word} {number}").into_bytes()
     }
 
@@ -49,7 +61,10 @@
         let words: Vec<u64> = text.split(' ').map(|word| word.parse().unwrap()).collect();
         self.version = words[0];
         self.applied = words[1];
-        self.wins = words[2..].chunks(2).map(|pair| (pair[0], pair[1])).collect();
+        self.wins = words[2..]
+            .chunks(2)
+            .map(|pair| (pair[0], pair[1]))
+            .collect();
         true
     }
 }
--- a/crates/sandtrack-replication/tests/zone_losses.rs
+++ b/crates/sandtrack-replication/tests/zone_losses.rs
@@ -19,9 +19,20 @@
     Loss::CutOffThenReplaced,
 ];
 
-const THREE_ZONES_TWO_REGIONS: Layout = Layout { zones_borne: 1, between_regions: 55.0, ..SMALL };
-const SIX_IN_SIX: Layout = Layout { machines: 6, zones: 6, ..THREE_ZONES_TWO_REGIONS };
-const SIX_IN_THREE: Layout = Layout { machines: 6, ..THREE_ZONES_TWO_REGIONS };
+const THREE_ZONES_TWO_REGIONS: Layout = Layout {
+    zones_borne: 1,
+    between_regions: 55.0,
+    ..SMALL
+};
+const SIX_IN_SIX: Layout = Layout {
+    machines: 6,
+    zones: 6,
+    ..THREE_ZONES_TWO_REGIONS
+};
+const SIX_IN_THREE: Layout = Layout {
+    machines: 6,
+    ..THREE_ZONES_TWO_REGIONS
+};
 
 /// A moment with what it hits at once.
 type Moment = Vec<Hit>;
@@ -34,14 +45,21 @@
 /// Each loss of a machine at each place, `at_once` of them: the second one of the same kind, behind it.
 fn machine_losses(places: usize, at_once: usize) -> Vec<Moment> {
     let at = |place: usize| {
-        LOSSES.map(|loss| (0..at_once).map(|step| (loss, Target::Place(place + step))).collect::<Moment>())
+        LOSSES.map(|loss| {
+            (0..at_once)
+                .map(|step| (loss, Target::Place(place + step)))
+                .collect::<Moment>()
+        })
     };
     (0..places).flat_map(at).collect()
 }
 
 /// Each order of one of `first` and one of `second`.
 fn orders(first: &[Moment], second: &[Moment]) -> Vec<Vec<Moment>> {
-    first.iter().flat_map(|one| second.iter().map(|other| vec![one.clone(), other.clone()])).collect()
+    first
+        .iter()
+        .flat_map(|one| second.iter().map(|other| vec![one.clone(), other.clone()]))
+        .collect()
 }
 
 /// All cases, or as many of them as are played, spread over the list.
@@ -72,7 +90,11 @@
 
 #[test]
 fn zone_after_zone_of_three_machines_in_two_regions() {
-    zone_after_zone("zones of three machines", THREE_ZONES_TWO_REGIONS, usize::MAX);
+    zone_after_zone(
+        "zones of three machines",
+        THREE_ZONES_TWO_REGIONS,
+        usize::MAX,
+    );
 }
 
 #[test]
@@ -82,24 +104,56 @@
 
 #[test]
 fn zone_after_zone_of_six_machines_in_three_zones_that_bear_two() {
-    zone_after_zone("six in three zones, two borne", Layout { borne: 2, ..SIX_IN_THREE }, 120);
+    zone_after_zone(
+        "six in three zones, two borne",
+        Layout {
+            borne: 2,
+            ..SIX_IN_THREE
+        },
+        120,
+    );
 }
 
 #[test]
 fn zone_after_zone_of_six_machines_in_six_zones() {
     zone_after_zone("six in six zones", SIX_IN_SIX, 120);
-    zone_after_zone("six in six zones, two borne", Layout { borne: 2, ..SIX_IN_SIX }, 120);
+    zone_after_zone(
+        "six in six zones, two borne",
+        Layout {
+            borne: 2,
+            ..SIX_IN_SIX
+        },
+        120,
+    );
 }
 
 #[test]
 fn a_zone_and_a_machine_in_turn_of_three_machines() {
-    zone_and_machines("a zone and a machine of three", THREE_ZONES_TWO_REGIONS, 200);
+    zone_and_machines(
+        "a zone and a machine of three",
+        THREE_ZONES_TWO_REGIONS,
+        200,
+    );
 }
 
 #[test]
 fn a_zone_and_machines_in_turn_of_six_machines() {
     for borne in [1, 2] {
-        zone_and_machines("six in three zones, a zone and machines", Layout { borne, ..SIX_IN_THREE }, 100);
-        zone_and_machines("six in six zones, a zone and machines", Layout { borne, ..SIX_IN_SIX }, 100);
+        zone_and_machines(
+            "six in three zones, a zone and machines",
+            Layout {
+                borne,
+                ..SIX_IN_THREE
+            },
+            100,
+        );
+        zone_and_machines(
+            "six in six zones, a zone and machines",
+            Layout {
+                borne,
+                ..SIX_IN_SIX
+            },
+            100,
+        );
     }
 }
--- a/crates/sandtrack-settings/src/lib.rs
+++ b/crates/sandtrack-settings/src/lib.rs
@@ -34,8 +34,9 @@
 
 /// A hash of a name that is the same in every process (FNV-1a): by it balancers that share nothing agree.
 pub fn identity(name: &str) -> u64 {
-    name.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// What is wrong, and with which key.
@@ -56,8 +57,10 @@
 /// Reads any document, naming the key at which reading stopped.
 pub fn read<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, Fault> {
     let reader = &mut serde_json::Deserializer::from_slice(text);
-    serde_path_to_error::deserialize(reader)
-        .map_err(|error| Fault { key: error.path().to_string(), wrong: error.inner().to_string() })
+    serde_path_to_error::deserialize(reader).map_err(|error| Fault {
+        key: error.path().to_string(),
+        wrong: error.inner().to_string(),
+    })
 }
 
 /// The checked settings: what the module is given, and what a front needs beside it.
@@ -79,21 +82,38 @@
     pub fn follow(&mut self, before: &Settings, classes: &[String], tenants: &[String]) {
         let (mut kept, mut names) = (before.classes.clone(), classes.to_vec());
         kept.iter_mut().for_each(|class| class.offered = false);
-        let same = |kept: &Class, new: &Class| Class { offered: true, ..kept.clone() } == *new;
-        behind(&mut kept, &mut names, self.settings.classes.drain(..).zip(self.classes.drain(..)), same);
+        let same = |kept: &Class, new: &Class| {
+            Class {
+                offered: true,
+                ..kept.clone()
+            } == *new
+        };
+        behind(
+            &mut kept,
+            &mut names,
+            self.settings.classes.drain(..).zip(self.classes.drain(..)),
+            same,
+        );
         (self.settings.classes, self.classes) = (kept, names);
         let (mut kept, mut names) = (before.tenants.clone(), tenants.to_vec());
         kept.iter_mut().for_each(|tenant| tenant.offered = false);
         // Of a tenant no promise hangs on its terms: the new ones count for all of its requests.
         let same = |_: &Tenant, _: &Tenant| true;
-        behind(&mut kept, &mut names, self.settings.tenants.drain(..).zip(self.tenants.drain(..)), same);
+        behind(
+            &mut kept,
+            &mut names,
+            self.settings.tenants.drain(..).zip(self.tenants.drain(..)),
+            same,
+        );
         (self.settings.tenants, self.tenants) = (kept, names);
     }
 }
 
 /// Puts each new one in the place of the one kept that is the same under its name, or behind all.
 fn behind<T>(
-    kept: &mut Vec<T>, names: &mut Vec<String>, new: impl Iterator<Item = (T, String)>,
+    kept: &mut Vec<T>,
+    names: &mut Vec<String>,
+    new: impl Iterator<Item = (T, String)>,
     same: impl Fn(&T, &T) -> bool,
 ) {
     for (terms, name) in new {
@@ -112,7 +132,10 @@
     match word.filter(|word| !known.contains(word)) {
         Some(word) => {
             let wrong = format!("{word:?} is not known: {} are", known.join(", "));
-            Err(Fault { key: key.to_owned(), wrong })
+            Err(Fault {
+                key: key.to_owned(),
+                wrong,
+            })
         }
         None => Ok(()),
     }
@@ -122,22 +145,50 @@
     /// Finds words that are not known. The simulator's wire may bring new ones, which count as the most careful of
     /// the known; in a file one is a slip.
     pub fn words(&self) -> Result<(), Fault> {
-        unknown("discovery", self.discovery.as_deref(), &["pushed", "on_request"])?;
-        unknown("feedback.how", self.feedback.how.as_deref(), &["off", "on_probe", "inline"])?;
-        unknown("weights", self.weights.as_deref(), &["off", "nominal", "rough", "live"])?;
+        unknown(
+            "discovery",
+            self.discovery.as_deref(),
+            &["pushed", "on_request"],
+        )?;
+        unknown(
+            "feedback.how",
+            self.feedback.how.as_deref(),
+            &["off", "on_probe", "inline"],
+        )?;
+        unknown(
+            "weights",
+            self.weights.as_deref(),
+            &["off", "nominal", "rough", "live"],
+        )?;
         for (n, class) in self.classes.iter().enumerate() {
             let (effect, scope) = (class.effect.as_str(), class.key_scope.as_deref());
-            unknown(&format!("classes[{n}].effect"), Some(effect), &["repeatable", "by_key", "once"])?;
-            unknown(&format!("classes[{n}].key-scope"), scope, &["all", "zone", "cell"])?;
+            unknown(
+                &format!("classes[{n}].effect"),
+                Some(effect),
+                &["repeatable", "by_key", "once"],
+            )?;
+            unknown(
+                &format!("classes[{n}].key-scope"),
+                scope,
+                &["all", "zone", "cell"],
+            )?;
         }
         Ok(())
     }
 
     /// Checks what no type tells, and gives the settings in the module's form.
     pub fn checked(&self) -> Result<Checked, Fault> {
-        let fault = |key: String, wrong: &str| Err(Fault { key, wrong: wrong.to_owned() });
+        let fault = |key: String, wrong: &str| {
+            Err(Fault {
+                key,
+                wrong: wrong.to_owned(),
+            })
+        };
         let least = |key: String, figure: f64| match figure < 0.0 {
-            true => Err(Fault { key, wrong: "must not be negative".to_owned() }),
+            true => Err(Fault {
+                key,
+                wrong: "must not be negative".to_owned(),
+            }),
             false => Ok(()),
         };
         if self.classes.is_empty() {
@@ -145,7 +196,10 @@
         }
         for (n, class) in self.classes.iter().enumerate() {
             let key = |name: &str| format!("classes[{n}].{name}");
-            if self.classes[..n].iter().any(|other| other.name == class.name) {
+            if self.classes[..n]
+                .iter()
+                .any(|other| other.name == class.name)
+            {
                 return fault(key("name"), "the name of an earlier class");
             }
             if class.deadline <= 0.0 {
@@ -171,7 +225,10 @@
         }
         let (limits, rules) = (&self.limits, &self.rules);
         if limits.max_attempts == 0 {
-            return fault("limits.max-attempts".into(), "at least one attempt is needed");
+            return fault(
+                "limits.max-attempts".into(),
+                "at least one attempt is needed",
+            );
         }
         for (key, figure) in [
             ("limits.max-retry-after", limits.max_retry_after),
@@ -206,12 +263,22 @@
             );
         }
         if self.scoring_mix.miss_allowed > 1.0 {
-            return fault("scoring-mix.miss-allowed".into(), "a share of requests, must not be over 1");
+            return fault(
+                "scoring-mix.miss-allowed".into(),
+                "a share of requests, must not be over 1",
+            );
         }
         if self.scoring_mix.tail > 0.0 && self.scoring_mix.miss_allowed == 0.0 {
-            return fault("scoring-mix.miss-allowed".into(), "must be over 0 where scoring-mix.tail is");
+            return fault(
+                "scoring-mix.miss-allowed".into(),
+                "must be over 0 where scoring-mix.tail is",
+            );
         }
-        if let Some(n) = self.classes.iter().position(|class| class.fifo_by_key && class.stream) {
+        if let Some(n) = self
+            .classes
+            .iter()
+            .position(|class| class.fifo_by_key && class.stream)
+        {
             let wrong = "a streamed answer has no end by which the next could go";
             return fault(format!("classes[{n}].fifo-by-key"), wrong);
         }
@@ -222,7 +289,11 @@
         let zone = ZoneId(zones.intern(&self.locality));
         Ok(Checked {
             settings: settings(self, zone),
-            classes: self.classes.iter().map(|class| class.name.clone()).collect(),
+            classes: self
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
             tenants: self.orgs.iter().map(|tenant| tenant.name.clone()).collect(),
             zones,
             conn_idle: Some(limits.conn_idle).filter(|idle| *idle > 0.0),
@@ -401,7 +472,11 @@
         tenants: config
             .orgs
             .iter()
-            .map(|org| Tenant { portion: org.portion, quota_rps: org.quota_rps, offered: true })
+            .map(|org| Tenant {
+                portion: org.portion,
+                quota_rps: org.quota_rps,
+                offered: true,
+            })
             .collect(),
         over_share_worth: config.over_share_worth.unwrap_or(1.0),
         discovery_on_request: config.discovery.as_deref() == Some("on_request"),
@@ -417,7 +492,10 @@
             _ => Weights::Off,
         },
         warm_keys: config.domain.warm_keys,
-        goal: Goal { tail: config.scoring_mix.tail, miss_allowed: config.scoring_mix.miss_allowed },
+        goal: Goal {
+            tail: config.scoring_mix.tail,
+            miss_allowed: config.scoring_mix.miss_allowed,
+        },
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
--- a/crates/sandtrack-sidecar-core/src/by_hand.rs
+++ b/crates/sandtrack-sidecar-core/src/by_hand.rs
@@ -56,11 +56,21 @@
     #[test]
     fn two_calls_out_need_one_back_and_a_call_back_alone_is_nothing() {
         let mut by_hand = ByHand::default();
-        by_hand.apply(Change::Back { id: "a".to_owned(), at: 1 });
-        assert_eq!(by_hand, ByHand::default(), "it was never out, and is not cold");
+        by_hand.apply(Change::Back {
+            id: "a".to_owned(),
+            at: 1,
+        });
+        assert_eq!(
+            by_hand,
+            ByHand::default(),
+            "it was never out, and is not cold"
+        );
         by_hand.apply(Change::Out("a".to_owned()));
         by_hand.apply(Change::Out("a".to_owned()));
-        by_hand.apply(Change::Back { id: "a".to_owned(), at: 2 });
+        by_hand.apply(Change::Back {
+            id: "a".to_owned(),
+            at: 2,
+        });
         assert!(by_hand.out.is_empty() && by_hand.back["a"] == 2);
     }
 }
--- a/crates/sandtrack-sidecar-core/src/message.rs
+++ b/crates/sandtrack-sidecar-core/src/message.rs
@@ -7,7 +7,10 @@
 
 impl Headers {
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
@@ -16,7 +19,9 @@
     }
 
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
+        self.all(name)
+            .flat_map(|value| value.split(','))
+            .any(|word| word.trim().eq_ignore_ascii_case(token))
     }
 
     /// Those that concern the two ends and not one connection, in their order.
@@ -35,7 +40,10 @@
         ];
         let hop = |name: &str| HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
         let named = |name: &str| self.has_token("connection", name);
-        let kept = self.0.iter().filter(move |(name, _)| !hop(name) && !named(name));
+        let kept = self
+            .0
+            .iter()
+            .filter(move |(name, _)| !hop(name) && !named(name));
         kept.map(|(name, value)| (name.as_str(), value.as_str()))
     }
 }
@@ -62,8 +70,12 @@
 
 /// A target in the origin form: the absolute form names the scheme and the address as well (RFC 9112, 3.2.2).
 pub fn origin_form(target: &str) -> Cow<'_, str> {
-    let scheme = target.get(..7).filter(|scheme| scheme.eq_ignore_ascii_case("http://"));
-    let Some(rest) = scheme.map(|_| &target[7..]) else { return Cow::Borrowed(target) };
+    let scheme = target
+        .get(..7)
+        .filter(|scheme| scheme.eq_ignore_ascii_case("http://"));
+    let Some(rest) = scheme.map(|_| &target[7..]) else {
+        return Cow::Borrowed(target);
+    };
     match rest.find(['/', '?']) {
         Some(at) if rest[at..].starts_with('/') => Cow::Borrowed(&rest[at..]),
         Some(at) => Cow::Owned(format!("/{}", &rest[at..])),
@@ -72,7 +84,10 @@
 }
 
 pub fn request<'a>(
-    method: &str, target: &str, headers: impl Iterator<Item = (&'a str, &'a str)>, body: &[u8],
+    method: &str,
+    target: &str,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    body: &[u8],
 ) -> Vec<u8> {
     let mut bytes = request_head_of(method, target, headers, body.len());
     bytes.extend_from_slice(body);
@@ -81,7 +96,10 @@
 
 /// The head of a request whose body of this length follows whole.
 pub fn request_head_of<'a>(
-    method: &str, target: &str, headers: impl Iterator<Item = (&'a str, &'a str)>, length: usize,
+    method: &str,
+    target: &str,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    length: usize,
 ) -> Vec<u8> {
     // A method that takes no body says nothing of its length.
     let length = (length > 0 || !matches!(method, "GET" | "DELETE")).then_some(length);
@@ -89,7 +107,10 @@
 }
 
 pub fn response<'a>(
-    status: u16, headers: impl Iterator<Item = (&'a str, &'a str)>, body: &[u8], close: bool,
+    status: u16,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    body: &[u8],
+    close: bool,
 ) -> Vec<u8> {
     let mut bytes = response_head(status, headers, Flow::Length(body.len()), close);
     bytes.extend_from_slice(body);
@@ -149,19 +170,35 @@
 
 /// The head of a response whose body follows.
 pub fn response_head<'a>(
-    status: u16, headers: impl Iterator<Item = (&'a str, &'a str)>, flow: Flow, close: bool,
+    status: u16,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    flow: Flow,
+    close: bool,
 ) -> Vec<u8> {
     let (length, coding) = flow.headers();
-    let headers = headers.chain(coding).chain(close.then_some(("Connection", "close")));
-    write(format!("HTTP/1.1 {status} {}\r\n", reason(status)), headers, length)
+    let headers = headers
+        .chain(coding)
+        .chain(close.then_some(("Connection", "close")));
+    write(
+        format!("HTTP/1.1 {status} {}\r\n", reason(status)),
+        headers,
+        length,
+    )
 }
 
 /// The head of a request whose body follows.
 pub fn request_head<'a>(
-    method: &str, target: &str, headers: impl Iterator<Item = (&'a str, &'a str)>, flow: Flow,
+    method: &str,
+    target: &str,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    flow: Flow,
 ) -> Vec<u8> {
     let (length, coding) = flow.headers();
-    write(format!("{method} {target} HTTP/1.1\r\n"), headers.chain(coding), length)
+    write(
+        format!("{method} {target} HTTP/1.1\r\n"),
+        headers.chain(coding),
+        length,
+    )
 }
 
 /// One chunk; an empty one ends the body.
@@ -173,7 +210,9 @@
 }
 
 fn write<'a>(
-    start: String, headers: impl Iterator<Item = (&'a str, &'a str)>, length: Option<usize>,
+    start: String,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
+    length: Option<usize>,
 ) -> Vec<u8> {
     let mut text = start;
     for (name, value) in headers {
--- a/crates/sandtrack-sidecar-core/src/metrics.rs
+++ b/crates/sandtrack-sidecar-core/src/metrics.rs
@@ -59,11 +59,17 @@
         for (n, name) in classes.iter().enumerate() {
             let sums = by_name.entry(name).or_default();
             let counts = self.ends.get(n).copied().unwrap_or_default();
-            sums.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+            sums.iter_mut()
+                .zip(counts)
+                .for_each(|(sum, count)| *sum += count);
         }
         let mut lines = Vec::new();
         for (n, figure) in ["completed", "rejected", "failed"].into_iter().enumerate() {
-            lines.extend(by_name.iter().map(|(class, sums)| (format!("{figure}.{class}"), sums[n])));
+            lines.extend(
+                by_name
+                    .iter()
+                    .map(|(class, sums)| (format!("{figure}.{class}"), sums[n])),
+            );
         }
         let plain = [
             ("upstream_requests", self.upstream_requests),
@@ -74,12 +80,19 @@
             ("config_reload_errors", self.config_reload_errors),
         ];
         let fleet = levels.fleet.iter().copied();
-        lines.extend(plain.into_iter().chain(fleet).map(|(name, value)| (name.to_owned(), value)));
-        lines.into_iter().fold(String::new(), |mut text, (name, value)| {
-            // Writing to a string can't fail.
-            let _ = writeln!(text, "{PREFIX}.{name}={value}");
-            text
-        })
+        lines.extend(
+            plain
+                .into_iter()
+                .chain(fleet)
+                .map(|(name, value)| (name.to_owned(), value)),
+        );
+        lines
+            .into_iter()
+            .fold(String::new(), |mut text, (name, value)| {
+                // Writing to a string can't fail.
+                let _ = writeln!(text, "{PREFIX}.{name}={value}");
+                text
+            })
     }
 }
 
@@ -96,7 +109,12 @@
         figures.ended(2, End::of(504));
         figures.upstream_requests = 5;
         let classes = ["pay", "read", "pay"].map(str::to_owned);
-        let levels = Levels { pending: 3, members: 9, members_unavailable: 1, fleet: Vec::new() };
+        let levels = Levels {
+            pending: 3,
+            members: 9,
+            members_unavailable: 1,
+            fleet: Vec::new(),
+        };
         let expected = "node.completed.pay=2\nnode.completed.read=0\nnode.rejected.pay=1\nnode.rejected.read=0\n\
                         node.failed.pay=1\nnode.failed.read=0\nnode.upstream_requests=5\nnode.pending=3\nnode.members=9\n\
                         node.members_unavailable=1\nnode.config_reloads=0\nnode.config_reload_errors=0\n";
--- a/crates/sandtrack-sidecar-core/src/reducer.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer.rs
@@ -437,7 +437,11 @@
 
 impl Default for Ways {
     fn default() -> Self {
-        Ways { admin: false, inherited: false, memory: MEMORY_MB << 20 }
+        Ways {
+            admin: false,
+            inherited: false,
+            memory: MEMORY_MB << 20,
+        }
     }
 }
 
@@ -447,7 +451,11 @@
     // On sockets discovery tells only who asks, whatever the settings say of it.
     let pushed = !std::mem::replace(&mut checked.settings.discovery_on_request, true);
     let connect = Some(checked.settings.limits.connect_timeout).filter(|time| *time > 0.0);
-    (checked.conn_idle.unwrap_or(IDLE_UNTOLD), connect.unwrap_or(CONNECT_UNTOLD), pushed)
+    (
+        checked.conn_idle.unwrap_or(IDLE_UNTOLD),
+        connect.unwrap_or(CONNECT_UNTOLD),
+        pushed,
+    )
 }
 
 /// The name of an upstream, for the log.
@@ -458,7 +466,11 @@
 impl Reducer {
     /// `epoch`: wall time in Unix milliseconds at the clock's zero, read once.
     pub fn new(
-        mut checked: Checked, discovery: SocketAddr, seed: u64, descriptors: usize, epoch: Millis,
+        mut checked: Checked,
+        discovery: SocketAddr,
+        seed: u64,
+        descriptors: usize,
+        epoch: Millis,
         now: Millis,
     ) -> Self {
         let (conn_idle, connect_timeout, pushed) = on_sockets(&mut checked);
@@ -521,8 +533,16 @@
 
     /// Two processes of one sidecar have a half each.
     fn share_sockets(&mut self) {
-        let own = if self.other_lives { self.descriptors / 2 } else { self.descriptors };
-        let staff = if self.ways.admin { ADMIN_MOST + STAFF_RESERVE } else { 0 };
+        let own = if self.other_lives {
+            self.descriptors / 2
+        } else {
+            self.descriptors
+        };
+        let staff = if self.ways.admin {
+            ADMIN_MOST + STAFF_RESERVE
+        } else {
+            0
+        };
         self.sockets = own.saturating_sub(RESERVE + staff).max(2);
         self.links_most = ((self.sockets as f64 * LINKS_PART) as usize).max(1);
         self.give_way();
@@ -544,7 +564,8 @@
             self.list(ListKind::Stale, known.instances);
         }
         self.timers.set(Timer::Sweep, self.now + SWEEP_EVERY);
-        self.timers.set(Timer::Ready, self.now + staff::READY_ANYWAY);
+        self.timers
+            .set(Timer::Ready, self.now + staff::READY_ANYWAY);
         self.accept();
         self.settle();
         std::mem::take(&mut self.effects)
@@ -570,13 +591,23 @@
     pub fn is_empty(&self) -> bool {
         let kept = |timer: &Timer| {
             let lists = [Timer::WatchSilent, Timer::Reopen];
-            let own = [Timer::Wake, Timer::Ready, Timer::Sweep, Timer::Drain, Timer::Fleet];
+            let own = [
+                Timer::Wake,
+                Timer::Ready,
+                Timer::Sweep,
+                Timer::Drain,
+                Timer::Fleet,
+            ];
             !own.contains(timer) && !lists.contains(timer)
         };
         let idle = self.servers.values().all(|server| server.idle.is_empty());
         let timers = !self.timers.set.keys().any(kept);
         let idle = idle && self.idle.order.is_empty() && self.waits.order.is_empty();
-        self.clients.is_empty() && self.links.is_empty() && self.requests.is_empty() && timers && idle
+        self.clients.is_empty()
+            && self.links.is_empty()
+            && self.requests.is_empty()
+            && timers
+            && idle
     }
 
     /// Takes one input; what is due goes before it.
@@ -605,9 +636,14 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream } => self.send(request, upstream.0),
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let seconds = retry_after.map(|wait| format!("{:.3}", wait / 1000.0));
-                let headers = seconds.iter().map(|seconds| ("Retry-After", seconds.as_str()));
+                let headers = seconds
+                    .iter()
+                    .map(|seconds| ("Retry-After", seconds.as_str()));
                 self.answer(request, 503, headers, b"");
             }
             Action::Fail { request } => self.answer(request, 502, std::iter::empty(), b""),
@@ -622,12 +658,32 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::ClientOpened { conn } => self.client_opened(conn),
-            Input::ClientRequest { conn, at, message } => self.client_request(conn, at, message, None),
-            Input::ClientFlows { conn, at, head, length } => {
+            Input::ClientRequest { conn, at, message } => {
+                self.client_request(conn, at, message, None)
+            }
+            Input::ClientFlows {
+                conn,
+                at,
+                head,
+                length,
+            } => {
                 let flow = length.map_or(Flow::Chunks, Flow::Length);
-                self.client_request(conn, at, Message { head, body: Vec::new() }, Some(flow));
+                self.client_request(
+                    conn,
+                    at,
+                    Message {
+                        head,
+                        body: Vec::new(),
+                    },
+                    Some(flow),
+                );
             }
-            Input::ClientPiece { conn, at, bytes, last } => self.client_piece(conn, at, &bytes, last),
+            Input::ClientPiece {
+                conn,
+                at,
+                bytes,
+                last,
+            } => self.client_piece(conn, at, &bytes, last),
             Input::ClientOver { conn, at } => self.client_over(conn, at),
             Input::ClientBegan { conn, head } => self.client_began(conn, head),
             Input::ClientBad { conn, status } => {
@@ -639,9 +695,18 @@
             }
             Input::ClientClosed { conn } => self.client_closed(conn),
             Input::ClientWrote { conn } => self.client_wrote(conn),
-            Input::UpstreamBegan { conn, at, head, length } => self.began(conn, at, &head, length),
+            Input::UpstreamBegan {
+                conn,
+                at,
+                head,
+                length,
+            } => self.began(conn, at, &head, length),
             Input::UpstreamPiece { conn, bytes } => self.piece(conn, &bytes),
-            Input::UpstreamOver { conn, at, keep_alive } => self.over(conn, at, keep_alive),
+            Input::UpstreamOver {
+                conn,
+                at,
+                keep_alive,
+            } => self.over(conn, at, keep_alive),
             Input::UpstreamConnected { conn } => self.connected(conn),
             Input::UpstreamAnswered { conn, at, message } => self.answered(conn, at, message),
             Input::UpstreamPartly { conn, open } => self.partly(conn, open),
@@ -658,7 +723,9 @@
             Input::UpstreamWrote { conn } => self.upstream_wrote(conn),
             Input::AdminOpened { conn } => self.admin_opened(conn),
             Input::AdminCall { conn, message } => self.admin_call(conn, &message),
-            Input::AdminBad { conn, status } => self.admin_answer(conn, status, "no: it can't be read\n"),
+            Input::AdminBad { conn, status } => {
+                self.admin_answer(conn, status, "no: it can't be read\n")
+            }
             Input::AdminClosed { conn } => self.admin_closed(conn),
             Input::Changed { conn, noted } => self.changed(conn, noted),
             Input::ByHand(by_hand) => self.follow(by_hand),
@@ -672,10 +739,17 @@
             Input::AcceptStopped => self.stopped = true,
             Input::Terminate => self.terminate(),
             Input::ReloadFailed => self.figures.config_reload_errors += 1,
-            Input::Reload { discovery, settings } => {
+            Input::Reload {
+                discovery,
+                settings,
+            } => {
                 self.figures.config_reloads += 1;
-                settings.into_iter().for_each(|settings| self.adopt(*settings));
-                discovery.into_iter().for_each(|discovery| self.reload(discovery));
+                settings
+                    .into_iter()
+                    .for_each(|settings| self.adopt(*settings));
+                discovery
+                    .into_iter()
+                    .for_each(|discovery| self.reload(discovery));
             }
             Input::Tick => {}
         }
@@ -684,7 +758,9 @@
     fn fire(&mut self, timer: Timer) {
         match timer {
             Timer::Connect(conn) | Timer::Answer(conn) => {
-                let Some(link) = self.links.get(&conn) else { return };
+                let Some(link) = self.links.get(&conn) else {
+                    return;
+                };
                 if matches!(link.stage, Stage::Busy(Job::Attempt(..))) {
                     // It has begun to answer and does not go on.
                     self.spoilt(conn);
@@ -721,5 +797,7 @@
 
 /// What of an upstream's headers the client gets.
 fn answer_headers(head: &Head) -> impl Iterator<Item = (&str, &str)> {
-    head.headers.end_to_end().filter(|(name, _)| !name.eq_ignore_ascii_case("X-Load-Report"))
+    head.headers
+        .end_to_end()
+        .filter(|(name, _)| !name.eq_ignore_ascii_case("X-Load-Report"))
 }
--- a/crates/sandtrack-sidecar-core/src/reducer/clients.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/clients.rs
@@ -6,7 +6,9 @@
     pub(super) fn client_opened(&mut self, conn: ConnId) {
         self.last_opened = self.now;
         self.trim_idle();
-        let free = self.sockets.saturating_sub(self.clients.len() + self.links.len());
+        let free = self
+            .sockets
+            .saturating_sub(self.clients.len() + self.links.len());
         let scarce = free <= (self.sockets as f64 * SPARE_PART) as usize;
         let surplus = scarce && !self.make_room() && free == 0;
         if surplus {
@@ -28,7 +30,9 @@
 
     /// The one place where a client's entry changes, so that it is always found by its age.
     pub(super) fn client<T>(
-        &mut self, conn: ConnId, change: impl FnOnce(&mut Client, Millis) -> T,
+        &mut self,
+        conn: ConnId,
+        change: impl FnOnce(&mut Client, Millis) -> T,
     ) -> Option<T> {
         let client = self.clients.get_mut(&conn)?;
         if let Some(wait) = client.wait() {
@@ -45,7 +49,11 @@
     /// body from the end of the head.
     pub(super) fn client_began(&mut self, conn: ConnId, head: bool) {
         self.client(conn, |client, now| {
-            client.since = if client.served && !client.begun || head { now } else { client.since };
+            client.since = if client.served && !client.begun || head {
+                now
+            } else {
+                client.since
+            };
             (client.begun, client.head) = (true, head);
         });
     }
@@ -54,7 +62,9 @@
     pub(super) fn trim_idle(&mut self) {
         let most = (self.sockets as f64 * IDLE_PART) as usize;
         while self.waits.count(Wait::Idle) > most {
-            let Some(conn) = self.waits.eldest(Wait::Idle, self.now) else { return };
+            let Some(conn) = self.waits.eldest(Wait::Idle, self.now) else {
+                return;
+            };
             self.retire_client(conn);
         }
     }
@@ -82,8 +92,17 @@
         if self.links.len() + self.clients.len() <= self.sockets {
             return;
         }
-        let links = self.links.values().filter(|link| matches!(link.stage, Stage::Closing)).count();
-        let going = links + self.clients.values().filter(|client| client.closing || client.retired).count();
+        let links = self
+            .links
+            .values()
+            .filter(|link| matches!(link.stage, Stage::Closing))
+            .count();
+        let going = links
+            + self
+                .clients
+                .values()
+                .filter(|client| client.closing || client.retired)
+                .count();
         let beyond = (self.links.len() + self.clients.len()).saturating_sub(self.sockets + going);
         for _ in 0..beyond {
             if !self.make_room() {
@@ -100,7 +119,10 @@
 
     /// Closes it whatever has come of a request or gone of an answer.
     pub(super) fn close_client(&mut self, conn: ConnId) {
-        if self.client(conn, |client, now| client.answered(true, now)).is_some() {
+        if self
+            .client(conn, |client, now| client.answered(true, now))
+            .is_some()
+        {
             self.effects.push(Effect::CloseClient { conn });
         }
     }
@@ -109,7 +131,11 @@
     pub(super) fn scarce(&mut self, what: &str) {
         if self.now - self.scarce_said >= SCARCE_EVERY {
             self.scarce_said = self.now;
-            tracing::warn!(clients = self.clients.len(), upstreams = self.links.len(), "{what}");
+            tracing::warn!(
+                clients = self.clients.len(),
+                upstreams = self.links.len(),
+                "{what}"
+            );
         }
     }
 
@@ -125,19 +151,29 @@
     }
 
     pub(super) fn client_closed(&mut self, conn: ConnId) {
-        let Some(client) = self.clients.remove(&conn) else { return };
+        let Some(client) = self.clients.remove(&conn) else {
+            return;
+        };
         if let Some(wait) = client.wait() {
             self.waits.remove(wait, client.since, conn);
         }
         if let Some(id) = client.request {
             // What no byte of is written yet is held back, whether a cancel is allowed or not.
-            let carried = self.requests.get(&id).into_iter().flat_map(|request| &request.attempts);
+            let carried = self
+                .requests
+                .get(&id)
+                .into_iter()
+                .flat_map(|request| &request.attempts);
             let ordered = |conn: &ConnId| self.links.get(conn).is_some_and(|link| link.counts);
             let ordered = carried.filter_map(|attempt| attempt.conn).filter(ordered);
-            self.effects.extend(ordered.map(|conn| Effect::Withdraw { conn }));
+            self.effects
+                .extend(ordered.map(|conn| Effect::Withdraw { conn }));
             let link = self.requests.get_mut(&id).and_then(|request| {
                 request.client = None;
-                request.stream.as_ref().map(|stream| (stream.attempt, stream.link))
+                request
+                    .stream
+                    .as_ref()
+                    .map(|stream| (stream.attempt, stream.link))
             });
             // An answer that flows has nobody left to go to, whether a cancel is allowed or not, and what has come of a
             // request is of no use.
@@ -159,19 +195,36 @@
 
     /// An answer that no upstream or decision is behind.
     pub(super) fn plain(&mut self, conn: ConnId, status: u16, close: bool) {
-        let Some(client) = self.clients.get(&conn).filter(|client| !client.closing) else { return };
+        let Some(client) = self.clients.get(&conn).filter(|client| !client.closing) else {
+            return;
+        };
         let close = close || self.leaving() || client.surplus || client.retired;
         self.client(conn, |client, now| client.answered(close, now));
         self.last_answer = self.now;
         let again = self.come_back().filter(|_| status == 503);
-        let headers = again.iter().map(|seconds| ("Retry-After", seconds.as_str()));
+        let headers = again
+            .iter()
+            .map(|seconds| ("Retry-After", seconds.as_str()));
         let bytes = message::response(status, headers, b"", close);
-        self.effects.push(Effect::Answer { conn, bytes, close, bad: (400..500).contains(&status) });
+        self.effects.push(Effect::Answer {
+            conn,
+            bytes,
+            close,
+            bad: (400..500).contains(&status),
+        });
     }
 
     /// `flow`: its body follows piece by piece.
-    pub(super) fn client_request(&mut self, conn: ConnId, at: Millis, message: Message, flow: Option<Flow>) {
-        let Some(client) = self.clients.get(&conn).filter(|client| client.between()) else { return };
+    pub(super) fn client_request(
+        &mut self,
+        conn: ConnId,
+        at: Millis,
+        message: Message,
+        flow: Option<Flow>,
+    ) {
+        let Some(client) = self.clients.get(&conn).filter(|client| client.between()) else {
+            return;
+        };
         let keep_alive = message.head.keep_alive && !client.retired;
         // Answered before its body is read, a connection is of no further use.
         let close = !keep_alive || flow.is_some();
@@ -182,7 +235,12 @@
         let many = self.requests.len() >= self.settings.limits.max_open as usize;
         let refused = client.surplus || many || flow.is_some() && !self.may_flow();
         if refused {
-            if let Some(class) = message.head.headers.get("X-Call-Class").and_then(|name| self.class(name)) {
+            if let Some(class) = message
+                .head
+                .headers
+                .get("X-Call-Class")
+                .and_then(|name| self.class(name))
+            {
                 self.figures.ended(class, End::Rejected);
             }
             return self.plain(conn, 503, close);
@@ -241,17 +299,30 @@
 
     /// The request in the module's words, or the status that says what is wrong with it.
     pub(super) fn arrival(
-        &mut self, request: RequestId, at: Millis, message: &Message, flows: bool,
+        &mut self,
+        request: RequestId,
+        at: Millis,
+        message: &Message,
+        flows: bool,
     ) -> Result<Arrival, (u16, &'static str)> {
         let head = &message.head;
         let get = |name: &str| head.headers.get(name);
         // Told twice, one reader might take the first and another the last.
-        for name in ["X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Again"] {
+        for name in [
+            "X-Call-Id",
+            "X-Call-Class",
+            "X-Caller",
+            "X-Budget-Ms",
+            "Idempotency-Key",
+            "X-Again",
+        ] {
             if head.headers.all(name).nth(1).is_some() {
                 return Err((400, "told twice"));
             }
         }
-        let call = get("X-Call-Id").filter(|id| !id.is_empty()).ok_or((400, "X-Call-Id"))?;
+        let call = get("X-Call-Id")
+            .filter(|id| !id.is_empty())
+            .ok_or((400, "X-Call-Id"))?;
         let class = get("X-Call-Class").ok_or((400, "X-Call-Class"))?;
         let class = self.class(class).ok_or((400, "X-Call-Class"))?;
         let settings = &self.settings.classes[class];
@@ -279,7 +350,11 @@
         let budget = match get("X-Budget-Ms") {
             Some(text) => {
                 let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-                let budget: u32 = text.parse().ok().filter(|_| digits).ok_or((400, "X-Budget-Ms"))?;
+                let budget: u32 = text
+                    .parse()
+                    .ok()
+                    .filter(|_| digits)
+                    .ok_or((400, "X-Budget-Ms"))?;
                 f64::from(budget)
             }
             None => settings.deadline,
@@ -292,7 +367,10 @@
             match pair.trim().split_once('=') {
                 Some(("partition-key" | "key", value)) => key = value.parse().ok(),
                 Some(("cost-guess" | "hint", value)) => {
-                    cost = value.parse().ok().filter(|cost: &f64| cost.is_finite() && *cost >= 0.0);
+                    cost = value
+                        .parse()
+                        .ok()
+                        .filter(|cost: &f64| cost.is_finite() && *cost >= 0.0);
                 }
                 _ => {}
             }
@@ -313,10 +391,18 @@
     }
 
     pub(super) fn answer<'a>(
-        &mut self, id: RequestId, status: u16, headers: impl Iterator<Item = (&'a str, &'a str)>, body: &[u8],
+        &mut self,
+        id: RequestId,
+        status: u16,
+        headers: impl Iterator<Item = (&'a str, &'a str)>,
+        body: &[u8],
     ) {
         let leaving = self.leaving();
-        if self.requests.get(&id).is_some_and(|request| request.stream.is_some()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.stream.is_some())
+        {
             // It has one that flows already; another attempt could not be called off.
             return;
         }
@@ -329,16 +415,25 @@
     /// An answer without a body; a refusal says when to come back.
     pub(super) fn bare_answer(&mut self, id: RequestId, status: u16) {
         let again = self.come_back().filter(|_| status == 503);
-        let headers = again.iter().map(|seconds| ("Retry-After", seconds.as_str()));
+        let headers = again
+            .iter()
+            .map(|seconds| ("Retry-After", seconds.as_str()));
         self.answer(id, status, headers, b"");
     }
 
     /// The one place where a request gets its answer, or the last piece of it, and so loses its client.
     pub(super) fn give(
-        &mut self, id: RequestId, how: End, message: impl FnOnce(&Request) -> (Vec<u8>, bool),
+        &mut self,
+        id: RequestId,
+        how: End,
+        message: impl FnOnce(&Request) -> (Vec<u8>, bool),
     ) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(conn) = request.client.take() else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(conn) = request.client.take() else {
+            return;
+        };
         self.figures.ended(request.class, how);
         let (bytes, close) = message(request);
         tracing::debug!(
@@ -346,9 +441,17 @@
             status = bytes.get(9..12).and_then(|b| std::str::from_utf8(b).ok()),
             "answered"
         );
-        if self.client(conn, |client, now| client.answered(close, now)).is_some() {
+        if self
+            .client(conn, |client, now| client.answered(close, now))
+            .is_some()
+        {
             self.last_answer = self.now;
-            self.effects.push(Effect::Answer { conn, bytes, close, bad: false });
+            self.effects.push(Effect::Answer {
+                conn,
+                bytes,
+                close,
+                bad: false,
+            });
         }
         self.request_closed(id);
     }
@@ -356,7 +459,9 @@
     /// It has its answer or lost its client: it is forgotten when its last attempt has ended, at the latest when its
     /// time is over, as not every deployment allows a cancel.
     pub(super) fn request_closed(&mut self, id: RequestId) {
-        let over = |request: &Request| request.client.is_none() && request.attempts.iter().all(|a| a.ended);
+        let over = |request: &Request| {
+            request.client.is_none() && request.attempts.iter().all(|a| a.ended)
+        };
         if self.requests.get(&id).is_some_and(over) {
             self.requests.remove(&id);
             self.timers.clear(Timer::Deadline(id));
@@ -366,9 +471,15 @@
     /// The client stops waiting: what is out has timed out. The module answers that; if it did not, the backstop
     /// does, as no request may go without an answer.
     pub(super) fn deadline(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let streams = |n: usize| request.streams(n as u32);
-        let out = request.attempts.iter().enumerate().filter(|(n, a)| !a.ended && !streams(*n));
+        let out = request
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(n, a)| !a.ended && !streams(*n));
         let out: Vec<(u32, Option<ConnId>)> = out.map(|(n, a)| (n as u32, a.conn)).collect();
         for (n, conn) in out {
             conn.into_iter().for_each(|conn| self.hang_up(conn));
@@ -377,7 +488,11 @@
         self.settle();
         self.events.push_back(Event::Wake);
         self.settle();
-        if self.requests.get(&id).is_some_and(|r| r.client.is_some() && r.stream.is_none()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.client.is_some() && r.stream.is_none())
+        {
             tracing::warn!(id = id.0, "answered by the backstop");
             self.events.push_back(Event::ClientGone(id));
             self.answer(id, 504, std::iter::empty(), b"");
--- a/crates/sandtrack-sidecar-core/src/reducer/flows.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/flows.rs
@@ -21,8 +21,13 @@
 impl Reducer {
     /// The attempt on this connection and its request, if that still has a client.
     pub(super) fn carried(&mut self, conn: ConnId) -> Option<(RequestId, u32, &mut Request)> {
-        let Stage::Busy(Job::Attempt(id, n)) = self.links.get(&conn)?.stage else { return None };
-        let request = self.requests.get_mut(&id).filter(|request| request.client.is_some())?;
+        let Stage::Busy(Job::Attempt(id, n)) = self.links.get(&conn)?.stage else {
+            return None;
+        };
+        let request = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| request.client.is_some())?;
         Some((id, n, request))
     }
 
@@ -38,7 +43,12 @@
     /// The request of this client, while its body flows.
     fn uploading(&mut self, conn: ConnId) -> Option<(RequestId, &mut Upload)> {
         let id = self.clients.get(&conn)?.request?;
-        let upload = self.requests.get_mut(&id)?.upload.as_mut().filter(|upload| !upload.over)?;
+        let upload = self
+            .requests
+            .get_mut(&id)?
+            .upload
+            .as_mut()
+            .filter(|upload| !upload.over)?;
         Some((id, upload))
     }
 
@@ -46,27 +56,41 @@
     /// the request is this attempt's alone, and has no deadline before its last byte has come.
     pub(super) fn upstream_took(&mut self, conn: ConnId) {
         let now = self.now;
-        let Some((id, n, request)) = self.carried(conn) else { return };
-        let Some(upload) = request.upload.as_mut().filter(|upload| !upload.over) else { return };
+        let Some((id, n, request)) = self.carried(conn) else {
+            return;
+        };
+        let Some(upload) = request.upload.as_mut().filter(|upload| !upload.over) else {
+            return;
+        };
         upload.asked = Some(now);
         let first = upload.link.is_none();
         upload.link = Some((n, conn));
         let client = request.client;
-        self.effects.extend(client.map(|conn| Effect::MoreClient { conn }));
+        self.effects
+            .extend(client.map(|conn| Effect::MoreClient { conn }));
         if first {
             self.timers.clear(Timer::Deadline(id));
-            self.events.push_back(Event::Opened { request: id, attempt: n });
+            self.events.push_back(Event::Opened {
+                request: id,
+                attempt: n,
+            });
         }
     }
 
     pub(super) fn client_piece(&mut self, conn: ConnId, at: Millis, bytes: &[u8], last: bool) {
         let now = self.now;
-        let Some((_, upload)) = self.uploading(conn) else { return };
+        let Some((_, upload)) = self.uploading(conn) else {
+            return;
+        };
         upload.waited += now - upload.asked.take().unwrap_or(now);
         upload.bytes += bytes.len();
         let Some((_, link)) = upload.link else { return };
         let bytes = upload.flow.piece(bytes);
-        self.effects.push(Effect::Pass { conn: link, bytes, last });
+        self.effects.push(Effect::Pass {
+            conn: link,
+            bytes,
+            last,
+        });
         if last {
             self.upload_over(conn, at);
         }
@@ -74,20 +98,30 @@
 
     /// The last byte of a body in chunks has come.
     pub(super) fn client_over(&mut self, conn: ConnId, at: Millis) {
-        let Some((_, upload)) = self.uploading(conn) else { return };
+        let Some((_, upload)) = self.uploading(conn) else {
+            return;
+        };
         let Some((_, link)) = upload.link else { return };
         let bytes = upload.flow.end();
-        self.effects.push(Effect::Pass { conn: link, bytes, last: true });
+        self.effects.push(Effect::Pass {
+            conn: link,
+            bytes,
+            last: true,
+        });
         self.upload_over(conn, at);
     }
 
     /// The request's time counts from here, and so does its attempt's.
     fn upload_over(&mut self, conn: ConnId, at: Millis) {
         let now = self.now;
-        let Some((id, upload)) = self.uploading(conn) else { return };
+        let Some((id, upload)) = self.uploading(conn) else {
+            return;
+        };
         (upload.over, upload.asked) = (true, None);
         let (budget, link) = (upload.budget, upload.link);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.not_after = at.min(now) + budget;
         let attempt = link.and_then(|(n, _)| request.attempts.get_mut(n as usize));
         attempt.into_iter().for_each(|attempt| attempt.sent = now);
@@ -96,11 +130,21 @@
 
     /// The attempt that had the body failed, and no other can have it: an end before the last byte never ran.
     pub(super) fn upload_failed(&mut self, id: RequestId, n: u32, outcome: Outcome) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let Some(upload) = request.upload.as_ref().filter(|u| u.link.is_some_and(|(own, _)| own == n)) else {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(upload) = request
+            .upload
+            .as_ref()
+            .filter(|u| u.link.is_some_and(|(own, _)| own == n))
+        else {
             return;
         };
-        let status = if outcome.never_ran() || !upload.over { 503 } else { 502 };
+        let status = if outcome.never_ran() || !upload.over {
+            503
+        } else {
+            502
+        };
         self.bare_answer(id, status);
     }
 
@@ -113,15 +157,23 @@
 
     /// This process ends: a body whose last byte came later could not be answered in time. What is not whole never ran.
     pub(super) fn refuse_uploads(&mut self) {
-        let uploads = self.requests.iter().filter(|(_, r)| r.client.is_some() && !r.is_whole());
+        let uploads = self
+            .requests
+            .iter()
+            .filter(|(_, r)| r.client.is_some() && !r.is_whole());
         let uploads: Vec<RequestId> = uploads.map(|(id, _)| *id).collect();
         uploads.into_iter().for_each(|id| self.break_off(id, 503));
     }
 
     /// What an upstream has of a request that is not whole never ran, and is of no use to it.
     pub(super) fn call_back(&mut self, id: RequestId) {
-        let upload = self.requests.get(&id).and_then(|request| request.upload.as_ref());
-        let link = upload.filter(|upload| !upload.over).and_then(|upload| upload.link);
+        let upload = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.upload.as_ref());
+        let link = upload
+            .filter(|upload| !upload.over)
+            .and_then(|upload| upload.link);
         link.into_iter().for_each(|(n, _)| self.cancel(id, n));
     }
 
@@ -130,8 +182,12 @@
         let now = self.now;
         let mut slow = Vec::new();
         for (id, request) in &mut self.requests {
-            let Some(upload) = request.upload.as_mut().filter(|_| request.client.is_some()) else { continue };
-            let Some(asked) = &mut upload.asked else { continue };
+            let Some(upload) = request.upload.as_mut().filter(|_| request.client.is_some()) else {
+                continue;
+            };
+            let Some(asked) = &mut upload.asked else {
+                continue;
+            };
             upload.waited += now - std::mem::replace(asked, now);
             if upload.waited >= PACE_OVER {
                 if upload.bytes < PACE_BYTES {
@@ -149,7 +205,8 @@
     /// with that, unless its class is one of streams.
     pub(super) fn began(&mut self, conn: ConnId, at: Millis, head: &Head, length: Option<usize>) {
         let leaving = self.leaving();
-        let Some(Stage::Busy(Job::Attempt(id, n))) = self.links.get(&conn).map(|link| link.stage) else {
+        let Some(Stage::Busy(Job::Attempt(id, n))) = self.links.get(&conn).map(|link| link.stage)
+        else {
             return;
         };
         let fit = |request: &Request| request.stream.is_none() && request.is_whole();
@@ -162,15 +219,25 @@
             None if request.message.head.chunks => Flow::Chunks,
             None => Flow::UntilEnd,
         };
-        request.stream = Some(Stream { attempt: n, link: conn, flow, passed: 0 });
+        request.stream = Some(Stream {
+            attempt: n,
+            link: conn,
+            flow,
+            passed: 0,
+        });
         request.keep_alive &= !leaving && flow != Flow::UntilEnd;
-        let bytes = message::response_head(head.status, answer_headers(head), flow, !request.keep_alive);
+        let bytes =
+            message::response_head(head.status, answer_headers(head), flow, !request.keep_alive);
         let (client, class) = (request.client, request.class);
-        self.effects.extend(client.map(|conn| Effect::Relay { conn, bytes }));
+        self.effects
+            .extend(client.map(|conn| Effect::Relay { conn, bytes }));
         self.timers.clear(Timer::Answer(conn));
         self.timers.clear(Timer::Hold(conn));
         if self.settings.classes[class].stream {
-            self.events.push_back(Event::Opened { request: id, attempt: n });
+            self.events.push_back(Event::Opened {
+                request: id,
+                attempt: n,
+            });
         } else {
             let told = head.headers.get("X-Load-Report").and_then(links::report);
             let begun = self.answer_began(conn, at);
@@ -182,43 +249,72 @@
     fn flowing(&mut self, conn: ConnId) -> Option<(&mut Stream, Option<ConnId>)> {
         let (.., request) = self.carried(conn)?;
         let client = request.client;
-        request.stream.as_mut().filter(|stream| stream.link == conn).map(|stream| (stream, client))
+        request
+            .stream
+            .as_mut()
+            .filter(|stream| stream.link == conn)
+            .map(|stream| (stream, client))
     }
 
     pub(super) fn piece(&mut self, conn: ConnId, bytes: &[u8]) {
-        let Some((stream, client)) = self.flowing(conn) else { return };
+        let Some((stream, client)) = self.flowing(conn) else {
+            return;
+        };
         stream.passed += bytes.len();
         let bytes = stream.flow.piece(bytes);
         self.timers.clear(Timer::Answer(conn));
-        self.effects.extend(client.map(|conn| Effect::Relay { conn, bytes }));
+        self.effects
+            .extend(client.map(|conn| Effect::Relay { conn, bytes }));
     }
 
     pub(super) fn client_wrote(&mut self, conn: ConnId) {
         let request = self.clients.get(&conn).and_then(|client| client.request);
-        let Some(request) = request.and_then(|id| self.requests.get(&id)) else { return };
-        let Some(stream) = &request.stream else { return };
+        let Some(request) = request.and_then(|id| self.requests.get(&id)) else {
+            return;
+        };
+        let Some(stream) = &request.stream else {
+            return;
+        };
         let link = stream.link;
         if !self.settings.classes[request.class].stream {
             let small = !matches!(stream.flow, Flow::Length(_)) && stream.passed <= SMALL;
             let stall = request.not_after.max(self.now) + SMALL_STALL;
-            self.timers.set(Timer::Answer(link), if small { stall } else { self.now + STALL });
+            self.timers.set(
+                Timer::Answer(link),
+                if small { stall } else { self.now + STALL },
+            );
         }
         self.effects.push(Effect::More { conn: link });
     }
 
     pub(super) fn over(&mut self, conn: ConnId, at: Millis, keep_alive: bool) {
-        let Some((Job::Attempt(id, n), _)) = self.free(conn, keep_alive) else { return };
-        let flow =
-            self.requests.get(&id).and_then(|request| request.stream.as_ref()).map(|stream| stream.flow);
+        let Some((Job::Attempt(id, n), _)) = self.free(conn, keep_alive) else {
+            return;
+        };
+        let flow = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.stream.as_ref())
+            .map(|stream| stream.flow);
         let Some(flow) = flow else { return };
-        self.give(id, End::Completed, |request| (flow.end(), !request.keep_alive));
+        self.give(id, End::Completed, |request| {
+            (flow.end(), !request.keep_alive)
+        });
         self.attempt_ended(id, n, Outcome::Ok, at, None);
     }
 
     /// An answer that flows and can't be finished: its client is shown that it is not whole.
     pub(super) fn cut_short(&mut self, id: RequestId, n: u32) {
-        let Some(request) = self.requests.get_mut(&id).filter(|request| request.streams(n)) else { return };
-        let Some(conn) = request.client.take() else { return };
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| request.streams(n))
+        else {
+            return;
+        };
+        let Some(conn) = request.client.take() else {
+            return;
+        };
         self.figures.ended(request.class, End::Failed);
         self.close_client(conn);
         self.request_closed(id);
--- a/crates/sandtrack-sidecar-core/src/reducer/leaving.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/leaving.rs
@@ -5,7 +5,11 @@
 impl Reducer {
     /// Ends what has waited long enough. It retires idle connections well before their upstreams may close them.
     pub(super) fn sweep(&mut self) {
-        if self.servers.values().any(|server| server.standing == Standing::Gone) {
+        if self
+            .servers
+            .values()
+            .any(|server| server.standing == Standing::Gone)
+        {
             self.forget_gone();
         }
         while let Some(conn) = self.idle.eldest((), self.now - self.conn_idle * RETIRE) {
@@ -34,9 +38,14 @@
 
     /// Staff send clients away: health says no, answers close, and what idles is closed; all that comes is still served.
     pub(super) fn drain_by_hand(&mut self) {
-        tracing::info!(requests = self.requests.len(), clients = self.clients.len(), "clients are sent away");
+        tracing::info!(
+            requests = self.requests.len(),
+            clients = self.clients.len(),
+            "clients are sent away"
+        );
         self.drained = Some(self.now);
-        self.timers.bring_forward(Timer::Drain, self.now + DRAIN_EVERY);
+        self.timers
+            .bring_forward(Timer::Drain, self.now + DRAIN_EVERY);
     }
 
     /// SIGTERM: connections are closed between requests, and new ones are taken while they still come; where another
@@ -45,7 +54,11 @@
         if self.draining.is_some() {
             return;
         }
-        tracing::info!(requests = self.requests.len(), clients = self.clients.len(), "terminating");
+        tracing::info!(
+            requests = self.requests.len(),
+            clients = self.clients.len(),
+            "terminating"
+        );
         self.draining = Some(self.now);
         self.leave_fleet();
         if self.ways.inherited && self.other_lives {
@@ -63,12 +76,17 @@
     }
 
     pub(super) fn drain(&mut self) {
-        let Some(since) = [self.draining, self.drained].into_iter().flatten().reduce(f64::min) else {
+        let Some(since) = [self.draining, self.drained]
+            .into_iter()
+            .flatten()
+            .reduce(f64::min)
+        else {
             return;
         };
         self.timers.set(Timer::Drain, self.now + DRAIN_EVERY);
         if self.now - since >= SOFT {
-            let quiet = |client: &Client| client.request.is_none() && self.now - client.since >= QUIET;
+            let quiet =
+                |client: &Client| client.request.is_none() && self.now - client.since >= QUIET;
             let quiet = self.clients.iter().filter(|(_, client)| quiet(client));
             let quiet: Vec<ConnId> = quiet.map(|(conn, _)| *conn).collect();
             quiet.into_iter().for_each(|conn| self.retire_client(conn));
@@ -80,11 +98,16 @@
 
     /// By when what is taken has to be answered, once the process ends: SIGKILL may come right after.
     pub(super) fn last_moment(&self) -> Option<Millis> {
-        self.draining.map(|since| since + LAST_CALL_MOST + self.longest() - KILL_MARGIN)
+        self.draining
+            .map(|since| since + LAST_CALL_MOST + self.longest() - KILL_MARGIN)
     }
 
     fn longest(&self) -> Millis {
-        self.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+        self.settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max)
     }
 
     /// Some time after SIGTERM.
@@ -97,7 +120,10 @@
             self.refuse_uploads();
         }
         // What is left by then are streams, or clients that neither ask nor read.
-        let owed = self.requests.values().any(|request| request.client.is_some() && request.stream.is_none());
+        let owed = self
+            .requests
+            .values()
+            .any(|request| request.client.is_some() && request.stream.is_none());
         let flows = |request: &Request| {
             request.client.is_some()
                 && request.stream.is_some()
--- a/crates/sandtrack-sidecar-core/src/reducer/lists.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/lists.rs
@@ -16,10 +16,17 @@
         let held: HashSet<u32> = self.links.values().map(|link| link.server).collect();
         let waits = |number: &u32| {
             let unserving = self.unserving.iter().flatten();
-            held.contains(number) || self.waiting.iter().chain(unserving).any(|server| server == number)
+            held.contains(number)
+                || self
+                    .waiting
+                    .iter()
+                    .chain(unserving)
+                    .any(|server| server == number)
         };
-        let gone =
-            self.servers.iter().filter(|(number, s)| s.told.standing == Standing::Gone && !waits(number));
+        let gone = self
+            .servers
+            .iter()
+            .filter(|(number, s)| s.told.standing == Standing::Gone && !waits(number));
         let gone = gone.filter(|(number, _)| !self.is_open(**number));
         let gone: Vec<u32> = gone.map(|(number, _)| *number).collect();
         for server in gone.iter().filter_map(|number| self.servers.remove(number)) {
@@ -30,7 +37,8 @@
     /// New work may go there: it is listed so, or the module goes on with it though the list has it as gone.
     pub(super) fn is_open(&self, number: u32) -> bool {
         let standing = self.servers.get(&number).map(|server| server.standing);
-        let kept = || self.settings.rules.soft_removal && self.balancer.fleet().offers(UpstreamId(number));
+        let kept =
+            || self.settings.rules.soft_removal && self.balancer.fleet().offers(UpstreamId(number));
         standing == Some(Standing::Ready) || standing == Some(Standing::Gone) && kept()
     }
 
@@ -43,7 +51,11 @@
             self.timers.set(Timer::WatchSilent, self.now + WATCH_FIRST);
             let (call, address) = (self.next_call, self.discovery);
             tracing::debug!(call, after = self.generation, "calling for the list");
-            self.effects.push(Effect::Watch { call, address, after: self.generation });
+            self.effects.push(Effect::Watch {
+                call,
+                address,
+                after: self.generation,
+            });
         }
     }
 
@@ -72,7 +84,8 @@
             self.effects.push(Effect::CloseWatch { call });
         }
         self.subscribe();
-        self.timers.set(Timer::WatchSilent, self.now + WATCH_RELOADED);
+        self.timers
+            .set(Timer::WatchSilent, self.now + WATCH_RELOADED);
     }
 
     pub(super) fn watch_line(&mut self, call: CallId, catalog: Catalog) {
@@ -81,15 +94,25 @@
         }
         self.watch_heard();
         self.generation = Some(catalog.generation);
-        let kind = if catalog.reset { ListKind::Whole } else { ListKind::Patch };
-        tracing::info!(generation = catalog.generation, entries = catalog.instances.len(), ?kind, "list");
+        let kind = if catalog.reset {
+            ListKind::Whole
+        } else {
+            ListKind::Patch
+        };
+        tracing::info!(
+            generation = catalog.generation,
+            entries = catalog.instances.len(),
+            ?kind,
+            "list"
+        );
         self.list(kind, catalog.instances);
         self.now_ready();
     }
 
     pub(super) fn watch_heard(&mut self) {
         self.watch_heard = true;
-        self.timers.set(Timer::WatchSilent, self.now + WATCH_SILENCE);
+        self.timers
+            .set(Timer::WatchSilent, self.now + WATCH_SILENCE);
     }
 
     /// The list that it gave serves until another watch tells more. How soon one is opened follows from what counts as
@@ -105,7 +128,10 @@
         self.watch = None;
         self.timers.clear(Timer::WatchSilent);
         let silent = how == Broken::Silent;
-        tracing::warn!(how = if silent { "silent" } else { "ended" }, "watch broken");
+        tracing::warn!(
+            how = if silent { "silent" } else { "ended" },
+            "watch broken"
+        );
         if silent && (self.watch_heard || self.pushed) {
             self.subscribe();
         } else if self.watch_heard || self.pushed {
@@ -135,9 +161,15 @@
                 }
             }
         }
-        let entries = instances.into_iter().map(|instance| self.entry(instance)).collect();
+        let entries = instances
+            .into_iter()
+            .map(|instance| self.entry(instance))
+            .collect();
         for number in before {
-            let left = self.servers.get(&number).filter(|server| server.told.standing == Standing::Gone);
+            let left = self
+                .servers
+                .get(&number)
+                .filter(|server| server.told.standing == Standing::Gone);
             if let Some(server) = left {
                 tracing::info!(upstream = server.name, "left the list");
                 self.drop_idle(number);
@@ -171,12 +203,23 @@
             standing,
             cell: instance.cell,
             kind: self.kinds.intern(&instance.machine_type),
-            scale: instance.weight.filter(|w| w.is_finite() && *w > 0.0).unwrap_or(scale),
+            scale: instance
+                .weight
+                .filter(|w| w.is_finite() && *w > 0.0)
+                .unwrap_or(scale),
             zone: ZoneId(self.zones.intern(&instance.zone)),
             since,
         };
         let kept = told.clone();
-        let new = || Server { name, address, told, standing, since, back: None, idle: Vec::new() };
+        let new = || Server {
+            name,
+            address,
+            told,
+            standing,
+            since,
+            back: None,
+            idle: Vec::new(),
+        };
         let server = self.servers.entry(number).or_insert_with(new);
         server.told = kept.clone();
         let address = address.or(server.address);
@@ -198,13 +241,20 @@
             Standing::Ready if self.by_hand.out.contains(&server.name) => Standing::Draining,
             told => told,
         };
-        let since = [server.told.since, server.back].into_iter().flatten().reduce(f64::max);
+        let since = [server.told.since, server.back]
+            .into_iter()
+            .flatten()
+            .reduce(f64::max);
         let restarted = server.since != since;
         if server.standing != standing || restarted {
             tracing::info!(upstream = server.name, ?standing, restarted, "changed");
         }
         (server.since, server.standing) = (since, standing);
-        let entry = Entry { standing, since, ..server.told.clone() };
+        let entry = Entry {
+            standing,
+            since,
+            ..server.told.clone()
+        };
         // Connections to a former process, or to one that takes nothing more, are of no use.
         if restarted || standing != Standing::Ready {
             self.drop_idle(number);
@@ -213,7 +263,11 @@
     }
 
     pub(super) fn drop_idle(&mut self, server: u32) {
-        let Some(server) = self.servers.get_mut(&server) else { return };
-        std::mem::take(&mut server.idle).into_iter().for_each(|conn| self.hang_up(conn));
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
+        std::mem::take(&mut server.idle)
+            .into_iter()
+            .for_each(|conn| self.hang_up(conn));
     }
 }
--- a/crates/sandtrack-sidecar-core/src/reducer/members.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/members.rs
@@ -32,7 +32,13 @@
         let now = whole(self.now);
         let budget = Budget::new(self.settings.siblings, now);
         let fleet = Fleet::new(identity, seed, now);
-        self.members = Some(Members { fleet, budget, open: false, came: 0, counted: self.now });
+        self.members = Some(Members {
+            fleet,
+            budget,
+            open: false,
+            came: 0,
+            counted: self.now,
+        });
         self
     }
 
@@ -41,7 +47,9 @@
         if self.draining.is_some() {
             return self.effects.push(Effect::CloseFleet);
         }
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         tracing::info!(name = members.fleet.name(), "joining the fleet");
         members.open = true;
         members.fleet.start(whole(self.now));
@@ -49,19 +57,30 @@
     }
 
     pub(super) fn datagram(&mut self, source: SocketAddrV4, bytes: &[u8]) {
-        let Some(members) = self.members.as_mut().filter(|members| members.open) else { return };
+        let Some(members) = self.members.as_mut().filter(|members| members.open) else {
+            return;
+        };
         members.fleet.datagram(source, bytes, whole(self.now));
         self.fleet_settle();
     }
 
     pub(super) fn fleet_due(&mut self) {
-        let Some(members) = self.members.as_mut().filter(|members| members.open) else { return };
+        let Some(members) = self.members.as_mut().filter(|members| members.open) else {
+            return;
+        };
         let now = whole(self.now);
         members.fleet.tick(now);
         if self.now - members.counted >= COUNT_EVERY {
             members.counted = self.now;
-            let open = self.requests.values().filter(|request| request.client.is_some()).count() as u32;
-            let load = Load { open, per_second: std::mem::take(&mut members.came) };
+            let open = self
+                .requests
+                .values()
+                .filter(|request| request.client.is_some())
+                .count() as u32;
+            let load = Load {
+                open,
+                per_second: std::mem::take(&mut members.came),
+            };
             members.fleet.tell(&Fact::Load(load), now);
             self.count_members();
         }
@@ -70,7 +89,9 @@
 
     /// The process ends. Where another one of this sidecar lives it is the member from now on, and nobody leaves.
     pub(super) fn leave_fleet(&mut self) {
-        let Some(members) = self.members.as_mut().filter(|members| members.open) else { return };
+        let Some(members) = self.members.as_mut().filter(|members| members.open) else {
+            return;
+        };
         members.open = false;
         self.timers.clear(Timer::Fleet);
         if !(self.ways.inherited && self.other_lives) {
@@ -87,18 +108,30 @@
         }
         let Some(members) = &self.members else { return };
         let count = members.counted + COUNT_EVERY;
-        let due = members.fleet.next_due().map_or(count, |due| (due as f64).min(count));
+        let due = members
+            .fleet
+            .next_due()
+            .map_or(count, |due| (due as f64).min(count));
         self.timers.set(Timer::Fleet, due);
     }
 
     /// Sends and says what the protocol wants; yes where somebody else is there than before.
     fn fleet_carry_on(&mut self) -> bool {
-        let Some(members) = &mut self.members else { return false };
+        let Some(members) = &mut self.members else {
+            return false;
+        };
         let datagrams = members.fleet.take_datagrams();
-        self.effects.extend(datagrams.into_iter().map(|(to, bytes)| Effect::Datagram { to, bytes }));
+        self.effects.extend(
+            datagrams
+                .into_iter()
+                .map(|(to, bytes)| Effect::Datagram { to, bytes }),
+        );
         let mut changed = false;
         for note in members.fleet.take_notes() {
-            changed |= matches!(note, Note::Member { .. } | Note::View { .. } | Note::Forgotten { .. });
+            changed |= matches!(
+                note,
+                Note::Member { .. } | Note::View { .. } | Note::Forgotten { .. }
+            );
             say(&note);
         }
         changed
@@ -106,25 +139,31 @@
 
     /// Budgets are shared by all that are there, or may be.
     fn count_members(&mut self) {
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         let siblings = members.budget.follow(&members.fleet, whole(self.now));
         if siblings != self.settings.siblings {
             tracing::info!(siblings, before = self.settings.siblings, "members counted");
             self.settings.siblings = siblings;
-            self.events.push_back(Event::Settings(Box::new(self.settings.clone())));
+            self.events
+                .push_back(Event::Settings(Box::new(self.settings.clone())));
         }
     }
 
     /// The number of siblings that goes, whatever the settings say of it.
     pub(super) fn siblings(&self, told: u32) -> u32 {
-        self.members.as_ref().map_or(told, |members| members.budget.figure())
+        self.members
+            .as_ref()
+            .map_or(told, |members| members.budget.figure())
     }
 
     /// Who is there, as JSON; `None` where it is in no fleet.
     pub(super) fn members_text(&self) -> Option<String> {
         let members = self.members.as_ref()?;
         let (view, reason, since) = members.fleet.view();
-        let list: Vec<serde_json::Value> = members.fleet.members().iter().map(member_json).collect();
+        let list: Vec<serde_json::Value> =
+            members.fleet.members().iter().map(member_json).collect();
         let text = serde_json::json!({
             "me": members.fleet.name(),
             "view": view.word(),
@@ -138,7 +177,9 @@
 
     /// Figures of the fleet, by name.
     pub(super) fn fleet_levels(&self) -> Vec<(&'static str, u64)> {
-        let Some(members) = &self.members else { return Vec::new() };
+        let Some(members) = &self.members else {
+            return Vec::new();
+        };
         let fleet = &members.fleet;
         let counts = fleet.counts();
         let state = |state: State| fleet.count(state) as u64;
@@ -188,7 +229,9 @@
                 member["told_ms"] = (*age).into();
             }
             Fact::Health(health) => {
-                let view = [View::Whole, View::Doubtful, View::CutOff].get(usize::from(health.view)).copied();
+                let view = [View::Whole, View::Doubtful, View::CutOff]
+                    .get(usize::from(health.view))
+                    .copied();
                 member["view"] = view.map_or("unknown", View::word).into();
             }
             Fact::Other(..) => {}
@@ -200,7 +243,13 @@
 /// A line for each change.
 fn say(note: &Note) {
     match note {
-        Note::Member { name, address, from, to, alone } => {
+        Note::Member {
+            name,
+            address,
+            from,
+            to,
+            alone,
+        } => {
             let (name, from) = (name.as_str(), from.map_or("unknown", State::word));
             let to = to.word();
             if *alone {
@@ -232,15 +281,30 @@
         Note::NameShared { address } => {
             tracing::error!(%address, "another process goes by this member's name");
         }
-        Note::NameDoubled { name, first, second } => {
+        Note::NameDoubled {
+            name,
+            first,
+            second,
+        } => {
             let name = name.as_str();
             tracing::error!(name, %first, %second, "two live processes go by one name");
         }
-        Note::NameFree => tracing::info!("the other process of this member's name is gone: joining again"),
+        Note::NameFree => {
+            tracing::info!("the other process of this member's name is gone: joining again")
+        }
         Note::Paused { lasted } => {
-            tracing::warn!(lasted_ms = lasted, "this process stood still, or its clock jumped")
+            tracing::warn!(
+                lasted_ms = lasted,
+                "this process stood still, or its clock jumped"
+            )
         }
-        Note::Refused { garbage, foreign, later, over, last } => {
+        Note::Refused {
+            garbage,
+            foreign,
+            later,
+            over,
+            last,
+        } => {
             tracing::warn!(garbage, foreign, later, over, %last, "datagrams that are none of this fleet's");
         }
     }
--- a/crates/sandtrack-sidecar-core/src/reducer/staff.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/staff.rs
@@ -34,14 +34,25 @@
         if self.callers.len() >= ADMIN_MOST {
             // Those that say nothing must not keep out those that do.
             let waiting = self.callers.iter().filter(|(_, caller)| !caller.asked);
-            let eldest = waiting.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(conn, _)| *conn);
+            let eldest = waiting
+                .min_by(|a, b| a.1.since.total_cmp(&b.1.since))
+                .map(|(conn, _)| *conn);
             let close = eldest.unwrap_or(conn);
             self.timers.clear(Timer::Call(close));
-            self.callers.entry(close).and_modify(|caller| caller.asked = true);
+            self.callers
+                .entry(close)
+                .and_modify(|caller| caller.asked = true);
             self.effects.push(Effect::CloseAdmin { conn: close });
         }
-        self.callers.insert(conn, Caller { since: self.now, asked: false });
-        self.timers.set(Timer::Call(conn), self.now + ADMIN_PATIENCE);
+        self.callers.insert(
+            conn,
+            Caller {
+                since: self.now,
+                asked: false,
+            },
+        );
+        self.timers
+            .set(Timer::Call(conn), self.now + ADMIN_PATIENCE);
     }
 
     pub(super) fn admin_closed(&mut self, conn: ConnId) {
@@ -55,25 +66,45 @@
 
     /// Its one answer.
     fn admin_reply(
-        &mut self, conn: ConnId, status: u16, kind: &str, header: Option<(&str, &str)>, text: &str,
+        &mut self,
+        conn: ConnId,
+        status: u16,
+        kind: &str,
+        header: Option<(&str, &str)>,
+        text: &str,
     ) {
-        let Some(caller) = self.callers.get_mut(&conn) else { return };
+        let Some(caller) = self.callers.get_mut(&conn) else {
+            return;
+        };
         caller.asked = true;
         self.timers.clear(Timer::Call(conn));
         let headers = [("Content-Type", kind), ("Cache-Control", "no-store")];
-        let bytes = message::response(status, headers.into_iter().chain(header), text.as_bytes(), true);
+        let bytes = message::response(
+            status,
+            headers.into_iter().chain(header),
+            text.as_bytes(),
+            true,
+        );
         self.effects.push(Effect::AnswerAdmin { conn, bytes });
     }
 
     pub(super) fn admin_call(&mut self, conn: ConnId, message: &Message) {
-        let Some(caller) = self.callers.get_mut(&conn).filter(|caller| !caller.asked) else { return };
+        let Some(caller) = self.callers.get_mut(&conn).filter(|caller| !caller.asked) else {
+            return;
+        };
         caller.asked = true;
         match self.call(&message.head) {
-            Err((405, method)) => {
-                self.admin_reply(conn, 405, TEXT, Some(("Allow", method)), "no: another method\n")
-            }
+            Err((405, method)) => self.admin_reply(
+                conn,
+                405,
+                TEXT,
+                Some(("Allow", method)),
+                "no: another method\n",
+            ),
             Err((status, wrong)) => self.admin_answer(conn, status, &format!("no: {wrong}\n")),
-            Ok(Call::Ready) if self.draining.is_some() => self.admin_answer(conn, 503, "no: it ends\n"),
+            Ok(Call::Ready) if self.draining.is_some() => {
+                self.admin_answer(conn, 503, "no: it ends\n")
+            }
             Ok(Call::Ready) if !self.ready => {
                 self.admin_answer(conn, 503, "no: it waits for the list of upstreams\n");
             }
@@ -105,7 +136,9 @@
             ["", "-", "drain"] => ("POST", Call::Change(Change::Drain)),
             ["", "-", "resume"] => ("POST", Call::Change(Change::Resume)),
             ["", "-", "upstreams", id, order @ ("disable" | "enable")] => {
-                let id = percent_decode_str(id).decode_utf8().map_err(|_| (400, "the id is no text"))?;
+                let id = percent_decode_str(id)
+                    .decode_utf8()
+                    .map_err(|_| (400, "the id is no text"))?;
                 let id = id.into_owned();
                 let known = self.numbers.contains_key(&id) || self.by_hand.out.contains(&id);
                 if head.method == "POST" && !known {
@@ -113,7 +146,14 @@
                 }
                 let at = (self.epoch + self.now).round() as i64;
                 let out = *order == "disable";
-                ("POST", Call::Change(if out { Change::Out(id) } else { Change::Back { id, at } }))
+                (
+                    "POST",
+                    Call::Change(if out {
+                        Change::Out(id)
+                    } else {
+                        Change::Back { id, at }
+                    }),
+                )
             }
             _ => return Err((404, "no such call")),
         };
@@ -143,12 +183,25 @@
         let before = std::mem::replace(&mut self.by_hand, by_hand);
         let turned = before.out.symmetric_difference(&self.by_hand.out);
         // One called back by the other process, and out again since it was looked at, is cold all the same.
-        let back = self.by_hand.back.iter().filter(|(id, at)| before.back.get(*id) != Some(*at));
+        let back = self
+            .by_hand
+            .back
+            .iter()
+            .filter(|(id, at)| before.back.get(*id) != Some(*at));
         let turned: BTreeSet<String> = turned.chain(back.map(|(id, _)| id)).cloned().collect();
-        let numbers: Vec<u32> = turned.iter().filter_map(|id| self.numbers.get(id).copied()).collect();
-        let entries: Vec<Entry> = numbers.into_iter().filter_map(|number| self.weigh(number)).collect();
+        let numbers: Vec<u32> = turned
+            .iter()
+            .filter_map(|id| self.numbers.get(id).copied())
+            .collect();
+        let entries: Vec<Entry> = numbers
+            .into_iter()
+            .filter_map(|number| self.weigh(number))
+            .collect();
         if !entries.is_empty() {
-            self.events.push_back(Event::List { kind: ListKind::Patch, entries });
+            self.events.push_back(Event::List {
+                kind: ListKind::Patch,
+                entries,
+            });
         }
         match (before.drained, self.by_hand.drained) {
             (false, true) => self.drain_by_hand(),
@@ -161,10 +214,18 @@
     }
 
     fn levels(&self) -> Levels {
-        let listed = || self.servers.iter().filter(|(_, server)| server.told.standing != Standing::Gone);
+        let listed = || {
+            self.servers
+                .iter()
+                .filter(|(_, server)| server.told.standing != Standing::Gone)
+        };
         let avoided = |number: u32| self.balancer.fleet().avoids(UpstreamId(number), self.now);
         Levels {
-            pending: self.requests.values().filter(|request| request.client.is_some()).count(),
+            pending: self
+                .requests
+                .values()
+                .filter(|request| request.client.is_some())
+                .count(),
             members: listed().count(),
             members_unavailable: listed().filter(|(number, _)| avoided(**number)).count(),
             fleet: self.fleet_levels(),
--- a/crates/sandtrack-sidecar-core/src/reducer/tables.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/tables.rs
@@ -46,7 +46,11 @@
 
     /// Sets it, unless it is due earlier already.
     pub(super) fn bring_forward(&mut self, timer: Timer, at: Millis) {
-        if self.set.get(&timer).is_none_or(|set| *set as f64 > at * 1000.0) {
+        if self
+            .set
+            .get(&timer)
+            .is_none_or(|set| *set as f64 > at * 1000.0)
+        {
             self.set(timer, at);
         }
     }
@@ -105,7 +109,9 @@
     pub(super) fn wait(&self) -> Option<Wait> {
         match (self.between(), self.begun) {
             (true, true) => Some(if self.head { Wait::Body } else { Wait::Rest }),
-            (true, false) if !self.retired => Some(if self.served { Wait::Idle } else { Wait::First }),
+            (true, false) if !self.retired => {
+                Some(if self.served { Wait::Idle } else { Wait::First })
+            }
             _ => None,
         }
     }
@@ -132,7 +138,10 @@
 
 impl<K: Copy + Ord> Ages<K> {
     pub(super) fn new() -> Self {
-        Ages { order: BTreeSet::new(), counts: BTreeMap::new() }
+        Ages {
+            order: BTreeSet::new(),
+            counts: BTreeMap::new(),
+        }
     }
 
     pub(super) fn count(&self, kind: K) -> usize {
@@ -238,7 +247,9 @@
 
     /// Its answer flows, on this attempt.
     pub(super) fn streams(&self, attempt: u32) -> bool {
-        self.stream.as_ref().is_some_and(|stream| stream.attempt == attempt)
+        self.stream
+            .as_ref()
+            .is_some_and(|stream| stream.attempt == attempt)
     }
 }
 
--- a/crates/sandtrack-sidecar-core/tests/members.rs
+++ b/crates/sandtrack-sidecar-core/tests/members.rs
@@ -53,8 +53,16 @@
 
 impl World {
     fn new(count: usize, siblings: u32) -> Self {
-        let all = (0..count).map(|n| Some(reducer(n, siblings, Ways::default(), false))).collect();
-        let mut world = World { all, now: 0.0, datagrams: Vec::new(), seen: Vec::new(), next_call: 1 << 40 };
+        let all = (0..count)
+            .map(|n| Some(reducer(n, siblings, Ways::default(), false)))
+            .collect();
+        let mut world = World {
+            all,
+            now: 0.0,
+            datagrams: Vec::new(),
+            seen: Vec::new(),
+            next_call: 1 << 40,
+        };
         for n in 0..count {
             world.feed(n, Input::FleetOpened);
         }
@@ -62,7 +70,9 @@
     }
 
     fn feed(&mut self, number: usize, input: Input) {
-        let Some(reducer) = &mut self.all[number] else { return };
+        let Some(reducer) = &mut self.all[number] else {
+            return;
+        };
         for effect in reducer.handle(self.now, input) {
             match effect {
                 Effect::Datagram { to, bytes } => self.datagrams.push((address(number), to, bytes)),
@@ -102,7 +112,16 @@
             chunks: true,
         };
         self.feed(0, Input::AdminOpened { conn });
-        self.feed(0, Input::AdminCall { conn, message: Message { head, body: Vec::new() } });
+        self.feed(
+            0,
+            Input::AdminCall {
+                conn,
+                message: Message {
+                    head,
+                    body: Vec::new(),
+                },
+            },
+        );
         let answer = self.seen.iter().find_map(|effect| match effect {
             Effect::AnswerAdmin { conn: to, bytes } if *to == conn => Some(bytes.clone()),
             _ => None,
@@ -125,7 +144,11 @@
 fn siblings_follow_the_fleet_up_at_once_and_down_only_by_those_that_leave() {
     let mut world = World::new(12, 40);
     world.run(5.0);
-    assert_eq!(world.siblings(), 40, "the settings' number, until the fleet has been whole for a while");
+    assert_eq!(
+        world.siblings(),
+        40,
+        "the settings' number, until the fleet has been whole for a while"
+    );
     world.run(40.0);
     assert_eq!(world.siblings(), 12);
     // Killed: they may be there and only not be heard.
@@ -168,7 +191,10 @@
     world.all.extend(away);
     world.run(15.0);
     let (_, text) = world.call("/-/members");
-    assert!(text.contains("\"view\":\"whole\"") && !text.contains("failed"), "{text}");
+    assert!(
+        text.contains("\"view\":\"whole\"") && !text.contains("failed"),
+        "{text}"
+    );
 }
 
 /// The module shares its budgets by that number: beside many it probes few upstreams.
@@ -191,7 +217,11 @@
             world.seen.extend(effects);
         }
         world.run(2.0);
-        world.seen.iter().filter(|effect| matches!(effect, Effect::Connect { .. })).count()
+        world
+            .seen
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Connect { .. }))
+            .count()
     };
     let (alone, many) = (probed(1), probed(60));
     assert!(alone >= 38 && many <= 10, "{alone} alone, {many} beside 59");
@@ -199,7 +229,10 @@
 
 #[test]
 fn who_ends_leaves_but_not_where_another_process_of_the_sidecar_lives() {
-    let shared = Ways { inherited: true, ..Ways::default() };
+    let shared = Ways {
+        inherited: true,
+        ..Ways::default()
+    };
     for (other_lives, leaves) in [(false, true), (true, false)] {
         let mut world = World::new(2, 2);
         world.all[0] = Some(reducer(0, 2, shared, other_lives));
@@ -208,8 +241,15 @@
         world.seen.clear();
         world.datagrams.clear();
         world.feed(0, Input::Terminate);
-        assert_eq!(!world.datagrams.is_empty(), leaves, "another lives: {other_lives}");
-        assert!(world.seen.contains(&Effect::CloseFleet), "the address is free for the other");
+        assert_eq!(
+            !world.datagrams.is_empty(),
+            leaves,
+            "another lives: {other_lives}"
+        );
+        assert!(
+            world.seen.contains(&Effect::CloseFleet),
+            "the address is free for the other"
+        );
         let before = world.datagrams.len();
         let (_, to, bytes) = (address(1), address(0), vec![1, 2, 3]);
         world.feed(0, Input::Datagram { source: to, bytes });
@@ -221,10 +261,21 @@
 fn where_there_is_no_fleet_nothing_of_it_is_there() {
     let checked = settings(3).checked().unwrap();
     let alone = Reducer::new(checked, "127.0.0.1:2".parse().unwrap(), 1, 256, 1e12, 0.0);
-    let mut world =
-        World { all: vec![Some(alone)], now: 0.0, datagrams: Vec::new(), seen: Vec::new(), next_call: 1 };
+    let mut world = World {
+        all: vec![Some(alone)],
+        now: 0.0,
+        datagrams: Vec::new(),
+        seen: Vec::new(),
+        next_call: 1,
+    };
     world.feed(0, Input::FleetOpened);
-    world.feed(0, Input::Datagram { source: address(1), bytes: vec![0; 40] });
+    world.feed(
+        0,
+        Input::Datagram {
+            source: address(1),
+            bytes: vec![0; 40],
+        },
+    );
     world.run(3.0);
     assert_eq!(world.call("/-/members").0, 404);
     assert!(!world.call("/-/metrics").1.contains("fleet"));
--- a/crates/sandtrack-sidecar-simulator/benches/emulator.rs
+++ b/crates/sandtrack-sidecar-simulator/benches/emulator.rs
@@ -14,11 +14,17 @@
 
 fn events(c: &mut Criterion) {
     let mut group = c.benchmark_group("events");
-    for policy in [scenario::Policy::Random, scenario::Policy::Module, scenario::Policy::Sidecar] {
+    for policy in [
+        scenario::Policy::Random,
+        scenario::Policy::Module,
+        scenario::Policy::Sidecar,
+    ] {
         let mut hall = hall();
         hall.policy = policy;
         let events = world::run(&hall, 1).expect("a run").events;
-        group.throughput(Throughput::Elements(events)).sample_size(10);
+        group
+            .throughput(Throughput::Elements(events))
+            .sample_size(10);
         group.bench_function(BenchmarkId::from_parameter(format!("{policy:?}")), |b| {
             b.iter(|| world::run(&hall, 1).expect("a run").events);
         });
@@ -43,15 +49,29 @@
             since: None,
         };
         let entries = (0..upstreams).map(entry).collect();
-        balancer.handle(0.0, Event::List { kind: ListKind::Whole, entries }, &mut actions);
+        balancer.handle(
+            0.0,
+            Event::List {
+                kind: ListKind::Whole,
+                entries,
+            },
+            &mut actions,
+        );
         let (mut now, mut id) = (0.0, 0);
         group.bench_function(BenchmarkId::from_parameter(upstreams), |b| {
             b.iter(|| {
                 (now, id) = (now + 10.0, id + 1);
                 let request = RequestId(id);
                 let (class, not_after) = (ClassId(0), now + 500.0);
-                let arrival =
-                    Arrival { request, class, tenant: None, not_after, retry: false, key: None, cost: None };
+                let arrival = Arrival {
+                    request,
+                    class,
+                    tenant: None,
+                    not_after,
+                    retry: false,
+                    key: None,
+                    cost: None,
+                };
                 actions.clear();
                 balancer.handle(now, Event::Request(arrival), &mut actions);
                 let end = Finished {
--- a/crates/sandtrack-sidecar-simulator/src/baseline.rs
+++ b/crates/sandtrack-sidecar-simulator/src/baseline.rs
@@ -43,7 +43,11 @@
 
     /// `truth`: expected time to an answer at each upstream, for the one policy that may see it.
     pub fn handle(
-        &mut self, now: Millis, event: Event, truth: &dyn Fn(u32) -> f64, actions: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        event: Event,
+        truth: &dyn Fn(u32) -> f64,
+        actions: &mut Vec<Action>,
     ) {
         match event {
             Event::Start => actions.push(Action::Subscribe),
@@ -65,18 +69,36 @@
                 actions.push(Action::Wake { at });
             }
             Event::Request(arrival) => {
-                self.due.push(Reverse(((arrival.not_after * 1000.0) as i64, arrival.request.0)));
-                actions.push(Action::Wake { at: arrival.not_after });
+                self.due.push(Reverse((
+                    (arrival.not_after * 1000.0) as i64,
+                    arrival.request.0,
+                )));
+                actions.push(Action::Wake {
+                    at: arrival.not_after,
+                });
                 let id = arrival.request;
-                self.open.insert(id, Open { arrival, tried: Vec::new(), out: false });
+                self.open.insert(
+                    id,
+                    Open {
+                        arrival,
+                        tried: Vec::new(),
+                        out: false,
+                    },
+                );
                 self.attempt(now, id, truth, actions);
             }
             Event::Finished(end) => self.finished(now, &end, truth, actions),
             Event::ClientGone(id) => drop(self.open.remove(&id)),
             _ => {}
         }
-        while self.due.peek().is_some_and(|due| due.0 .0 as f64 <= now * 1000.0) {
-            let Some(Reverse((_, id))) = self.due.pop() else { break };
+        while self
+            .due
+            .peek()
+            .is_some_and(|due| due.0 .0 as f64 <= now * 1000.0)
+        {
+            let Some(Reverse((_, id))) = self.due.pop() else {
+                break;
+            };
             self.give_up(RequestId(id), actions);
         }
         if self.ask_at.is_some_and(|at| at <= now) {
@@ -106,43 +128,69 @@
                 Some(from[self.rng.gen_range(0..from.len())])
             }
             Policy::TwoChoices => {
-                let (a, b) =
-                    (from[self.rng.gen_range(0..from.len())], from[self.rng.gen_range(0..from.len())]);
+                let (a, b) = (
+                    from[self.rng.gen_range(0..from.len())],
+                    from[self.rng.gen_range(0..from.len())],
+                );
                 Some(if out(&b) < out(&a) { b } else { a })
             }
             Policy::Oracle => {
                 let start = self.rng.gen_range(0..from.len());
                 from.rotate_left(start);
-                from.into_iter().min_by(|a, b| truth(*a).total_cmp(&truth(*b)))
+                from.into_iter()
+                    .min_by(|a, b| truth(*a).total_cmp(&truth(*b)))
             }
             _ => Some(from[self.rng.gen_range(0..from.len())]),
         }
     }
 
-    fn attempt(&mut self, now: Millis, id: RequestId, truth: &dyn Fn(u32) -> f64, actions: &mut Vec<Action>) {
-        let Some(request) = self.open.get(&id) else { return };
+    fn attempt(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        truth: &dyn Fn(u32) -> f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.open.get(&id) else {
+            return;
+        };
         let tried = request.tried.clone();
-        let more =
-            (tried.len() as u32) < self.settings.limits.max_attempts && now < request.arrival.not_after;
+        let more = (tried.len() as u32) < self.settings.limits.max_attempts
+            && now < request.arrival.not_after;
         let once = self.settings.classes[request.arrival.class.0].effect == Effect::Once;
         let allowed = more && !(once && tried.iter().any(|(_, ran)| *ran));
-        let place = if allowed { self.pick(&tried, truth) } else { None };
+        let place = if allowed {
+            self.pick(&tried, truth)
+        } else {
+            None
+        };
         match (place, self.open.get_mut(&id)) {
             (Some(place), Some(request)) => {
                 request.tried.push((place, true));
                 request.out = true;
                 *self.out.entry(place).or_default() += 1;
-                actions.push(Action::Send { request: id, upstream: UpstreamId(place) });
+                actions.push(Action::Send {
+                    request: id,
+                    upstream: UpstreamId(place),
+                });
             }
             _ => self.give_up(id, actions),
         }
     }
 
     fn finished(
-        &mut self, now: Millis, end: &Finished, truth: &dyn Fn(u32) -> f64, actions: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        end: &Finished,
+        truth: &dyn Fn(u32) -> f64,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.open.get_mut(&end.request) else { return };
-        let Some((place, ran)) = request.tried.get_mut(end.attempt as usize) else { return };
+        let Some(request) = self.open.get_mut(&end.request) else {
+            return;
+        };
+        let Some((place, ran)) = request.tried.get_mut(end.attempt as usize) else {
+            return;
+        };
         if let Some(out) = self.out.get_mut(place) {
             *out = out.saturating_sub(1);
         }
@@ -156,19 +204,27 @@
     }
 
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.open.remove(&id) else { return };
+        let Some(request) = self.open.remove(&id) else {
+            return;
+        };
         let once = self.settings.classes[request.arrival.class.0].effect == Effect::Once;
         if request.out {
             let (place, _) = request.tried[request.tried.len() - 1];
             if let Some(out) = self.out.get_mut(&place) {
                 *out = out.saturating_sub(1);
             }
-            actions.push(Action::Cancel { request: id, attempt: request.tried.len() as u32 - 1 });
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: request.tried.len() as u32 - 1,
+            });
         }
         actions.push(if once && request.tried.iter().any(|(_, ran)| *ran) {
             Action::Fail { request: id }
         } else {
-            Action::Refuse { request: id, retry_after: None }
+            Action::Refuse {
+                request: id,
+                retry_after: None,
+            }
         });
     }
 }
--- a/crates/sandtrack-sidecar-simulator/src/discovery.rs
+++ b/crates/sandtrack-sidecar-simulator/src/discovery.rs
@@ -49,8 +49,17 @@
 
 impl Discovery {
     pub fn new(call_cost: f64, line_cost: f64, timeout: Micros, listed: Vec<Change>) -> Self {
-        let now_listed = listed.into_iter().map(|change| (change.server, change)).collect();
-        Discovery { call_cost, line_cost, timeout, now_listed, ..Discovery::default() }
+        let now_listed = listed
+            .into_iter()
+            .map(|change| (change.server, change))
+            .collect();
+        Discovery {
+            call_cost,
+            line_cost,
+            timeout,
+            now_listed,
+            ..Discovery::default()
+        }
     }
 
     pub fn generation(&self) -> u64 {
@@ -125,8 +134,14 @@
             Some(after) => (false, self.changed(after)),
             None => (true, self.listed()),
         };
-        self.watches.insert(ticket.instance, (ticket.call, generation));
-        Some(Told { ticket, generation, whole, changes })
+        self.watches
+            .insert(ticket.instance, (ticket.call, generation));
+        Some(Told {
+            ticket,
+            generation,
+            whole,
+            changes,
+        })
     }
 
     /// It learns of changes; each watch that stands gets them in turn.
@@ -142,7 +157,13 @@
         for (&instance, &(call, told)) in &self.watches {
             let queued = |ticket: &Ticket| ticket.instance == instance && ticket.news;
             if !self.queue.iter().any(queued) {
-                let ticket = Ticket { instance, call, after: Some(told), came: now, news: true };
+                let ticket = Ticket {
+                    instance,
+                    call,
+                    after: Some(told),
+                    came: now,
+                    news: true,
+                };
                 self.queue.push_back(ticket);
             }
         }
@@ -152,11 +173,20 @@
     pub fn go_down(&mut self) -> Vec<(usize, u64)> {
         self.down = true;
         self.failed += self.queue.iter().filter(|ticket| !ticket.news).count() as u64;
-        let calls = self.queue.drain(..).filter(|ticket| !ticket.news).map(|t| (t.instance, t.call));
-        let busy = self.busy.take().map(|ticket| (ticket.instance, ticket.call));
+        let calls = self
+            .queue
+            .drain(..)
+            .filter(|ticket| !ticket.news)
+            .map(|t| (t.instance, t.call));
+        let busy = self
+            .busy
+            .take()
+            .map(|ticket| (ticket.instance, ticket.call));
         let mut ended: Vec<(usize, u64)> = calls.chain(busy).collect();
         ended.extend(
-            std::mem::take(&mut self.watches).into_iter().map(|(instance, (call, _))| (instance, call)),
+            std::mem::take(&mut self.watches)
+                .into_iter()
+                .map(|(instance, (call, _))| (instance, call)),
         );
         ended.sort_unstable();
         ended.dedup();
@@ -169,11 +199,21 @@
     use super::*;
 
     fn change(server: usize, standing: Standing) -> Change {
-        Change { server, standing, since: None }
+        Change {
+            server,
+            standing,
+            since: None,
+        }
     }
 
     fn ticket(instance: usize, call: u64, after: Option<u64>, came: Micros) -> Ticket {
-        Ticket { instance, call, after, came, news: false }
+        Ticket {
+            instance,
+            call,
+            after,
+            came,
+            news: false,
+        }
     }
 
     #[test]
@@ -195,11 +235,17 @@
         discovery.call(ticket(0, 1, Some(0), 0));
         discovery.begin();
         assert_eq!(discovery.finish().expect("an answer").changes, []);
-        discovery.learn(1, &[change(0, Standing::Draining), change(1, Standing::Ready)]);
+        discovery.learn(
+            1,
+            &[change(0, Standing::Draining), change(1, Standing::Ready)],
+        );
         discovery.learn(2, &[change(0, Standing::Gone)]);
         assert_eq!(discovery.begin(), Some(2.0));
         let told = discovery.finish().expect("news");
-        assert_eq!(told.changes, [change(0, Standing::Gone), change(1, Standing::Ready)]);
+        assert_eq!(
+            told.changes,
+            [change(0, Standing::Gone), change(1, Standing::Ready)]
+        );
         assert_eq!(discovery.begin(), None);
     }
 
