--- a/crates/sandtrack-sidecar-simulator/src/main.rs
+++ b/crates/sandtrack-sidecar-simulator/src/main.rs
@@ -142,7 +142,8 @@
 }
 
 fn load(path: &Path, policy_name: Option<&str>, set: &[(String, f64)]) -> Result<Scenario, Failed> {
-    let mut scenario = scenario::read(&path.display().to_string(), &text(path)?, set).map_err(input)?;
+    let mut scenario =
+        scenario::read(&path.display().to_string(), &text(path)?, set).map_err(input)?;
     if let Some(name) = policy_name {
         scenario.policy = policy(name)?;
     }
@@ -162,12 +163,20 @@
     let lines: Vec<String> = reports
         .into_iter()
         .filter(|report| report.rules_broken > 0)
-        .flat_map(|r| r.breaks.iter().take(10).map(move |b| format!("{} seed {}: {}", r.policy, r.seed, b.0)))
+        .flat_map(|r| {
+            r.breaks
+                .iter()
+                .take(10)
+                .map(move |b| format!("{} seed {}: {}", r.policy, r.seed, b.0))
+        })
         .collect();
     if lines.is_empty() {
         return Ok(());
     }
-    Err(Failed::Rules(format!("rules broken:\n{}", lines.join("\n"))))
+    Err(Failed::Rules(format!(
+        "rules broken:\n{}",
+        lines.join("\n")
+    )))
 }
 
 fn write(path: &Path, value: &impl Serialize) -> Result<(), Failed> {
@@ -179,47 +188,78 @@
     let mut keys = Vec::new();
     let mut points: Vec<Vec<f64>> = vec![Vec::new()];
     for side in set {
-        let (key, values) =
-            side.split_once('=').ok_or_else(|| input(format!("--set {side}: not KEY=A,B,C")))?;
+        let (key, values) = side
+            .split_once('=')
+            .ok_or_else(|| input(format!("--set {side}: not KEY=A,B,C")))?;
         let read = |value: &str| value.trim().parse::<f64>().ok().filter(|v| v.is_finite());
-        let values: Option<Vec<f64>> = values.split(',').filter(|v| !v.trim().is_empty()).map(read).collect();
-        let values = values.ok_or_else(|| input(format!("--set {side}: a value is no finite figure")))?;
+        let values: Option<Vec<f64>> = values
+            .split(',')
+            .filter(|v| !v.trim().is_empty())
+            .map(read)
+            .collect();
+        let values =
+            values.ok_or_else(|| input(format!("--set {side}: a value is no finite figure")))?;
         keys.push(key.to_owned());
         let with = |at: &Vec<f64>| -> Vec<Vec<f64>> {
-            values.iter().map(|value| at.iter().copied().chain([*value]).collect()).collect()
+            values
+                .iter()
+                .map(|value| at.iter().copied().chain([*value]).collect())
+                .collect()
         };
         points = points.iter().flat_map(with).collect();
     }
     match points.len() {
         0 => Err(input("--set: a grid of no points")),
-        n if n > POINTS_MOST => Err(input(format!("--set: a grid of {n} points, {POINTS_MOST} at most"))),
+        n if n > POINTS_MOST => Err(input(format!(
+            "--set: a grid of {n} points, {POINTS_MOST} at most"
+        ))),
         _ => Ok((keys, points)),
     }
 }
 
 fn go(command: Command) -> Result<(), Failed> {
     match command {
-        Command::Run { scenario, seed, policy, json } => {
+        Command::Run {
+            scenario,
+            seed,
+            policy,
+            json,
+        } => {
             let scenario = load(&scenario, policy.as_deref(), &[])?;
             let report = world::run(&scenario, seed).map_err(input)?;
             print(&report);
             json.map_or(Ok(()), |path| write(&path, &report))?;
             kept([&report])
         }
-        Command::Sweep { scenario: path, set, seeds, policy, json } => {
+        Command::Sweep {
+            scenario: path,
+            set,
+            seeds,
+            policy,
+            json,
+        } => {
             let (keys, points) = grid(&set)?;
             if seeds == 0 || points.len() as u64 * seeds > POINTS_MOST as u64 {
-                return Err(input(format!("--seeds: {seeds} seeds on {} points", points.len())));
+                return Err(input(format!(
+                    "--seeds: {seeds} seeds on {} points",
+                    points.len()
+                )));
             }
             let mut runs = Vec::new();
             for at in &points {
-                let set: Vec<(String, f64)> = keys.iter().cloned().zip(at.iter().copied()).collect();
+                let set: Vec<(String, f64)> =
+                    keys.iter().cloned().zip(at.iter().copied()).collect();
                 let scenario = load(&path, policy.as_deref(), &set)?;
                 runs.extend((1..=seeds).map(|seed| (scenario.clone(), seed)));
             }
             let reports = play(&runs)?;
             let chunks = reports.chunks(seeds as usize).zip(points);
-            let points: Vec<Point> = chunks.map(|(runs, at)| Point { at, runs: runs.to_vec() }).collect();
+            let points: Vec<Point> = chunks
+                .map(|(runs, at)| Point {
+                    at,
+                    runs: runs.to_vec(),
+                })
+                .collect();
             println!(
                 "{:>24} {:>16} {:>12} {:>12} {:>10}",
                 keys.join(" "),
@@ -232,7 +272,8 @@
                 let of = |name: &str| Estimate::of(&figures(&point.runs, name));
                 let broken: usize = point.runs.iter().map(|run| run.rules_broken).sum();
                 let at: Vec<String> = point.at.iter().map(f64::to_string).collect();
-                let (in_time, p99, probes) = (of("in_time"), of("p99_ms"), of("probes_per_request"));
+                let (in_time, p99, probes) =
+                    (of("in_time"), of("p99_ms"), of("probes_per_request"));
                 println!(
                     "{:>24} {} {:>12.1} {:>12.4} {broken:>10}",
                     at.join(" "),
@@ -241,23 +282,49 @@
                     probes.mean
                 );
             }
-            let sweep = Sweep { scenario: path.display().to_string(), keys, points };
+            let sweep = Sweep {
+                scenario: path.display().to_string(),
+                keys,
+                points,
+            };
             write(&json, &sweep)?;
             kept(sweep.points.iter().flat_map(|point| &point.runs))
         }
-        Command::Compare { files, seeds, policies, figure } => match files.as_slice() {
+        Command::Compare {
+            files,
+            seeds,
+            policies,
+            figure,
+        } => match files.as_slice() {
             [one] => compare(one, seeds, &policies, &figure),
             [a, b] => compare_sweeps(a, b, &figure),
             _ => Err(input("compare takes one scenario, or two sweeps")),
         },
-        Command::Members { protocols, cases, sizes, seeds, watch_s, loss, json } => {
-            let cases = if cases.is_empty() { Case::value_variants().to_vec() } else { cases };
+        Command::Members {
+            protocols,
+            cases,
+            sizes,
+            seeds,
+            watch_s,
+            loss,
+            json,
+        } => {
+            let cases = if cases.is_empty() {
+                Case::value_variants().to_vec()
+            } else {
+                cases
+            };
             let mut rows = Vec::new();
             println!("{}", study::Row::HEAD);
             for size in sizes {
                 for case in &cases {
                     for protocol in &protocols {
-                        let options = study::Options { size, seeds, watch_s, loss };
+                        let options = study::Options {
+                            size,
+                            seeds,
+                            watch_s,
+                            loss,
+                        };
                         let row = study::row(protocol, *case, &options).map_err(input)?;
                         println!("{}", row.line());
                         rows.push(row);
@@ -269,7 +336,12 @@
                 None => Ok(()),
             }
         }
-        Command::Plot { report, figures, out, title } => plot(&report, &figures, &out, &title),
+        Command::Plot {
+            report,
+            figures,
+            out,
+            title,
+        } => plot(&report, &figures, &out, &title),
     }
 }
 
@@ -293,7 +365,10 @@
         "worth in time {:.4}, worst second {:.4}; served {}, late {}",
         report.in_time, report.worst_second, report.served, report.late
     );
-    println!("latency ms: mean {:.2}, p50 {:.2}, p99 {:.2}", report.mean_ms, report.p50_ms, report.p99_ms);
+    println!(
+        "latency ms: mean {:.2}, p50 {:.2}, p99 {:.2}",
+        report.mean_ms, report.p50_ms, report.p99_ms
+    );
     println!(
         "a request: {:.3} attempts, {:.4} probes, {:.4} connections; list calls {}, failed {}",
         report.attempts_per_request,
@@ -325,22 +400,36 @@
     }
     let values: Vec<Vec<f64>> = all.iter().map(|runs| figures(runs, figure)).collect();
     if values.iter().any(|v| v.len() as u64 != seeds) {
-        return Err(input(format!("--figure {figure}: reports have no such figure")));
+        return Err(input(format!(
+            "--figure {figure}: reports have no such figure"
+        )));
     }
-    println!("{figure} over {seeds} seeds, 95% intervals; difference to {} pair by pair", policies[0]);
+    println!(
+        "{figure} over {seeds} seeds, 95% intervals; difference to {} pair by pair",
+        policies[0]
+    );
     for (name, of) in policies.iter().zip(&values) {
-        let broken: usize =
-            all[policies.iter().position(|p| p == name).unwrap_or(0)].iter().map(|r| r.rules_broken).sum();
+        let broken: usize = all[policies.iter().position(|p| p == name).unwrap_or(0)]
+            .iter()
+            .map(|r| r.rules_broken)
+            .sum();
         println!(
             "{name:>20} {}   {}   rules broken {broken}",
             shown(Estimate::of(of)),
             shown(Estimate::of_pairs(of, &values[0]))
         );
     }
-    let of = |name: &str| policies.iter().position(|p| p == name).map(|n| Estimate::of(&values[n]).mean);
-    if let (Some(random), Some(oracle), Some(first)) =
-        (of("random"), of("oracle"), Some(Estimate::of(&values[0]).mean))
-    {
+    let of = |name: &str| {
+        policies
+            .iter()
+            .position(|p| p == name)
+            .map(|n| Estimate::of(&values[n]).mean)
+    };
+    if let (Some(random), Some(oracle), Some(first)) = (
+        of("random"),
+        of("oracle"),
+        Some(Estimate::of(&values[0]).mean),
+    ) {
         if oracle > random {
             println!(
                 "{} stands at {:.2} of the way from random to the oracle",
@@ -350,17 +439,23 @@
         }
     }
     // Baselines break rules by design (they know nothing of drains told late); the module must not.
-    kept(all.iter().flatten().filter(|report| matches!(report.policy.as_str(), "module" | "sidecar")))
+    kept(
+        all.iter()
+            .flatten()
+            .filter(|report| matches!(report.policy.as_str(), "module" | "sidecar")),
+    )
 }
 
 fn sweep(path: &Path) -> Result<Sweep, Failed> {
-    serde_json::from_str(&text(path)?).map_err(|error| input(format!("{}: {error}", path.display())))
+    serde_json::from_str(&text(path)?)
+        .map_err(|error| input(format!("{}: {error}", path.display())))
 }
 
 fn compare_sweeps(a: &Path, b: &Path, figure: &str) -> Result<(), Failed> {
     let (a, b) = (sweep(a)?, sweep(b)?);
-    let places =
-        |sweep: &Sweep| -> Vec<Vec<f64>> { sweep.points.iter().map(|point| point.at.clone()).collect() };
+    let places = |sweep: &Sweep| -> Vec<Vec<f64>> {
+        sweep.points.iter().map(|point| point.at.clone()).collect()
+    };
     if a.keys != b.keys || places(&a) != places(&b) {
         return Err(input("the two sweeps are not over the same grid"));
     }
@@ -368,8 +463,12 @@
     for (one, other) in a.points.iter().zip(&b.points) {
         let (x, y) = (figures(&one.runs, figure), figures(&other.runs, figure));
         let at: Vec<String> = one.at.iter().map(f64::to_string).collect();
-        let [x_shown, y_shown, d] =
-            [Estimate::of(&x), Estimate::of(&y), Estimate::of_pairs(&x, &y)].map(shown);
+        let [x_shown, y_shown, d] = [
+            Estimate::of(&x),
+            Estimate::of(&y),
+            Estimate::of_pairs(&x, &y),
+        ]
+        .map(shown);
         println!("{:>16} {x_shown} {y_shown} {d}", at.join(" "));
     }
     Ok(())
@@ -380,13 +479,19 @@
     let lines: Vec<Line>;
     let (x, y);
     if let Ok(sweep) = serde_json::from_str::<Sweep>(&text) {
-        (x, y) = (sweep.keys.first().cloned().unwrap_or_default(), names.join(", "));
+        (x, y) = (
+            sweep.keys.first().cloned().unwrap_or_default(),
+            names.join(", "),
+        );
         let line = |name: &String| {
             let points = sweep.points.iter().map(|point| {
                 let estimate = Estimate::of(&figures(&point.runs, name));
                 (point.at[0], estimate.mean, estimate.half.unwrap_or(0.0))
             });
-            Line { name: name.clone(), points: points.collect() }
+            Line {
+                name: name.clone(),
+                points: points.collect(),
+            }
         };
         lines = names.iter().map(line).collect();
     } else {
@@ -396,10 +501,21 @@
         let seconds = serde_json::to_value(&report.seconds).map_err(input)?;
         let of = |name: &String| {
             let rows = seconds.as_array().into_iter().flatten().enumerate();
-            let points = rows.filter_map(|(n, row)| Some((n as f64, row.get(name)?.as_f64()?, 0.0)));
-            Line { name: name.clone(), points: points.collect() }
+            let points =
+                rows.filter_map(|(n, row)| Some((n as f64, row.get(name)?.as_f64()?, 0.0)));
+            Line {
+                name: name.clone(),
+                points: points.collect(),
+            }
         };
         lines = names.iter().map(of).collect();
     }
-    svg(out, if title.is_empty() { &names[0] } else { title }, &x, &y, &lines).map_err(input)
+    svg(
+        out,
+        if title.is_empty() { &names[0] } else { title },
+        &x,
+        &y,
+        &lines,
+    )
+    .map_err(input)
 }
--- a/crates/sandtrack-sidecar-simulator/src/members/candidates.rs
+++ b/crates/sandtrack-sidecar-simulator/src/members/candidates.rs
@@ -51,7 +51,11 @@
 
 impl Own {
     pub fn new(fleet: Fleet, now: Ms) -> Self {
-        Own { fleet, knows: None, tell_at: now }
+        Own {
+            fleet,
+            knows: None,
+            tell_at: now,
+        }
     }
 }
 
@@ -69,7 +73,10 @@
 }
 
 pub fn own(number: usize, _size: usize, seeds: &[usize], seed: u64, now: Ms) -> Box<dyn Peer> {
-    Box::new(Own::new(Fleet::new(identity(number, seeds), seed, now), now))
+    Box::new(Own::new(
+        Fleet::new(identity(number, seeds), seed, now),
+        now,
+    ))
 }
 
 thread_local! {
@@ -78,20 +85,38 @@
 }
 
 /// The same, for fleets so large that their start would take longer than what is looked at: each begins with all the others.
-pub fn own_knowing(number: usize, size: usize, _seeds: &[usize], seed: u64, now: Ms) -> Box<dyn Peer> {
+pub fn own_knowing(
+    number: usize,
+    size: usize,
+    _seeds: &[usize],
+    seed: u64,
+    now: Ms,
+) -> Box<dyn Peer> {
     let at = |other: usize| super::seed_of(seed, number, other);
     let make = |other: usize| Fleet::new(identity(other, &[]), at(other), now);
     let known = KNOWN.with_borrow_mut(|(of, known)| {
         if *of != at(0) {
-            (*of, *known) = (at(0), Rc::new((0..size).map(|other| make(other).own_word()).collect()));
+            (*of, *known) = (
+                at(0),
+                Rc::new((0..size).map(|other| make(other).own_word()).collect()),
+            );
         }
         known.clone()
     });
-    Box::new(Own { knows: Some(known), ..Own::new(make(number), now) })
+    Box::new(Own {
+        knows: Some(known),
+        ..Own::new(make(number), now)
+    })
 }
 
 /// One that goes by the name of number 1, wherever it is: a mistake of staff.
-pub fn own_named_twice(number: usize, size: usize, seeds: &[usize], seed: u64, now: Ms) -> Box<dyn Peer> {
+pub fn own_named_twice(
+    number: usize,
+    size: usize,
+    seeds: &[usize],
+    seed: u64,
+    now: Ms,
+) -> Box<dyn Peer> {
     let mut identity = identity(number, seeds);
     if number + 1 == size {
         identity.name = name(1).into();
@@ -112,18 +137,32 @@
     fn tick(&mut self, now: Ms) {
         if now >= self.tell_at {
             self.tell_at = now + 1000;
-            self.fleet.tell(&Fact::Load(Load { open: (now / 7 % 50) as u32, per_second: 30 }), now);
+            self.fleet.tell(
+                &Fact::Load(Load {
+                    open: (now / 7 % 50) as u32,
+                    per_second: 30,
+                }),
+                now,
+            );
         }
         self.fleet.tick(now);
     }
     fn due(&self) -> Option<Ms> {
-        self.fleet.next_due().into_iter().chain([self.tell_at]).min()
+        self.fleet
+            .next_due()
+            .into_iter()
+            .chain([self.tell_at])
+            .min()
     }
     fn leave(&mut self, now: Ms) {
         self.fleet.leave(now);
     }
     fn sent(&mut self) -> Vec<(usize, Vec<u8>)> {
-        self.fleet.take_datagrams().into_iter().map(|(to, bytes)| (number_at(to), bytes)).collect()
+        self.fleet
+            .take_datagrams()
+            .into_iter()
+            .map(|(to, bytes)| (number_at(to), bytes))
+            .collect()
     }
     fn changes(&mut self) -> Vec<(usize, Held)> {
         let change = |note: Note| match note {
@@ -137,7 +176,11 @@
             )),
             _ => None,
         };
-        self.fleet.take_notes().into_iter().filter_map(change).collect()
+        self.fleet
+            .take_notes()
+            .into_iter()
+            .filter_map(change)
+            .collect()
     }
     fn refutations(&self) -> u64 {
         self.fleet.counts().refutations
@@ -174,7 +217,10 @@
 impl foca::Identity for Id {
     type Addr = u32;
     fn renew(&self) -> Option<Self> {
-        Some(Id { bump: self.bump + 1, ..self.clone() })
+        Some(Id {
+            bump: self.bump + 1,
+            ..self.clone()
+        })
     }
     fn addr(&self) -> u32 {
         self.name
@@ -218,16 +264,22 @@
 }
 
 fn swim_config(size: usize) -> foca::Config {
-    let lan =
-        u32::try_from(size).ok().and_then(std::num::NonZeroU32::new).unwrap_or(std::num::NonZeroU32::MIN);
+    let lan = u32::try_from(size)
+        .ok()
+        .and_then(std::num::NonZeroU32::new)
+        .unwrap_or(std::num::NonZeroU32::MIN);
     let some = |ms: u64, members: usize| {
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
-        Some(foca::PeriodicParams { frequency: Duration::from_millis(ms), num_members })
+        Some(foca::PeriodicParams {
+            frequency: Duration::from_millis(ms),
+            num_members,
+        })
     };
     let mut config = foca::Config::new_lan(lan);
     config.probe_period = Duration::from_millis(1000);
     config.probe_rtt = Duration::from_millis(300);
-    config.suspect_to_down_after = Duration::from_millis(sandtrack_membership::timing::suspicion_least(size));
+    config.suspect_to_down_after =
+        Duration::from_millis(sandtrack_membership::timing::suspicion_least(size));
     config.max_transmissions = u8::try_from(sandtrack_membership::timing::retell(size))
         .ok()
         .and_then(NonZeroU8::new)
@@ -244,10 +296,19 @@
 /// The numbers of those of the name 1: where one is named twice, the last goes by it too.
 fn swim_of(number: usize, size: usize, seeds: &[usize], seed: u64, called: usize) -> Box<dyn Peer> {
     let draw = (seed ^ (seed >> 32)) as u32;
-    let id = Id { name: called as u32, at: number as u32, bump: 0, draw };
+    let id = Id {
+        name: called as u32,
+        at: number as u32,
+        bump: 0,
+        draw,
+    };
     let rng = rand10::rngs::SmallRng::seed_from_u64(seed);
     let foca = Foca::with_custom_broadcast(id, swim_config(size), rng, PostcardCodec, NoBroadcast);
-    let seeds = seeds.iter().copied().filter(|seed| *seed != number).collect();
+    let seeds = seeds
+        .iter()
+        .copied()
+        .filter(|seed| *seed != number)
+        .collect();
     Box::new(Swim {
         foca,
         seeds,
@@ -265,8 +326,20 @@
     swim_of(number, size, seeds, seed, number)
 }
 
-pub fn swim_named_twice(number: usize, size: usize, seeds: &[usize], seed: u64, _now: Ms) -> Box<dyn Peer> {
-    swim_of(number, size, seeds, seed, if number + 1 == size { 1 } else { number })
+pub fn swim_named_twice(
+    number: usize,
+    size: usize,
+    seeds: &[usize],
+    seed: u64,
+    _now: Ms,
+) -> Box<dyn Peer> {
+    swim_of(
+        number,
+        size,
+        seeds,
+        seed,
+        if number + 1 == size { 1 } else { number },
+    )
 }
 
 impl Swim {
@@ -278,14 +351,21 @@
         }
         while let Some((after, timer)) = runtime.to_schedule() {
             self.order += 1;
-            self.timers.push(Reverse((now + after.as_millis() as Ms, self.order)));
+            self.timers
+                .push(Reverse((now + after.as_millis() as Ms, self.order)));
             self.waiting.insert(self.order, timer);
         }
         while let Some(note) = runtime.to_notify() {
             match note {
-                OwnedNotification::MemberUp(id) => self.changes.push((id.name as usize, Held::There)),
-                OwnedNotification::Rename(_, id) => self.changes.push((id.name as usize, Held::There)),
-                OwnedNotification::MemberDown(id) => self.changes.push((id.name as usize, Held::Failed)),
+                OwnedNotification::MemberUp(id) => {
+                    self.changes.push((id.name as usize, Held::There))
+                }
+                OwnedNotification::Rename(_, id) => {
+                    self.changes.push((id.name as usize, Held::There))
+                }
+                OwnedNotification::MemberDown(id) => {
+                    self.changes.push((id.name as usize, Held::Failed))
+                }
                 OwnedNotification::Active => self.joined = true,
                 OwnedNotification::Idle => self.joined = false,
                 _ => {}
@@ -300,7 +380,12 @@
         }
         self.join_at = Some(now + 1000);
         for seed in self.seeds.clone().into_iter().take(3) {
-            let id = Id { name: seed as u32, at: seed as u32, bump: 0, draw: 0 };
+            let id = Id {
+                name: seed as u32,
+                at: seed as u32,
+                bump: 0,
+                draw: 0,
+            };
             // Whoever has that address answers to an announcement that is meant for any life of it.
             self.drive(now, |foca, runtime| drop(foca.announce(id, runtime)));
         }
@@ -368,7 +453,13 @@
 /// The least deviation that is believed.
 const DEVIATION: f64 = 250.0;
 
-pub fn heartbeats(number: usize, size: usize, _seeds: &[usize], seed: u64, now: Ms) -> Box<dyn Peer> {
+pub fn heartbeats(
+    number: usize,
+    size: usize,
+    _seeds: &[usize],
+    seed: u64,
+    now: Ms,
+) -> Box<dyn Peer> {
     let first = now + seed % BEAT;
     Box::new(Heartbeats {
         me: number,
@@ -394,7 +485,12 @@
                 arrivals.last = now;
             }
             _ => {
-                *seen = Some(Arrivals { last: now, mean: BEAT as f64, variance: 0.0, held: Held::There });
+                *seen = Some(Arrivals {
+                    last: now,
+                    mean: BEAT as f64,
+                    variance: 0.0,
+                    held: Held::There,
+                });
                 self.changes.push((from, Held::There));
             }
         }
@@ -408,7 +504,10 @@
         if now >= self.next_look {
             self.next_look = now + 100;
             for (of, seen) in self.seen.iter_mut().enumerate() {
-                let Some(arrivals) = seen.as_mut().filter(|arrivals| arrivals.held == Held::There) else {
+                let Some(arrivals) = seen
+                    .as_mut()
+                    .filter(|arrivals| arrivals.held == Held::There)
+                else {
                     continue;
                 };
                 let late = now.saturating_sub(arrivals.last) as f64 - arrivals.mean;
@@ -470,14 +569,19 @@
 
 pub fn cuts(number: usize, size: usize, _seeds: &[usize], seed: u64, now: Ms) -> Box<dyn Peer> {
     // Rings as steps that are the same at all members.
-    let step =
-        |ring: usize| 1 + ring * size.saturating_sub(1).max(1) / OBSERVERS.min(size.saturating_sub(1).max(1));
-    let subjects: BTreeSet<usize> =
-        (0..OBSERVERS.min(size - 1)).map(|ring| (number + step(ring)) % size).collect();
+    let step = |ring: usize| {
+        1 + ring * size.saturating_sub(1).max(1) / OBSERVERS.min(size.saturating_sub(1).max(1))
+    };
+    let subjects: BTreeSet<usize> = (0..OBSERVERS.min(size - 1))
+        .map(|ring| (number + step(ring)) % size)
+        .collect();
     Box::new(Cuts {
         me: number,
         size,
-        subjects: subjects.into_iter().filter(|subject| *subject != number).collect(),
+        subjects: subjects
+            .into_iter()
+            .filter(|subject| *subject != number)
+            .collect(),
         missed: BTreeMap::new(),
         alerted: BTreeSet::new(),
         reports: BTreeMap::new(),
@@ -493,12 +597,20 @@
 
 impl Cuts {
     fn say(&mut self, to: usize, message: &Cut) {
-        self.sent.push((to, postcard::to_allocvec(message).unwrap_or_default()));
+        self.sent
+            .push((to, postcard::to_allocvec(message).unwrap_or_default()));
     }
 
     fn say_all(&mut self, message: &Cut) {
-        let others: Vec<usize> = self.members.iter().copied().filter(|other| *other != self.me).collect();
-        others.into_iter().for_each(|other| self.say(other, message));
+        let others: Vec<usize> = self
+            .members
+            .iter()
+            .copied()
+            .filter(|other| *other != self.me)
+            .collect();
+        others
+            .into_iter()
+            .for_each(|other| self.say(other, message));
     }
 
     fn alert(&mut self, by: usize, of: usize) {
@@ -507,9 +619,16 @@
         }
         self.reports.entry(of).or_default().insert(by);
         let high = HIGH.min(self.size - 1);
-        let stable = self.reports.values().all(|by| by.len() >= high || by.len() < LOW);
-        let cut: Vec<usize> =
-            self.reports.iter().filter(|(_, by)| by.len() >= high).map(|(of, _)| *of).collect();
+        let stable = self
+            .reports
+            .values()
+            .all(|by| by.len() >= high || by.len() < LOW);
+        let cut: Vec<usize> = self
+            .reports
+            .iter()
+            .filter(|(_, by)| by.len() >= high)
+            .map(|(of, _)| *of)
+            .collect();
         if stable && !cut.is_empty() && !self.voted {
             self.voted = true;
             let vote = Cut::Vote(cut.iter().map(|of| *of as u32).collect());
@@ -551,7 +670,8 @@
     fn tick(&mut self, now: Ms) {
         if !std::mem::replace(&mut self.known, true) {
             let others = (0..self.size).filter(|other| *other != self.me);
-            self.changes.extend(others.map(|other| (other, Held::There)));
+            self.changes
+                .extend(others.map(|other| (other, Held::There)));
         }
         if now < self.next_probe {
             return;
@@ -560,7 +680,9 @@
         for subject in self.subjects.clone() {
             self.say(subject, &Cut::Ping);
             // One that never answered has not started yet, and a report can't be taken back.
-            let Some(missed) = self.missed.get_mut(&subject) else { continue };
+            let Some(missed) = self.missed.get_mut(&subject) else {
+                continue;
+            };
             *missed += 1;
             if *missed > MISSED && self.alerted.insert(subject) {
                 self.say_all(&Cut::Alert(subject as u32));
--- a/crates/sandtrack-sidecar-simulator/src/members/mod.rs
+++ b/crates/sandtrack-sidecar-simulator/src/members/mod.rs
@@ -65,7 +65,14 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { delay: 0.4, spread: 0.6, loss: 0.0, twice: 0.0, old: 0.0, overhead: 28 }
+        Net {
+            delay: 0.4,
+            spread: 0.6,
+            loss: 0.0,
+            twice: 0.0,
+            old: 0.0,
+            overhead: 28,
+        }
     }
 }
 
@@ -102,11 +109,24 @@
 }
 
 enum Event {
-    Arrives { to: usize, from: usize, bytes: Vec<u8> },
-    Wake { slot: usize, epoch: u32 },
-    Goes { slot: usize, epoch: u32 },
+    Arrives {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
+    Wake {
+        slot: usize,
+        epoch: u32,
+    },
+    Goes {
+        slot: usize,
+        epoch: u32,
+    },
     Fault(Fault),
-    End { slot: usize, epoch: u32 },
+    End {
+        slot: usize,
+        epoch: u32,
+    },
 }
 
 /// A change that the observer saw.
@@ -299,7 +319,9 @@
 
     /// Calls a member and carries out what it wants.
     fn with(&mut self, slot: usize, call: impl FnOnce(&mut dyn Peer)) {
-        let Some(mut peer) = self.slots[slot].peer.take() else { return };
+        let Some(mut peer) = self.slots[slot].peer.take() else {
+            return;
+        };
         call(&mut *peer);
         for (to, bytes) in peer.sent() {
             self.send(slot, to, bytes);
@@ -311,12 +333,20 @@
                 let there = &self.slots[of];
                 let lives = there.peer.is_some() || of == slot;
                 let truly_there = lives && self.now >= there.alive_since + 1_000_000;
-                self.changes.push(Change { at: ms(self.now), by: slot, of, held, truly_there });
+                self.changes.push(Change {
+                    at: ms(self.now),
+                    by: slot,
+                    of,
+                    held,
+                    truly_there,
+                });
             }
         }
         // Its timers run by its clock, which may have jumped since they were set.
         let clock = self.clock(slot);
-        let due = peer.due().map(|due| (self.now + due.saturating_sub(clock) * 1000).max(self.now + 1));
+        let due = peer
+            .due()
+            .map(|due| (self.now + due.saturating_sub(clock) * 1000).max(self.now + 1));
         let here = &mut self.slots[slot];
         here.peer = Some(peer);
         if let Some(due) = due {
@@ -332,20 +362,40 @@
         let size = bytes.len() + self.net.overhead;
         self.sent[from].0 += size as u64;
         self.sent[from].1 += 1;
-        let cut = self.cuts.iter().any(|(ones, others)| ones[from] && others[to]);
+        let cut = self
+            .cuts
+            .iter()
+            .any(|(ones, others)| ones[from] && others[to]);
         // Drawn whether it is lost or not: members meet the same network.
-        let (lost, twice) = (self.rng.gen::<f64>() < self.net.loss, self.rng.gen::<f64>() < self.net.twice);
+        let (lost, twice) = (
+            self.rng.gen::<f64>() < self.net.loss,
+            self.rng.gen::<f64>() < self.net.twice,
+        );
         let old = self.rng.gen::<f64>() < self.net.old;
         if to >= self.slots.len() || cut || lost {
             return;
         }
         if old {
-            self.schedule(self.now + LATE, Event::Arrives { to, from, bytes: bytes.clone() });
+            self.schedule(
+                self.now + LATE,
+                Event::Arrives {
+                    to,
+                    from,
+                    bytes: bytes.clone(),
+                },
+            );
         }
         for _ in 0..if twice { 2 } else { 1 } {
             let delay = self.delay() + self.slots[from].slow + self.slots[to].slow;
             let at = self.now + (delay * 1000.0) as Micros;
-            self.schedule(at, Event::Arrives { to, from, bytes: bytes.clone() });
+            self.schedule(
+                at,
+                Event::Arrives {
+                    to,
+                    from,
+                    bytes: bytes.clone(),
+                },
+            );
         }
     }
 
@@ -415,7 +465,9 @@
                     self.with(slot, |peer| peer.tick(now));
                 }
             }
-            Fault::Slow(slots, time) => slots.into_iter().for_each(|slot| self.slots[slot].slow = time),
+            Fault::Slow(slots, time) => slots
+                .into_iter()
+                .for_each(|slot| self.slots[slot].slow = time),
         }
     }
 
@@ -434,7 +486,8 @@
         let size = self.slots.len();
         let runs: Vec<usize> = (0..size).filter(|slot| self.runs(*slot)).collect();
         let wrong = |by: usize| {
-            let of = |of: &usize| *of != by && (self.held(by, *of) == Held::There) != self.runs(*of);
+            let of =
+                |of: &usize| *of != by && (self.held(by, *of) == Held::There) != self.runs(*of);
             (0..size).filter(of).count()
         };
         runs.iter().map(|by| wrong(*by)).sum()
--- a/crates/sandtrack-sidecar-simulator/src/members/study.rs
+++ b/crates/sandtrack-sidecar-simulator/src/members/study.rs
@@ -94,8 +94,15 @@
 pub fn play(protocol: &str, case: Case, options: &Options, seed: u64) -> Result<Shown, String> {
     let make = maker(protocol, case)?;
     let n = options.size;
-    let loss = if case == Case::Loss { options.loss.max(0.05) } else { options.loss };
-    let net = Net { loss, ..Net::default() };
+    let loss = if case == Case::Loss {
+        options.loss.max(0.05)
+    } else {
+        options.loss
+    };
+    let net = Net {
+        loss,
+        ..Net::default()
+    };
     let mut world = World::new(n, 3, net, seed, make);
     let all: Vec<usize> = (0..n).collect();
     let mut shown = Shown::default();
@@ -109,10 +116,13 @@
         _ if knowing => world.at(0, Fault::Start(all.clone())),
         Case::StartAll => world.at(0, Fault::Start(all.clone())),
         // One after the other, as a release does it: this is no part of the case.
-        _ => all.iter().for_each(|slot| world.at(*slot as u64 * 5_000 / n as u64, Fault::Start(vec![*slot]))),
+        _ => all
+            .iter()
+            .for_each(|slot| world.at(*slot as u64 * 5_000 / n as u64, Fault::Start(vec![*slot]))),
     }
     let (a, b): (Vec<usize>, Vec<usize>) = all.iter().partition(|slot| **slot < n / 2);
-    let zone = |z: usize| -> Vec<usize> { all.iter().copied().filter(|slot| slot % 3 == z).collect() };
+    let zone =
+        |z: usize| -> Vec<usize> { all.iter().copied().filter(|slot| slot % 3 == z).collect() };
     match case {
         Case::Calm | Case::Loss | Case::StartAll | Case::NameTwice => {}
         Case::Kill => {
@@ -143,8 +153,11 @@
             world.at(BEGIN, Fault::Slow(fifth, 800.0));
         }
         Case::Deaf | Case::Mute => {
-            let (from, to) =
-                if case == Case::Deaf { (all.clone(), vec![last]) } else { (vec![last], all.clone()) };
+            let (from, to) = if case == Case::Deaf {
+                (all.clone(), vec![last])
+            } else {
+                (vec![last], all.clone())
+            };
             world.at(BEGIN, Fault::Cut(from, to));
             world.at(BEGIN + 30_000, Fault::Mend);
             excused.push(last);
@@ -159,8 +172,9 @@
             mended = Some(BEGIN + 20_000);
         }
         Case::RestartAll => {
-            all.iter()
-                .for_each(|slot| world.at(BEGIN + (*slot as Ms * 37) % 1000, Fault::Start(vec![*slot])));
+            all.iter().for_each(|slot| {
+                world.at(BEGIN + (*slot as Ms * 37) % 1000, Fault::Start(vec![*slot]))
+            });
             mended = Some(BEGIN + 1_000);
         }
     }
@@ -168,7 +182,10 @@
         end = mended + 60_000;
     }
     if case == Case::StartAll {
-        return Ok(Shown { whole: until_whole(&mut world, 0, 120_000), ..shown });
+        return Ok(Shown {
+            whole: until_whole(&mut world, 0, 120_000),
+            ..shown
+        });
     }
     world.run_until(1);
     if knowing {
@@ -208,8 +225,11 @@
             && !apart(c.by, c.of)
     };
     let restarted = case == Case::RestartAll;
-    let wrong: Vec<&Change> =
-        seen.iter().filter(wrong).filter(|c| !restarted || c.at > BEGIN + 10_000).collect();
+    let wrong: Vec<&Change> = seen
+        .iter()
+        .filter(wrong)
+        .filter(|c| !restarted || c.at > BEGIN + 10_000)
+        .collect();
     shown.wrong_pairs = wrong.len();
     let mut ones: Vec<usize> = wrong.iter().map(|c| c.of).collect();
     ones.sort_unstable();
@@ -220,7 +240,11 @@
 
 fn per_second(before: &[(u64, u64)], after: &[(u64, u64)], seconds: f64) -> Vec<(f64, f64)> {
     let rate = |a: u64, b: u64| (b - a) as f64 / seconds;
-    before.iter().zip(after).map(|(a, b)| (rate(a.0, b.0), rate(a.1, b.1))).collect()
+    before
+        .iter()
+        .zip(after)
+        .map(|(a, b)| (rate(a.0, b.0), rate(a.1, b.1)))
+        .collect()
 }
 
 /// Seconds from `since` until all hold each other for what they are, and still do a second later.
@@ -231,7 +255,9 @@
         match (world.is_whole(), whole_at) {
             (false, _) => whole_at = None,
             (true, None) => whole_at = Some(at),
-            (true, Some(first)) if at >= first + 1_000 => return Some((first - since) as f64 / 1000.0),
+            (true, Some(first)) if at >= first + 1_000 => {
+                return Some((first - since) as f64 / 1000.0)
+            }
             _ => {}
         }
     }
@@ -243,15 +269,21 @@
     let living: Vec<usize> = (0..world.size()).filter(|slot| world.runs(*slot)).collect();
     let seconds = |at: Ms| (at - BEGIN) as f64 / 1000.0;
     let failed = |by: usize, of: usize| {
-        let at = seen.iter().find(|c| c.by == by && c.of == of && c.held == Held::Failed).map(|c| c.at);
+        let at = seen
+            .iter()
+            .find(|c| c.by == by && c.of == of && c.held == Held::Failed)
+            .map(|c| c.at);
         at.filter(|_| world.held(by, of) == Held::Failed)
     };
     let (mut first, mut last) = (None::<Ms>, Some(0));
     for of in killed {
         let at: Vec<Option<Ms>> = living.iter().map(|by| failed(*by, *of)).collect();
         first = first.max(at.iter().flatten().min().copied());
-        last =
-            at.into_iter().chain([last]).collect::<Option<Vec<Ms>>>().and_then(|all| all.into_iter().max());
+        last = at
+            .into_iter()
+            .chain([last])
+            .collect::<Option<Vec<Ms>>>()
+            .and_then(|all| all.into_iter().max());
     }
     (first.map(seconds), last.map(seconds))
 }
@@ -267,8 +299,10 @@
 }
 
 pub fn row(protocol: &str, case: Case, options: &Options) -> Result<Row, String> {
-    let shown: Result<Vec<Shown>, String> =
-        (1..=options.seeds).into_par_iter().map(|seed| play(protocol, case, options, seed)).collect();
+    let shown: Result<Vec<Shown>, String> = (1..=options.seeds)
+        .into_par_iter()
+        .map(|seed| play(protocol, case, options, seed))
+        .collect();
     Ok(Row {
         protocol: protocol.to_owned(),
         case,
--- a/crates/sandtrack-sidecar-simulator/src/node.rs
+++ b/crates/sandtrack-sidecar-simulator/src/node.rs
@@ -126,11 +126,17 @@
 
 impl Node {
     pub fn new(
-        scenario: &Scenario, me: usize, seed: u64, now: Millis, zone_of: Vec<usize>,
+        scenario: &Scenario,
+        me: usize,
+        seed: u64,
+        now: Millis,
+        zone_of: Vec<usize>,
     ) -> Result<Node, String> {
         let checked = settings(scenario, me)?;
         Ok(match scenario.policy {
-            Policy::Sidecar => Node::Sidecar(Box::new(Sidecar::new(checked, scenario, seed, now, zone_of))),
+            Policy::Sidecar => Node::Sidecar(Box::new(Sidecar::new(
+                checked, scenario, seed, now, zone_of,
+            ))),
             Policy::Module => Node::Direct(Box::new(Direct::new(
                 Brain::Module(Box::new(Balancer::new(checked.settings, seed))),
                 zone_of,
@@ -138,7 +144,8 @@
                 scenario,
             ))),
             policy => {
-                let brain = Brain::Baseline(Box::new(Baseline::new(policy, checked.settings, seed)));
+                let brain =
+                    Brain::Baseline(Box::new(Baseline::new(policy, checked.settings, seed)));
                 Node::Direct(Box::new(Direct::new(brain, zone_of, me, scenario)))
             }
         })
@@ -236,8 +243,10 @@
     fn handle(&mut self, now: Millis, input: In, truth: Truth<'_>, out: &mut Vec<Out>) {
         let mut events = VecDeque::new();
         // What is due goes first: an attempt's time-out is told before the module's own timer.
-        while let Some(&Reverse((at, token, probe))) =
-            self.due.peek().filter(|due| due.0 .0 as f64 <= now * 1000.0)
+        while let Some(&Reverse((at, token, probe))) = self
+            .due
+            .peek()
+            .filter(|due| due.0 .0 as f64 <= now * 1000.0)
         {
             self.due.pop();
             if probe {
@@ -259,13 +268,21 @@
             In::Start(generation, changes) => {
                 self.generation = Some(generation);
                 events.push_back(Event::Start);
-                events.push_back(Event::List { kind: ListKind::Stale, entries: self.entries(changes) });
+                events.push_back(Event::List {
+                    kind: ListKind::Stale,
+                    entries: self.entries(changes),
+                });
             }
             In::Request(ask) => {
                 let not_after = now + ask.patience;
-                let open = Open { answered: false, not_after, attempts: Vec::new() };
+                let open = Open {
+                    answered: false,
+                    not_after,
+                    attempts: Vec::new(),
+                };
                 self.open.insert(ask.request, open);
-                self.due.push(Reverse(((not_after * 1000.0) as i64, ask.request, false)));
+                self.due
+                    .push(Reverse(((not_after * 1000.0) as i64, ask.request, false)));
                 events.push_back(Event::Request(Arrival {
                     request: RequestId(ask.request),
                     class: ClassId(ask.class),
@@ -277,10 +294,22 @@
                 }));
             }
             In::Reply(token, reply) => self.reply(now, token, reply, &mut events, out),
-            In::List { generation, whole, changes, .. } => {
+            In::List {
+                generation,
+                whole,
+                changes,
+                ..
+            } => {
                 self.generation = Some(generation);
-                let kind = if whole { ListKind::Whole } else { ListKind::Patch };
-                events.push_back(Event::List { kind, entries: self.entries(changes) });
+                let kind = if whole {
+                    ListKind::Whole
+                } else {
+                    ListKind::Patch
+                };
+                events.push_back(Event::List {
+                    kind,
+                    entries: self.entries(changes),
+                });
             }
             In::CallFailed(_) => events.push_back(Event::ListBroken),
             In::Wake => events.push_back(Event::Wake),
@@ -299,14 +328,23 @@
     }
 
     fn deadline(
-        &mut self, now: Millis, at: i64, request: u64, events: &mut VecDeque<Event>, out: &mut Vec<Out>,
+        &mut self,
+        now: Millis,
+        at: i64,
+        request: u64,
+        events: &mut VecDeque<Event>,
+        out: &mut Vec<Out>,
     ) {
-        let Some(open) = self.open.get_mut(&request).filter(|open| (open.not_after * 1000.0) as i64 <= at)
+        let Some(open) = self
+            .open
+            .get_mut(&request)
+            .filter(|open| (open.not_after * 1000.0) as i64 <= at)
         else {
             return;
         };
         let closed = open.answered;
-        for (n, (token, sent, ended)) in open.attempts.iter_mut().enumerate().filter(|(_, a)| !a.2) {
+        for (n, (token, sent, ended)) in open.attempts.iter_mut().enumerate().filter(|(_, a)| !a.2)
+        {
             *ended = true;
             self.attempts.remove(token);
             out.push(Out::CallOff(*token));
@@ -327,21 +365,40 @@
     }
 
     fn reply(
-        &mut self, now: Millis, token: u64, reply: Reply, events: &mut VecDeque<Event>, out: &mut Vec<Out>,
+        &mut self,
+        now: Millis,
+        token: u64,
+        reply: Reply,
+        events: &mut VecDeque<Event>,
+        out: &mut Vec<Out>,
     ) {
         if let Some((upstream, sent)) = self.probes.remove(&token) {
             let report = match reply {
-                Reply::Ok(active, waiting) => {
-                    Some(Report { active: Some(active), waiting: Some(waiting), cpu: None, service: None })
-                }
+                Reply::Ok(active, waiting) => Some(Report {
+                    active: Some(active),
+                    waiting: Some(waiting),
+                    cpu: None,
+                    service: None,
+                }),
                 _ => None,
             };
             let (upstream, ok) = (UpstreamId(upstream), report.is_some());
-            return events.push_back(Event::Probed { upstream, elapsed: now - sent, ok, report });
+            return events.push_back(Event::Probed {
+                upstream,
+                elapsed: now - sent,
+                ok,
+                report,
+            });
         }
-        let Some((request, n)) = self.attempts.remove(&token) else { return };
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(attempt) = open.attempts.get_mut(n as usize).filter(|a| !a.2) else { return };
+        let Some((request, n)) = self.attempts.remove(&token) else {
+            return;
+        };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(attempt) = open.attempts.get_mut(n as usize).filter(|a| !a.2) else {
+            return;
+        };
         attempt.2 = true;
         let elapsed = now - attempt.1;
         let outcome = match reply {
@@ -355,8 +412,14 @@
             out.push(Out::Answer(request, Answer::Served));
         }
         let closed = open.answered;
-        let finished =
-            Finished { request: RequestId(request), attempt: n, outcome, elapsed, closed, report: None };
+        let finished = Finished {
+            request: RequestId(request),
+            attempt: n,
+            outcome,
+            elapsed,
+            closed,
+            report: None,
+        };
         events.push_back(Event::Finished(finished));
         self.forget(request);
     }
@@ -368,12 +431,21 @@
         }
     }
 
-    fn carry_out(&mut self, now: Millis, action: Action, events: &mut VecDeque<Event>, out: &mut Vec<Out>) {
+    fn carry_out(
+        &mut self,
+        now: Millis,
+        action: Action,
+        events: &mut VecDeque<Event>,
+        out: &mut Vec<Out>,
+    ) {
         match action {
             Action::Send { request, upstream } => {
-                let Some(open) = self.open.get_mut(&request.0).filter(|open| !open.answered) else { return };
+                let Some(open) = self.open.get_mut(&request.0).filter(|open| !open.answered) else {
+                    return;
+                };
                 self.next_token += 1;
-                self.attempts.insert(self.next_token, (request.0, open.attempts.len() as u32));
+                self.attempts
+                    .insert(self.next_token, (request.0, open.attempts.len() as u32));
                 open.attempts.push((self.next_token, now, false));
                 let what = What::Attempt(request.0);
                 out.push(Out::Send {
@@ -386,14 +458,26 @@
             Action::Probe { upstream } => {
                 self.next_token += 1;
                 self.probes.insert(self.next_token, (upstream.0, now));
-                self.due.push(Reverse((((now + CONNECT_TIMEOUT) * 1000.0) as i64, self.next_token, true)));
+                self.due.push(Reverse((
+                    ((now + CONNECT_TIMEOUT) * 1000.0) as i64,
+                    self.next_token,
+                    true,
+                )));
                 let server = upstream.0 as usize;
-                out.push(Out::Send { token: self.next_token, server, what: What::Probe, connection: None });
+                out.push(Out::Send {
+                    token: self.next_token,
+                    server,
+                    what: What::Probe,
+                    connection: None,
+                });
             }
             Action::Cancel { request, attempt } => {
-                let Some(open) = self.open.get_mut(&request.0) else { return };
+                let Some(open) = self.open.get_mut(&request.0) else {
+                    return;
+                };
                 let closed = open.answered;
-                let Some((token, sent, ended)) = open.attempts.get_mut(attempt as usize).filter(|a| !a.2)
+                let Some((token, sent, ended)) =
+                    open.attempts.get_mut(attempt as usize).filter(|a| !a.2)
                 else {
                     return;
                 };
@@ -413,8 +497,11 @@
                 self.forget(request.0);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
-                let answer =
-                    if matches!(action, Action::Fail { .. }) { Answer::Failed } else { Answer::Refused };
+                let answer = if matches!(action, Action::Fail { .. }) {
+                    Answer::Failed
+                } else {
+                    Answer::Refused
+                };
                 if let Some(open) = self.open.get_mut(&request.0).filter(|open| !open.answered) {
                     open.answered = true;
                     out.push(Out::Answer(request.0, answer));
@@ -423,7 +510,10 @@
             }
             Action::Subscribe => {
                 self.next_call += 1;
-                out.push(Out::Call { call: self.next_call, after: self.generation });
+                out.push(Out::Call {
+                    call: self.next_call,
+                    after: self.generation,
+                });
             }
             Action::Wake { at } => out.push(Out::Wake(at)),
             Action::Log(_) => {}
@@ -473,17 +563,34 @@
         keep_alive: true,
         chunks: true,
     };
-    Message { head, body: Vec::new() }
+    Message {
+        head,
+        body: Vec::new(),
+    }
 }
 
 impl Sidecar {
-    fn new(checked: Checked, scenario: &Scenario, seed: u64, now: Millis, zone_of: Vec<usize>) -> Self {
+    fn new(
+        checked: Checked,
+        scenario: &Scenario,
+        seed: u64,
+        now: Millis,
+        zone_of: Vec<usize>,
+    ) -> Self {
         let discovery = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
         // The clock's zero is the world's, and Unix time's: `startedAtMs` of 0 says long ago, so all is put off by a second.
         let reducer = Reducer::new(checked, discovery, seed, 4096, EPOCH, now);
         let names = scenario.classes.iter().map(|class| {
-            let method = if class.effect == ClassEffect::Repeatable { "GET" } else { "POST" };
-            let kind = if class.effect == ClassEffect::Keyed { "keyed" } else { method };
+            let method = if class.effect == ClassEffect::Repeatable {
+                "GET"
+            } else {
+                "POST"
+            };
+            let kind = if class.effect == ClassEffect::Keyed {
+                "keyed"
+            } else {
+                method
+            };
             (class.name.clone(), kind)
         });
         Sidecar {
@@ -515,7 +622,11 @@
             weight: None,
             started_at_ms: change.since.map_or(0.0, |since| EPOCH + millis(since)),
         };
-        Catalog { generation, reset, instances: changes.into_iter().map(instance).collect() }
+        Catalog {
+            generation,
+            reset,
+            instances: changes.into_iter().map(instance).collect(),
+        }
     }
 
     fn handle(&mut self, now: Millis, input: In, out: &mut Vec<Out>) {
@@ -532,11 +643,20 @@
                     if let Some(token) = token {
                         self.tokens.remove(&token);
                     }
-                    let written = Written { begun: ordered, whole: ordered };
-                    self.pending.push_back(Input::UpstreamClosed { conn, written });
+                    let written = Written {
+                        begun: ordered,
+                        whole: ordered,
+                    };
+                    self.pending
+                        .push_back(Input::UpstreamClosed { conn, written });
                 }
             }
-            In::List { call, generation, whole, changes } => {
+            In::List {
+                call,
+                generation,
+                whole,
+                changes,
+            } => {
                 let catalog = self.catalog(generation, whole, changes);
                 self.pending.push_back(Input::WatchLine { call, catalog });
             }
@@ -548,7 +668,9 @@
             for effect in std::mem::take(&mut self.effects) {
                 self.perform(effect, out);
             }
-            let Some(input) = self.pending.pop_front() else { break };
+            let Some(input) = self.pending.pop_front() else {
+                break;
+            };
             self.effects = self.reducer.handle(now, input);
         }
         out.extend(self.reducer.next_due().map(Out::Wake));
@@ -574,12 +696,20 @@
         message.head.target = "/".to_owned();
         message.head.keep_alive = false;
         self.pending.push_back(Input::ClientOpened { conn });
-        self.pending.push_back(Input::ClientRequest { conn, at: now, message });
+        self.pending.push_back(Input::ClientRequest {
+            conn,
+            at: now,
+            message,
+        });
     }
 
     fn reply(&mut self, now: Millis, token: u64, reply: Reply) {
-        let Some((conn, probe)) = self.tokens.remove(&token) else { return };
-        let Some((_, ordered, out)) = self.links.get_mut(&conn) else { return };
+        let Some((conn, probe)) = self.tokens.remove(&token) else {
+            return;
+        };
+        let Some((_, ordered, out)) = self.links.get_mut(&conn) else {
+            return;
+        };
         *out = None;
         let whole = *ordered;
         let status = match reply {
@@ -588,19 +718,31 @@
             Reply::Reset | Reply::NoConnect => {
                 self.links.remove(&conn);
                 let whole = if reply == Reply::Reset { whole } else { 0 };
-                let written = Written { begun: whole, whole };
-                return self.pending.push_back(Input::UpstreamClosed { conn, written });
+                let written = Written {
+                    begun: whole,
+                    whole,
+                };
+                return self
+                    .pending
+                    .push_back(Input::UpstreamClosed { conn, written });
             }
         };
         let mut headers = Vec::new();
         match reply {
             Reply::Ok(active, waiting) if probe => {
-                headers.push(("X-Load-Report".to_owned(), format!("inflight={active},queue={waiting}")));
+                headers.push((
+                    "X-Load-Report".to_owned(),
+                    format!("inflight={active},queue={waiting}"),
+                ));
             }
             Reply::Full => headers.push(("X-Rejected".to_owned(), "1".to_owned())),
             _ => {}
         }
-        self.pending.push_back(Input::UpstreamAnswered { conn, at: now, message: message(status, headers) });
+        self.pending.push_back(Input::UpstreamAnswered {
+            conn,
+            at: now,
+            message: message(status, headers),
+        });
     }
 
     fn perform(&mut self, effect: Effect, out: &mut Vec<Out>) {
@@ -609,29 +751,51 @@
                 let server = server_at(address);
                 self.links.insert(conn, (server, 0, None));
                 let port = address.port();
-                out.push(Out::Connect { connection: conn, server, port });
+                out.push(Out::Connect {
+                    connection: conn,
+                    server,
+                    port,
+                });
             }
             Effect::Write { conn, bytes, .. } => {
-                let Some((server, ordered, token)) = self.links.get_mut(&conn) else { return };
+                let Some((server, ordered, token)) = self.links.get_mut(&conn) else {
+                    return;
+                };
                 self.next_token += 1;
                 *ordered += 1;
                 *token = Some(self.next_token);
                 let text = String::from_utf8_lossy(&bytes);
-                let id = text.lines().find_map(|line| line.strip_prefix("X-Call-Id: "));
-                let what = id.and_then(|id| id.trim().parse().ok()).map_or(What::Probe, What::Attempt);
-                self.tokens.insert(self.next_token, (conn, what == What::Probe));
+                let id = text
+                    .lines()
+                    .find_map(|line| line.strip_prefix("X-Call-Id: "));
+                let what = id
+                    .and_then(|id| id.trim().parse().ok())
+                    .map_or(What::Probe, What::Attempt);
+                self.tokens
+                    .insert(self.next_token, (conn, what == What::Probe));
                 let (token, server) = (self.next_token, *server);
-                out.push(Out::Send { token, server, what, connection: Some(conn) });
+                out.push(Out::Send {
+                    token,
+                    server,
+                    what,
+                    connection: Some(conn),
+                });
             }
             Effect::CloseUpstream { conn } => {
-                let Some((_, ordered, token)) = self.links.remove(&conn) else { return };
+                let Some((_, ordered, token)) = self.links.remove(&conn) else {
+                    return;
+                };
                 if let Some(token) = token {
                     self.tokens.remove(&token);
                     out.push(Out::CallOff(token));
                 }
                 out.push(Out::Close(conn));
-                let written = Written { begun: ordered, whole: ordered };
-                self.pending.push_back(Input::UpstreamClosed { conn, written });
+                let written = Written {
+                    begun: ordered,
+                    whole: ordered,
+                };
+                self.pending
+                    .push_back(Input::UpstreamClosed { conn, written });
             }
             Effect::Answer { conn, bytes, .. } => {
                 if let Some(request) = self.clients.remove(&conn) {
--- a/crates/sandtrack-sidecar-simulator/src/observer.rs
+++ b/crates/sandtrack-sidecar-simulator/src/observer.rs
@@ -71,7 +71,11 @@
             grace: micros(scenario.rules.drain_grace_ms),
             fall: micros(scenario.rules.fall_ms),
             multiple: scenario.rules.fall_multiple,
-            windows: scenario.classes.iter().map(|c| (c.effect, micros(c.window_ms))).collect(),
+            windows: scenario
+                .classes
+                .iter()
+                .map(|c| (c.effect, micros(c.window_ms)))
+                .collect(),
             open: HashMap::new(),
             told: HashMap::new(),
             cold: BTreeMap::new(),
@@ -81,37 +85,86 @@
     }
 
     fn broken(
-        &mut self, rule: Rule, at_us: Micros, instance: Option<usize>, request: Option<u64>,
-        upstream: Option<usize>, what: &str,
+        &mut self,
+        rule: Rule,
+        at_us: Micros,
+        instance: Option<usize>,
+        request: Option<u64>,
+        upstream: Option<usize>,
+        what: &str,
     ) {
         if self.breaks.len() < KEPT {
-            self.breaks.push(Break { rule, at_us, instance, request, upstream, what: what.to_owned() });
+            self.breaks.push(Break {
+                rule,
+                at_us,
+                instance,
+                request,
+                upstream,
+                what: what.to_owned(),
+            });
         }
     }
 
     pub fn taken(&mut self, instance: usize, request: u64, class: usize, until: Micros) {
         let (effect, window) = self.windows[class];
-        let seen =
-            Seen { instance, effect, window, until, answers: 0, first_run: None, runs: 0, lost: false };
+        let seen = Seen {
+            instance,
+            effect,
+            window,
+            until,
+            answers: 0,
+            first_run: None,
+            runs: 0,
+            lost: false,
+        };
         self.open.insert(request, seen);
     }
 
     pub fn answered(&mut self, now: Micros, request: u64, answer: Answer) {
         let Some(seen) = self.open.get_mut(&request) else {
-            return self.broken(Rule::OneAnswer, now, None, Some(request), None, "an answer to nothing");
+            return self.broken(
+                Rule::OneAnswer,
+                now,
+                None,
+                Some(request),
+                None,
+                "an answer to nothing",
+            );
         };
         seen.answers += 1;
-        let (instance, answers, late) = (seen.instance, seen.answers, now > seen.until + self.slack);
+        let (instance, answers, late) =
+            (seen.instance, seen.answers, now > seen.until + self.slack);
         let promised = answer == Answer::Refused && seen.runs > 0 && seen.effect == Effect::Unsafe;
         if answers > 1 {
-            self.broken(Rule::OneAnswer, now, Some(instance), Some(request), None, "a second answer");
+            self.broken(
+                Rule::OneAnswer,
+                now,
+                Some(instance),
+                Some(request),
+                None,
+                "a second answer",
+            );
         }
         if late {
-            self.broken(Rule::OneAnswer, now, Some(instance), Some(request), None, "answered too late");
+            self.broken(
+                Rule::OneAnswer,
+                now,
+                Some(instance),
+                Some(request),
+                None,
+                "answered too late",
+            );
         }
         if promised {
             let what = "refused, though it has run";
-            self.broken(Rule::NoEffectTwice, now, Some(instance), Some(request), None, what);
+            self.broken(
+                Rule::NoEffectTwice,
+                now,
+                Some(instance),
+                Some(request),
+                None,
+                what,
+            );
         }
     }
 
@@ -119,18 +172,34 @@
     pub fn sent(&mut self, now: Micros, instance: usize, request: u64, upstream: usize) {
         if self.open.get(&request).is_none_or(|seen| seen.answers > 0) {
             let what = "sent after its answer";
-            self.broken(Rule::OneAnswer, now, Some(instance), Some(request), Some(upstream), what);
+            self.broken(
+                Rule::OneAnswer,
+                now,
+                Some(instance),
+                Some(request),
+                Some(upstream),
+                what,
+            );
         }
         let told = self.told.get(&(instance, upstream));
         if told.is_some_and(|at| now > at + self.grace) {
             let what = "sent to one that drains or is gone";
-            self.broken(Rule::Drains, now, Some(instance), Some(request), Some(upstream), what);
+            self.broken(
+                Rule::Drains,
+                now,
+                Some(instance),
+                Some(request),
+                Some(upstream),
+                what,
+            );
         }
     }
 
     /// An upstream begins to run it.
     pub fn ran(&mut self, now: Micros, request: u64, upstream: usize) {
-        let Some(seen) = self.open.get_mut(&request) else { return };
+        let Some(seen) = self.open.get_mut(&request) else {
+            return;
+        };
         let first = *seen.first_run.get_or_insert(now);
         let counts = match seen.effect {
             Effect::Repeatable => false,
@@ -141,7 +210,14 @@
         let (instance, twice) = (seen.instance, counts && seen.runs > 1);
         if twice {
             let what = "its effect happened twice";
-            self.broken(Rule::NoEffectTwice, now, Some(instance), Some(request), Some(upstream), what);
+            self.broken(
+                Rule::NoEffectTwice,
+                now,
+                Some(instance),
+                Some(request),
+                Some(upstream),
+                what,
+            );
         }
     }
 
@@ -155,7 +231,10 @@
 
     /// What an instance held is lost with it, and it has been told nothing yet.
     pub fn killed(&mut self, instance: usize) {
-        self.open.values_mut().filter(|seen| seen.instance == instance).for_each(|seen| seen.lost = true);
+        self.open
+            .values_mut()
+            .filter(|seen| seen.instance == instance)
+            .for_each(|seen| seen.lost = true);
         self.told.retain(|(told, _), _| *told != instance);
     }
 
@@ -196,7 +275,14 @@
             if let Some(seen) = self.open.get_mut(&request) {
                 seen.lost = true;
             }
-            self.broken(Rule::OneAnswer, now, Some(instance), Some(request), None, "never answered");
+            self.broken(
+                Rule::OneAnswer,
+                now,
+                Some(instance),
+                Some(request),
+                None,
+                "never answered",
+            );
         }
     }
 }
--- a/crates/sandtrack-sidecar-simulator/src/plot.rs
+++ b/crates/sandtrack-sidecar-simulator/src/plot.rs
@@ -7,12 +7,21 @@
     pub points: Vec<(f64, f64, f64)>,
 }
 
-pub fn svg(path: &std::path::Path, title: &str, x: &str, y: &str, lines: &[Line]) -> Result<(), String> {
+pub fn svg(
+    path: &std::path::Path,
+    title: &str,
+    x: &str,
+    y: &str,
+    lines: &[Line],
+) -> Result<(), String> {
     let fault = |error: &dyn std::fmt::Display| error.to_string();
     let all = || lines.iter().flat_map(|line| &line.points);
     let ends = |of: &dyn Fn(&(f64, f64, f64)) -> f64| {
-        let (low, high) =
-            all().map(of).fold((f64::INFINITY, f64::NEG_INFINITY), |(l, h), v| (l.min(v), h.max(v)));
+        let (low, high) = all()
+            .map(of)
+            .fold((f64::INFINITY, f64::NEG_INFINITY), |(l, h), v| {
+                (l.min(v), h.max(v))
+            });
         if high > low {
             (low, high)
         } else {
@@ -33,18 +42,31 @@
         .y_label_area_size(64)
         .build_cartesian_2d(left..right, 0.0..top * 1.05)
         .map_err(|e| fault(&e))?;
-    chart.configure_mesh().x_desc(x).y_desc(y).draw().map_err(|e| fault(&e))?;
+    chart
+        .configure_mesh()
+        .x_desc(x)
+        .y_desc(y)
+        .draw()
+        .map_err(|e| fault(&e))?;
     for (n, line) in lines.iter().enumerate() {
         let colour = Palette99::pick(n).to_rgba();
         let points = line.points.iter().map(|p| (p.0, p.1));
-        let series =
-            chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(|e| fault(&e))?;
-        series.label(&line.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
+        let series = chart
+            .draw_series(LineSeries::new(points, colour.stroke_width(2)))
+            .map_err(|e| fault(&e))?;
+        series
+            .label(&line.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
         let bars = line.points.iter().filter(|p| p.2 > 0.0);
-        let bars = bars.map(|p| PathElement::new([(p.0, (p.1 - p.2).max(0.0)), (p.0, p.1 + p.2)], colour));
+        let bars =
+            bars.map(|p| PathElement::new([(p.0, (p.1 - p.2).max(0.0)), (p.0, p.1 + p.2)], colour));
         chart.draw_series(bars).map_err(|e| fault(&e))?;
     }
     let labels = &mut chart.configure_series_labels();
-    labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(|e| fault(&e))?;
+    labels
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()
+        .map_err(|e| fault(&e))?;
     root.present().map_err(|e| fault(&e))
 }
--- a/crates/sandtrack-sidecar-simulator/src/report.rs
+++ b/crates/sandtrack-sidecar-simulator/src/report.rs
@@ -86,7 +86,8 @@
 
 impl From<&Break> for BreakLine {
     fn from(b: &Break) -> Self {
-        let name = |what: &str, id: Option<u64>| id.map_or(String::new(), |id| format!(" {what} {id}"));
+        let name =
+            |what: &str, id: Option<u64>| id.map_or(String::new(), |id| format!(" {what} {id}"));
         BreakLine(format!(
             "{:.6} s {:?}:{}{}{} {}",
             millis(b.at_us) / 1000.0,
@@ -104,7 +105,11 @@
         let latencies = Histogram::new_with_bounds(1, 3_600_000_000, 3);
         Tally {
             worths: scenario.classes.iter().map(|class| class.worth).collect(),
-            aims: scenario.classes.iter().map(|class| micros(class.aim_ms)).collect(),
+            aims: scenario
+                .classes
+                .iter()
+                .map(|class| micros(class.aim_ms))
+                .collect(),
             begin: 0,
             seconds: Vec::new(),
             latencies: latencies.expect("the bounds are in order"),
@@ -168,15 +173,24 @@
         self.servers = servers.iter().map(figures).collect();
         let held: f64 = servers.iter().map(|server| server.held_time).sum();
         let arrived: u64 = servers.iter().map(|server| server.arrived).sum();
-        let (left, sojourns) =
-            servers.iter().fold((0, 0.0), |(n, sum), server| (n + server.left, sum + server.sojourns));
-        self.little = [held / passed, arrived as f64 / passed * sojourns / (left.max(1)) as f64];
+        let (left, sojourns) = servers.iter().fold((0, 0.0), |(n, sum), server| {
+            (n + server.left, sum + server.sojourns)
+        });
+        self.little = [
+            held / passed,
+            arrived as f64 / passed * sojourns / (left.max(1)) as f64,
+        ];
     }
 }
 
 impl Report {
     pub fn new(
-        scenario: &Scenario, seed: u64, tally: Tally, observer: Observer, discovery: &Discovery, events: u64,
+        scenario: &Scenario,
+        seed: u64,
+        tally: Tally,
+        observer: Observer,
+        discovery: &Discovery,
+        events: u64,
     ) -> Self {
         let from = (tally.begin / 1_000_000) as usize;
         let until = scenario.duration_s.ceil() as usize;
@@ -185,12 +199,18 @@
         let in_time: f64 = measured.iter().map(|s| s.worth_in_time).sum();
         let sum = |of: fn(&Second) -> u32| measured.iter().map(|s| f64::from(of(s))).sum::<f64>();
         let firsts = sum(|s| s.asked).max(1.0);
-        let worst = measured.iter().filter(|s| s.asked >= 20).map(|s| s.worth_in_time / s.worth_asked);
+        let worst = measured
+            .iter()
+            .filter(|s| s.asked >= 20)
+            .map(|s| s.worth_in_time / s.worth_asked);
         let name = serde_json::to_value(scenario.policy).ok();
-        let most = |of: fn(&UpstreamFigures) -> f64| tally.servers.iter().map(of).fold(0.0, f64::max);
+        let most =
+            |of: fn(&UpstreamFigures) -> f64| tally.servers.iter().map(of).fold(0.0, f64::max);
         Report {
             scenario: scenario.name.clone(),
-            policy: name.and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default(),
+            policy: name
+                .and_then(|name| name.as_str().map(str::to_owned))
+                .unwrap_or_default(),
             seed,
             instances: scenario.instances,
             events,
@@ -207,7 +227,12 @@
             calls: discovery.calls,
             calls_failed: discovery.failed,
             most_probe_share: most(|u| u.probe_share),
-            most_connections: tally.servers.iter().map(|u| u.most_connections).max().unwrap_or_default(),
+            most_connections: tally
+                .servers
+                .iter()
+                .map(|u| u.most_connections)
+                .max()
+                .unwrap_or_default(),
             little: tally.little,
             worst_cold: observer.worst_cold,
             rules_broken: observer.breaks.len(),
--- a/crates/sandtrack-sidecar-simulator/src/scenario.rs
+++ b/crates/sandtrack-sidecar-simulator/src/scenario.rs
@@ -242,19 +242,30 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { same_ms: 0.1, cross_ms: 0.5 }
+        Net {
+            same_ms: 0.1,
+            cross_ms: 0.5,
+        }
     }
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { call_ms: 1.0, line_ms: 0.1, timeout_s: 2.0, news_s: 0.5 }
+        Discovery {
+            call_ms: 1.0,
+            line_ms: 0.1,
+            timeout_s: 2.0,
+            news_s: 0.5,
+        }
     }
 }
 
 impl Default for Prices {
     fn default() -> Self {
-        Prices { probe: 0.01, cross_zone: 0.005 }
+        Prices {
+            probe: 0.01,
+            cross_zone: 0.005,
+        }
     }
 }
 
@@ -272,7 +283,12 @@
 
 impl Default for Allow {
     fn default() -> Self {
-        Allow { cancel: true, probes: true, second_copies: true, max_attempts: 5 }
+        Allow {
+            cancel: true,
+            probes: true,
+            second_copies: true,
+            max_attempts: 5,
+        }
     }
 }
 
@@ -294,7 +310,11 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}:{}: {}: {}", self.file, self.line, self.key, self.wrong)
+        write!(
+            out,
+            "{}:{}: {}: {}",
+            self.file, self.line, self.key, self.wrong
+        )
     }
 }
 
@@ -314,9 +334,21 @@
         wrong,
     };
     let parsed = |error: toml::de::Error| {
-        let line = error.span().map_or(1, |span| 1 + text[..span.start].matches('\n').count());
-        let key = text.lines().nth(line - 1).and_then(|l| l.split('=').next()).unwrap_or("").trim();
-        Fault { file: file.to_owned(), line, key: key.to_owned(), wrong: error.message().replace('\n', " ") }
+        let line = error
+            .span()
+            .map_or(1, |span| 1 + text[..span.start].matches('\n').count());
+        let key = text
+            .lines()
+            .nth(line - 1)
+            .and_then(|l| l.split('=').next())
+            .unwrap_or("")
+            .trim();
+        Fault {
+            file: file.to_owned(),
+            line,
+            key: key.to_owned(),
+            wrong: error.message().replace('\n', " "),
+        }
     };
     let scenario: Scenario = if set.is_empty() {
         toml::from_str(text).map_err(parsed)?
@@ -336,7 +368,9 @@
 
 /// The line of a key such as `pool[1].count`; the last part found, if a default stands in for the rest.
 fn line_of(text: &str, key: &str) -> usize {
-    let Ok(document) = toml_edit::ImDocument::parse(text) else { return 1 };
+    let Ok(document) = toml_edit::ImDocument::parse(text) else {
+        return 1;
+    };
     let mut item = document.as_item();
     let mut start = 0;
     for part in key.split('.') {
@@ -344,8 +378,12 @@
             Some((name, place)) => (name, place.trim_end_matches(']').parse::<usize>().ok()),
             None => (part, None),
         };
-        let Some(table) = item.as_table_like() else { break };
-        let Some((found_key, found)) = table.get_key_value(name) else { break };
+        let Some(table) = item.as_table_like() else {
+            break;
+        };
+        let Some((found_key, found)) = table.get_key_value(name) else {
+            break;
+        };
         item = found;
         start = found_key.span().map_or(start, |span| span.start);
         if let Some(place) = place {
@@ -368,12 +406,19 @@
         };
         let table = here.as_table_mut().ok_or("leads through a figure")?;
         if parts.peek().is_none() && place.is_none() {
-            let whole = figure.fract() == 0.0 && !matches!(table.get(name), Some(toml::Value::Float(_)));
-            let figure = if whole { toml::Value::Integer(figure as i64) } else { toml::Value::Float(figure) };
+            let whole =
+                figure.fract() == 0.0 && !matches!(table.get(name), Some(toml::Value::Float(_)));
+            let figure = if whole {
+                toml::Value::Integer(figure as i64)
+            } else {
+                toml::Value::Float(figure)
+            };
             table.insert(name.to_owned(), figure);
             return Ok(());
         }
-        here = table.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        here = table
+            .entry(name)
+            .or_insert_with(|| toml::Value::Table(toml::Table::new()));
         if let Some(place) = place {
             here = here.get_mut(place).ok_or("no such entry")?;
         }
@@ -406,7 +451,10 @@
         return wrong("warmup_s", "leaves nothing of the duration");
     }
     if s.instances == 0 || s.instances > INSTANCES_MOST {
-        return wrong("instances", &format!("{} is not 1 to {INSTANCES_MOST}", s.instances));
+        return wrong(
+            "instances",
+            &format!("{} is not 1 to {INSTANCES_MOST}", s.instances),
+        );
     }
     if s.zones.is_empty() {
         return wrong("zones", "at least one zone is needed");
@@ -452,16 +500,30 @@
     }
     let shares: f64 = s.classes.iter().map(|class| class.share).sum();
     if (shares - 1.0).abs() > 1e-6 {
-        return wrong("class[0].share", &format!("the classes' shares sum to {shares}, not 1"));
+        return wrong(
+            "class[0].share",
+            &format!("the classes' shares sum to {shares}, not 1"),
+        );
     }
     for (n, pool) in s.pools.iter().enumerate() {
         if !s.zones.contains(&pool.zone) {
-            return wrong(&format!("pool[{n}].zone"), &format!("{:?} is no zone", pool.zone));
+            return wrong(
+                &format!("pool[{n}].zone"),
+                &format!("{:?} is no zone", pool.zone),
+            );
         }
         over(format!("pool[{n}].speed"), pool.speed)?;
     }
-    if s.pools.iter().map(|pool| u64::from(pool.count)).sum::<u64>() > u64::from(SERVERS_MOST) {
-        return wrong("pool[0].count", &format!("over {SERVERS_MOST} upstreams in all"));
+    if s.pools
+        .iter()
+        .map(|pool| u64::from(pool.count))
+        .sum::<u64>()
+        > u64::from(SERVERS_MOST)
+    {
+        return wrong(
+            "pool[0].count",
+            &format!("over {SERVERS_MOST} upstreams in all"),
+        );
     }
     if s.server.cores == 0 || s.server.cores > 1024 {
         return wrong("server.cores", "not 1 to 1024");
@@ -504,8 +566,15 @@
         if failure.at_s >= s.duration_s {
             return wrong(&key("at_s"), "after the end");
         }
-        if failure.zone.as_ref().is_some_and(|zone| !s.zones.contains(zone)) {
-            return wrong(&key("zone"), &format!("{:?} is no zone", failure.zone.as_deref().unwrap_or("")));
+        if failure
+            .zone
+            .as_ref()
+            .is_some_and(|zone| !s.zones.contains(zone))
+        {
+            return wrong(
+                &key("zone"),
+                &format!("{:?} is no zone", failure.zone.as_deref().unwrap_or("")),
+            );
         }
         let zoned = matches!(failure.kind, Kind::ZoneLoss | Kind::Partition);
         if zoned && failure.zone.is_none() {
--- a/crates/sandtrack-sidecar-simulator/src/server.rs
+++ b/crates/sandtrack-sidecar-simulator/src/server.rs
@@ -71,7 +71,14 @@
 }
 
 impl Server {
-    pub fn new(zone: usize, cores: usize, queue: usize, speed: f64, cold_share: f64, cold: Micros) -> Self {
+    pub fn new(
+        zone: usize,
+        cores: usize,
+        queue: usize,
+        speed: f64,
+        cold_share: f64,
+        cold: Micros,
+    ) -> Self {
         Server {
             zone,
             cores,
@@ -105,7 +112,9 @@
     }
 
     pub fn warmth(&self, now: Micros) -> f64 {
-        let Some(since) = self.since.filter(|_| self.cold > 0) else { return 1.0 };
+        let Some(since) = self.since.filter(|_| self.cold > 0) else {
+            return 1.0;
+        };
         let climb = (now.saturating_sub(since) as f64 / self.cold as f64).min(1.0);
         self.cold_share + (1.0 - self.cold_share) * climb
     }
@@ -126,7 +135,13 @@
     /// The warm-up is over: figures begin here.
     pub fn begin(&mut self, now: Micros) {
         self.settle(now);
-        (self.held_time, self.busy, self.sojourns, self.left, self.arrived) = (0.0, 0.0, 0.0, 0, 0);
+        (
+            self.held_time,
+            self.busy,
+            self.sojourns,
+            self.left,
+            self.arrived,
+        ) = (0.0, 0.0, 0.0, 0, 0);
         (self.probe_work, self.handshake_work, self.probes) = (0.0, 0.0, 0);
     }
 
@@ -179,7 +194,10 @@
             return true;
         }
         if let Some(place) = self.waiting.iter().position(|job| job.token == token) {
-            self.sojourns += self.waiting.remove(place).map_or(0.0, |job| millis(now - job.came));
+            self.sojourns += self
+                .waiting
+                .remove(place)
+                .map_or(0.0, |job| millis(now - job.came));
             self.left += 1;
         }
         false
@@ -190,7 +208,11 @@
         self.settle(now);
         self.epoch += 1;
         (self.state, self.connections) = (State::Dead, 0);
-        let lost: Vec<Job> = self.running.drain(..).chain(self.waiting.drain(..)).collect();
+        let lost: Vec<Job> = self
+            .running
+            .drain(..)
+            .chain(self.waiting.drain(..))
+            .collect();
         self.sojourns += lost.iter().map(|job| millis(now - job.came)).sum::<f64>();
         self.left += lost.len() as u64;
         lost
--- a/crates/sandtrack-sidecar-simulator/src/stats.rs
+++ b/crates/sandtrack-sidecar-simulator/src/stats.rs
@@ -16,10 +16,15 @@
         let mean = samples.iter().sum::<f64>() / n.max(1.0);
         let half = (samples.len() > 1).then(|| {
             let variance = samples.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0);
-            let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
+            let t =
+                StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
             t * (variance / n).sqrt()
         });
-        Estimate { mean, half, runs: samples.len() }
+        Estimate {
+            mean,
+            half,
+            runs: samples.len(),
+        }
     }
 
     /// The estimate of a difference on common random numbers: pair by pair.
@@ -29,6 +34,7 @@
     }
 
     pub fn holds(&self, value: f64) -> bool {
-        self.half.is_some_and(|half| (self.mean - value).abs() <= half)
+        self.half
+            .is_some_and(|half| (self.mean - value).abs() <= half)
     }
 }
--- a/crates/sandtrack-sidecar-simulator/src/world.rs
+++ b/crates/sandtrack-sidecar-simulator/src/world.rs
@@ -181,13 +181,25 @@
         let mut servers = Vec::new();
         for pool in &s.pools {
             for _ in 0..pool.count {
-                servers.push(server(s, s.zone(&pool.zone).unwrap_or_default(), pool.speed));
+                servers.push(server(
+                    s,
+                    s.zone(&pool.zone).unwrap_or_default(),
+                    pool.speed,
+                ));
             }
         }
-        let listed =
-            (0..servers.len()).map(|server| Change { server, standing: Standing::Ready, since: None });
+        let listed = (0..servers.len()).map(|server| Change {
+            server,
+            standing: Standing::Ready,
+            since: None,
+        });
         let d = &s.discovery;
-        let discovery = Discovery::new(d.call_ms, d.line_ms, micros(d.timeout_s * 1000.0), listed.collect());
+        let discovery = Discovery::new(
+            d.call_ms,
+            d.line_ms,
+            micros(d.timeout_s * 1000.0),
+            listed.collect(),
+        );
         let mut world = World {
             scenario,
             now: 0,
@@ -219,7 +231,15 @@
             let spread = s.client.spread;
             let rate = s.client.rps * (spread * draw - spread * spread / 2.0).exp();
             let zone = instance % s.zones.len();
-            world.slots.push(Slot { node: None, zone, epoch: 0, wakes: BTreeSet::new(), call: 0, rate, rng });
+            world.slots.push(Slot {
+                node: None,
+                zone,
+                epoch: 0,
+                wakes: BTreeSet::new(),
+                call: 0,
+                rate,
+                rng,
+            });
         }
         world.at(micros(s.warmup_s * 1000.0), Event::Begin);
         for instance in 0..world.slots.len() {
@@ -236,7 +256,11 @@
 
     fn at(&mut self, at: Micros, event: Event) {
         self.order += 1;
-        self.events.push(Scheduled { at: at.max(self.now), order: self.order, event });
+        self.events.push(Scheduled {
+            at: at.max(self.now),
+            order: self.order,
+            event,
+        });
     }
 
     fn after(&mut self, ms: f64, event: Event) {
@@ -249,7 +273,12 @@
 
     fn play(&mut self) {
         // What was asked by the end is played out; the rules count there too.
-        let last = self.scenario.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        let last = self
+            .scenario
+            .classes
+            .iter()
+            .map(|class| class.deadline_ms)
+            .fold(0.0, f64::max);
         let over = self.end() + micros(2.0 * last) + SECOND;
         while let Some(Scheduled { at, event, .. }) = self.events.pop() {
             if at > over || self.fault.is_some() {
@@ -268,7 +297,11 @@
             Event::Arrive(instance) => self.arrive(instance),
             Event::Again(first) => self.attempt(first, true),
             Event::AtServer(id) => self.at_server(id),
-            Event::Done { server, token, epoch } => self.done(server, token, epoch),
+            Event::Done {
+                server,
+                token,
+                epoch,
+            } => self.done(server, token, epoch),
             Event::Back(id, reply) => self.back(id, reply),
             Event::CalledOff { server, token } => {
                 let frees = self.scenario.server.cancel_frees;
@@ -276,12 +309,27 @@
                     self.next_job(server);
                 }
             }
-            Event::ConnectAt { instance, epoch, connection, server, port } => {
+            Event::ConnectAt {
+                instance,
+                epoch,
+                connection,
+                server,
+                port,
+            } => {
                 self.connect_at(instance, epoch, connection, (server, port));
             }
-            Event::Connected { instance, epoch, connection, up } => {
+            Event::Connected {
+                instance,
+                epoch,
+                connection,
+                up,
+            } => {
                 if self.slots[instance].epoch == epoch {
-                    let input = if up { In::Connected(connection) } else { In::ConnectionLost(connection) };
+                    let input = if up {
+                        In::Connected(connection)
+                    } else {
+                        In::ConnectionLost(connection)
+                    };
                     self.feed(instance, input);
                 }
             }
@@ -290,7 +338,12 @@
                     self.feed(instance, In::Wake);
                 }
             }
-            Event::CallAt { instance, epoch, call, after } => self.call_at(instance, epoch, call, after),
+            Event::CallAt {
+                instance,
+                epoch,
+                call,
+                after,
+            } => self.call_at(instance, epoch, call, after),
             Event::DiscoveryDone(epoch) if epoch == self.discovery_epoch => {
                 if let Some(told) = self.discovery.finish() {
                     let epoch = self.slots[told.ticket.instance].epoch;
@@ -305,20 +358,35 @@
                 }
             }
             Event::Told(told, epoch) => self.told(*told, epoch),
-            Event::CallFailed { instance, epoch, call } => {
+            Event::CallFailed {
+                instance,
+                epoch,
+                call,
+            } => {
                 let slot = &self.slots[instance];
                 if slot.epoch == epoch && slot.call == call {
                     self.tally.second(self.now).calls_failed += 1;
                     self.feed(instance, In::CallFailed(call));
                 }
             }
-            Event::Beat { instance, epoch, call } => {
+            Event::Beat {
+                instance,
+                epoch,
+                call,
+            } => {
                 if self.slots[instance].epoch == epoch
                     && self.slots[instance].call == call
                     && !self.discovery.down
                 {
                     self.feed(instance, In::Beat(call));
-                    self.at(self.now + BEAT, Event::Beat { instance, epoch, call });
+                    self.at(
+                        self.now + BEAT,
+                        Event::Beat {
+                            instance,
+                            epoch,
+                            call,
+                        },
+                    );
                 }
             }
             Event::Learn(changes) => {
@@ -330,7 +398,11 @@
             Event::Replaced { old } => self.replace(old),
             Event::Gone(server) => {
                 self.kill_server(server);
-                self.learn_later(vec![Change { server, standing: Standing::Gone, since: None }]);
+                self.learn_later(vec![Change {
+                    server,
+                    standing: Standing::Gone,
+                    since: None,
+                }]);
             }
             Event::Begin => {
                 let now = self.now;
@@ -345,7 +417,9 @@
             }
             Event::End => {
                 let now = self.now;
-                self.servers.iter_mut().for_each(|server| server.settle(now));
+                self.servers
+                    .iter_mut()
+                    .for_each(|server| server.settle(now));
                 self.tally.freeze(now, &self.servers);
             }
         }
@@ -355,20 +429,31 @@
 
     fn start(&mut self, instance: usize) {
         let seed = self.rng.gen();
-        let node = Node::new(self.scenario, instance, seed, millis(self.now), self.zone_of.clone());
+        let node = Node::new(
+            self.scenario,
+            instance,
+            seed,
+            millis(self.now),
+            self.zone_of.clone(),
+        );
         match node {
             Ok(node) => self.slots[instance].node = Some(node),
             Err(fault) => return self.fault = Some(fault),
         }
         // A restarted one has the list that it was born with: it may be old.
         let initial: u32 = self.scenario.pools.iter().map(|pool| pool.count).sum();
-        let known =
-            (0..initial as usize).map(|server| Change { server, standing: Standing::Ready, since: None });
+        let known = (0..initial as usize).map(|server| Change {
+            server,
+            standing: Standing::Ready,
+            since: None,
+        });
         self.feed(instance, In::Start(0, known.collect()));
     }
 
     fn feed(&mut self, instance: usize, input: In) {
-        let Some(mut node) = self.slots[instance].node.take() else { return };
+        let Some(mut node) = self.slots[instance].node.take() else {
+            return;
+        };
         node.know(&self.zone_of);
         let mut out = Vec::new();
         let (servers, now) = (&self.servers, self.now);
@@ -390,7 +475,12 @@
     fn carry_out(&mut self, instance: usize, out: Out) {
         let epoch = self.slots[instance].epoch;
         match out {
-            Out::Send { token, server, what, connection } => {
+            Out::Send {
+                token,
+                server,
+                what,
+                connection,
+            } => {
                 self.next_token += 1;
                 let id = self.next_token;
                 match what {
@@ -402,7 +492,17 @@
                     }
                     What::Probe => self.tally.second(self.now).probes += 1,
                 }
-                self.sent.insert(id, Sent { instance, epoch, token, server, what, connection });
+                self.sent.insert(
+                    id,
+                    Sent {
+                        instance,
+                        epoch,
+                        token,
+                        server,
+                        what,
+                        connection,
+                    },
+                );
                 self.by_token.insert((instance, epoch, token), id);
                 if let Some(delay) = self.delay(instance, server) {
                     self.after(delay, Event::AtServer(id));
@@ -419,10 +519,23 @@
                     }
                 }
             }
-            Out::Connect { connection, server, port } => {
+            Out::Connect {
+                connection,
+                server,
+                port,
+            } => {
                 self.tally.second(self.now).connects += 1;
                 if let Some(delay) = self.delay(instance, server) {
-                    self.after(delay, Event::ConnectAt { instance, epoch, connection, server, port });
+                    self.after(
+                        delay,
+                        Event::ConnectAt {
+                            instance,
+                            epoch,
+                            connection,
+                            server,
+                            port,
+                        },
+                    );
                 }
             }
             Out::Close(connection) => {
@@ -434,7 +547,15 @@
             Out::Call { call, after } => {
                 self.slots[instance].call = call;
                 self.tally.second(self.now).calls += 1;
-                self.after(DISCOVERY_MS, Event::CallAt { instance, epoch, call, after });
+                self.after(
+                    DISCOVERY_MS,
+                    Event::CallAt {
+                        instance,
+                        epoch,
+                        call,
+                        after,
+                    },
+                );
             }
             Out::HangUp(call) => {
                 if self.slots[instance].call == call {
@@ -455,15 +576,27 @@
     /// One way between an instance and an upstream; `None` when they are cut off from each other.
     fn delay(&self, instance: usize, server: usize) -> Option<f64> {
         let (here, there) = (self.slots[instance].zone, self.zone_of[server]);
-        let cut = here != there && (self.partitions.contains(&here) || self.partitions.contains(&there));
+        let cut =
+            here != there && (self.partitions.contains(&here) || self.partitions.contains(&there));
         let net = &self.scenario.net;
-        Some(if here == there { net.same_ms } else { net.cross_ms }).filter(|_| !cut)
+        Some(if here == there {
+            net.same_ms
+        } else {
+            net.cross_ms
+        })
+        .filter(|_| !cut)
     }
 
     // Clients.
 
     fn next_arrival(&mut self, instance: usize) {
-        let most = self.scenario.client.phases.iter().map(|phase| phase[1]).fold(1.0, f64::max);
+        let most = self
+            .scenario
+            .client
+            .phases
+            .iter()
+            .map(|phase| phase[1])
+            .fold(1.0, f64::max);
         let slot = &mut self.slots[instance];
         let rate = slot.rate * most;
         if rate > 0.0 {
@@ -479,7 +612,11 @@
         let phases = &self.scenario.client.phases;
         let most = phases.iter().map(|phase| phase[1]).fold(1.0, f64::max);
         let seconds = millis(self.now) / 1000.0;
-        let factor = phases.iter().rev().find(|phase| phase[0] <= seconds).map_or(1.0, |phase| phase[1]);
+        let factor = phases
+            .iter()
+            .rev()
+            .find(|phase| phase[0] <= seconds)
+            .map_or(1.0, |phase| phase[1]);
         let slot = &mut self.slots[instance];
         // All is drawn whether it is used or not, so that the stream stays the same.
         let (luck, pick): (f64, f64) = (slot.rng.gen(), slot.rng.gen());
@@ -503,7 +640,16 @@
         if luck * most < factor && slot.node.is_some() {
             self.next_request += 1;
             let id = self.next_request;
-            self.firsts.insert(id, First { instance, class, work, began: self.now, tries: 0 });
+            self.firsts.insert(
+                id,
+                First {
+                    instance,
+                    class,
+                    work,
+                    began: self.now,
+                    tries: 0,
+                },
+            );
             self.tally.asked(self.now, class);
             self.attempt(id, false);
         }
@@ -511,11 +657,15 @@
     }
 
     fn attempt(&mut self, id: u64, retry: bool) {
-        let Some(first) = self.firsts.get_mut(&id) else { return };
+        let Some(first) = self.firsts.get_mut(&id) else {
+            return;
+        };
         first.tries += 1;
         let class = &self.scenario.classes[first.class];
         let left = class.deadline_ms - millis(self.now - first.began);
-        let patience = (class.deadline_ms * self.scenario.client.try_share).min(left).floor();
+        let patience = (class.deadline_ms * self.scenario.client.try_share)
+            .min(left)
+            .floor();
         let (instance, class) = (first.instance, first.class);
         if patience < 1.0 || self.slots[instance].node.is_none() {
             self.firsts.remove(&id);
@@ -528,16 +678,29 @@
             id
         };
         self.tries.insert(request, id);
-        self.observer.taken(instance, request, class, self.now + micros(patience));
+        self.observer
+            .taken(instance, request, class, self.now + micros(patience));
         self.tally.second(self.now).tries += 1;
         let retry = retry && self.scenario.client.marks_retries;
-        self.feed(instance, In::Request(Ask { request, class, patience, retry }));
+        self.feed(
+            instance,
+            In::Request(Ask {
+                request,
+                class,
+                patience,
+                retry,
+            }),
+        );
     }
 
     fn answered(&mut self, request: u64, answer: Answer) {
         self.observer.answered(self.now, request, answer);
-        let Some(id) = self.tries.remove(&request) else { return };
-        let Some(first) = self.firsts.get(&id) else { return };
+        let Some(id) = self.tries.remove(&request) else {
+            return;
+        };
+        let Some(first) = self.firsts.get(&id) else {
+            return;
+        };
         let second = self.tally.second(self.now);
         match answer {
             Answer::Served => {
@@ -546,7 +709,11 @@
                 self.firsts.remove(&id);
             }
             Answer::Refused | Answer::Failed => {
-                *(if answer == Answer::Refused { &mut second.refused } else { &mut second.failed }) += 1;
+                *(if answer == Answer::Refused {
+                    &mut second.refused
+                } else {
+                    &mut second.failed
+                }) += 1;
                 let (client, class) = (&self.scenario.client, &self.scenario.classes[first.class]);
                 let again = self.now + micros(client.backoff_ms).max(1);
                 let due = first.began + micros(class.deadline_ms);
@@ -562,9 +729,13 @@
     // Upstreams.
 
     fn at_server(&mut self, id: u64) {
-        let Some(sent) = self.sent.get(&id) else { return };
+        let Some(sent) = self.sent.get(&id) else {
+            return;
+        };
         let (index, what, instance) = (sent.server, sent.what, sent.instance);
-        let connected = sent.connection.is_none_or(|c| self.connections.contains_key(&(instance, c)));
+        let connected = sent
+            .connection
+            .is_none_or(|c| self.connections.contains_key(&(instance, c)));
         let now = self.now;
         let server = &mut self.servers[index];
         if server.state == State::Dead {
@@ -585,10 +756,21 @@
             }
             What::Attempt(request) => request,
         };
-        let first = self.tries.get(&request).and_then(|first| self.firsts.get(first));
-        let Some(work) = first.map(|first| first.work) else { return };
+        let first = self
+            .tries
+            .get(&request)
+            .and_then(|first| self.firsts.get(first));
+        let Some(work) = first.map(|first| first.work) else {
+            return;
+        };
         let warm = server.warmth(now);
-        let job = Job { token: id, instance, request, work, came: now };
+        let job = Job {
+            token: id,
+            instance,
+            request,
+            work,
+            came: now,
+        };
         match server.offer(now, job) {
             Err(Full) => self.reply(id, Reply::Full),
             Ok(begun) => {
@@ -609,7 +791,14 @@
         let server = &self.servers[index];
         if server.state != State::Silent {
             let epoch = server.epoch;
-            self.at(self.now + takes, Event::Done { server: index, token: job.token, epoch });
+            self.at(
+                self.now + takes,
+                Event::Done {
+                    server: index,
+                    token: job.token,
+                    epoch,
+                },
+            );
         }
     }
 
@@ -630,21 +819,32 @@
     }
 
     fn reply(&mut self, id: u64, reply: Reply) {
-        let Some(sent) = self.sent.get(&id) else { return };
+        let Some(sent) = self.sent.get(&id) else {
+            return;
+        };
         if let Some(delay) = self.delay(sent.instance, sent.server) {
             self.after(delay, Event::Back(id, reply));
         }
     }
 
     fn back(&mut self, id: u64, reply: Reply) {
-        let Some(sent) = self.sent.remove(&id) else { return };
-        self.by_token.remove(&(sent.instance, sent.epoch, sent.token));
+        let Some(sent) = self.sent.remove(&id) else {
+            return;
+        };
+        self.by_token
+            .remove(&(sent.instance, sent.epoch, sent.token));
         if self.slots[sent.instance].epoch == sent.epoch {
             self.feed(sent.instance, In::Reply(sent.token, reply));
         }
     }
 
-    fn connect_at(&mut self, instance: usize, epoch: u32, connection: u64, (index, port): (usize, u16)) {
+    fn connect_at(
+        &mut self,
+        instance: usize,
+        epoch: u32,
+        connection: u64,
+        (index, port): (usize, u16),
+    ) {
         if self.slots[instance].epoch != epoch {
             return;
         }
@@ -658,26 +858,54 @@
             self.connections.insert((instance, connection), index);
         }
         if let Some(delay) = self.delay(instance, index) {
-            let wait = delay + if up { self.scenario.server.handshake_ms } else { 0.0 };
-            self.after(wait, Event::Connected { instance, epoch, connection, up });
+            let wait = delay
+                + if up {
+                    self.scenario.server.handshake_ms
+                } else {
+                    0.0
+                };
+            self.after(
+                wait,
+                Event::Connected {
+                    instance,
+                    epoch,
+                    connection,
+                    up,
+                },
+            );
         }
     }
 
     fn kill_server(&mut self, index: usize) {
         let lost = self.servers[index].die(self.now);
         for job in lost {
-            let direct = self.sent.get(&job.token).is_some_and(|sent| sent.connection.is_none());
+            let direct = self
+                .sent
+                .get(&job.token)
+                .is_some_and(|sent| sent.connection.is_none());
             if direct {
                 self.reply(job.token, Reply::Reset);
             }
         }
-        let broken: Vec<(usize, u64)> =
-            self.connections.iter().filter(|(_, server)| **server == index).map(|(key, _)| *key).collect();
+        let broken: Vec<(usize, u64)> = self
+            .connections
+            .iter()
+            .filter(|(_, server)| **server == index)
+            .map(|(key, _)| *key)
+            .collect();
         for (instance, connection) in broken {
             self.connections.remove(&(instance, connection));
             if let Some(delay) = self.delay(instance, index) {
                 let epoch = self.slots[instance].epoch;
-                self.after(delay, Event::Connected { instance, epoch, connection, up: false });
+                self.after(
+                    delay,
+                    Event::Connected {
+                        instance,
+                        epoch,
+                        connection,
+                        up: false,
+                    },
+                );
             }
         }
     }
@@ -689,7 +917,13 @@
         if slot.epoch != epoch || slot.call != call {
             return;
         }
-        let ticket = Ticket { instance, call, after, came: self.now, news: false };
+        let ticket = Ticket {
+            instance,
+            call,
+            after,
+            came: self.now,
+            news: false,
+        };
         if self.discovery.call(ticket) {
             self.after(self.scenario.discovery.timeout_s * 1000.0, Event::Overdue);
             self.discover();
@@ -700,7 +934,14 @@
 
     fn fail_call(&mut self, instance: usize, call: u64) {
         let epoch = self.slots[instance].epoch;
-        self.after(DISCOVERY_MS, Event::CallFailed { instance, epoch, call });
+        self.after(
+            DISCOVERY_MS,
+            Event::CallFailed {
+                instance,
+                epoch,
+                call,
+            },
+        );
     }
 
     fn discover(&mut self) {
@@ -710,24 +951,48 @@
     }
 
     fn told(&mut self, told: Told, epoch: u32) {
-        let Ticket { instance, call, news, .. } = told.ticket;
+        let Ticket {
+            instance,
+            call,
+            news,
+            ..
+        } = told.ticket;
         let slot = &self.slots[instance];
         if slot.epoch != epoch || slot.call != call {
             return;
         }
         for change in &told.changes {
-            self.observer.told(self.now, instance, change.server, change.standing);
+            self.observer
+                .told(self.now, instance, change.server, change.standing);
         }
         self.tally.second(self.now).lists += 1;
         let (generation, whole, changes) = (told.generation, told.whole, told.changes);
-        self.feed(instance, In::List { call, generation, whole, changes });
+        self.feed(
+            instance,
+            In::List {
+                call,
+                generation,
+                whole,
+                changes,
+            },
+        );
         if !news && self.scenario.policy == Policy::Sidecar {
-            self.at(self.now + BEAT, Event::Beat { instance, epoch, call });
+            self.at(
+                self.now + BEAT,
+                Event::Beat {
+                    instance,
+                    epoch,
+                    call,
+                },
+            );
         }
     }
 
     fn learn_later(&mut self, changes: Vec<Change>) {
-        self.after(self.scenario.discovery.news_s * 1000.0, Event::Learn(changes));
+        self.after(
+            self.scenario.discovery.news_s * 1000.0,
+            Event::Learn(changes),
+        );
     }
 
     // Failures.
@@ -745,8 +1010,17 @@
     }
 
     fn fail(&mut self, n: usize) {
-        let Failure { kind, share, factor, for_s, .. } = self.scenario.failures[n];
-        let zone = self.scenario.failures[n].zone.as_ref().and_then(|name| self.scenario.zone(name));
+        let Failure {
+            kind,
+            share,
+            factor,
+            for_s,
+            ..
+        } = self.scenario.failures[n];
+        let zone = self.scenario.failures[n]
+            .zone
+            .as_ref()
+            .and_then(|name| self.scenario.zone(name));
         let here = |of: usize| zone.is_none_or(|zone| zone == of);
         let up = |world: &Self| -> Vec<usize> {
             let fit = |n: &usize| world.servers[*n].state == State::Up && here(world.zone_of[*n]);
@@ -754,7 +1028,9 @@
         };
         let whom = match kind {
             Kind::Restart => {
-                let all = (0..self.slots.len()).filter(|n| here(self.slots[*n].zone)).collect();
+                let all = (0..self.slots.len())
+                    .filter(|n| here(self.slots[*n].zone))
+                    .collect();
                 self.draw(all, share)
             }
             Kind::DiscoveryDown | Kind::Partition => Vec::new(),
@@ -767,7 +1043,11 @@
             match kind {
                 Kind::Crash | Kind::ZoneLoss => {
                     self.kill_server(one);
-                    self.learn_later(vec![Change { server: one, standing: Standing::Gone, since: None }]);
+                    self.learn_later(vec![Change {
+                        server: one,
+                        standing: Standing::Gone,
+                        since: None,
+                    }]);
                 }
                 Kind::Silence => self.servers[one].state = State::Silent,
                 Kind::Slow => self.servers[one].slow = factor,
@@ -804,7 +1084,11 @@
                         continue;
                     }
                     self.servers[server].start(self.now);
-                    changes.push(Change { server, standing: Standing::Ready, since: Some(self.now) });
+                    changes.push(Change {
+                        server,
+                        standing: Standing::Ready,
+                        since: Some(self.now),
+                    });
                 }
                 self.learn_later(changes);
             }
@@ -818,15 +1102,27 @@
                     // What it had begun goes on from here.
                     let (epoch, running) = (server.epoch, server.running.clone());
                     for job in running {
-                        self.after(job.work, Event::Done { server: index, token: job.token, epoch });
+                        self.after(
+                            job.work,
+                            Event::Done {
+                                server: index,
+                                token: job.token,
+                                epoch,
+                            },
+                        );
                     }
                 }
             }
-            Kind::Slow => whom.iter().for_each(|server| self.servers[*server].slow = 1.0),
+            Kind::Slow => whom
+                .iter()
+                .for_each(|server| self.servers[*server].slow = 1.0),
             Kind::Restart => whom.iter().for_each(|instance| self.start(*instance)),
             Kind::DiscoveryDown => self.discovery.down = false,
             Kind::Partition => {
-                let zone = failure.zone.as_ref().and_then(|name| self.scenario.zone(name));
+                let zone = failure
+                    .zone
+                    .as_ref()
+                    .and_then(|name| self.scenario.zone(name));
                 self.partitions.retain(|cut| Some(*cut) != zone);
             }
             Kind::Replace => {}
@@ -847,8 +1143,16 @@
         self.servers.push(new);
         let since = self.servers[old].since;
         self.learn_later(vec![
-            Change { server: old, standing: Standing::Draining, since },
-            Change { server: index, standing: Standing::Ready, since: Some(self.now) },
+            Change {
+                server: old,
+                standing: Standing::Draining,
+                since,
+            },
+            Change {
+                server: index,
+                standing: Standing::Ready,
+                since: Some(self.now),
+            },
         ]);
         self.at(self.now + DRAIN, Event::Gone(old));
     }
@@ -862,19 +1166,27 @@
         slot.call = 0;
         self.observer.killed(instance);
         self.discovery.hang_up(instance);
-        let mut lost: Vec<u64> =
-            self.firsts.iter().filter(|(_, first)| first.instance == instance).map(|(id, _)| *id).collect();
+        let mut lost: Vec<u64> = self
+            .firsts
+            .iter()
+            .filter(|(_, first)| first.instance == instance)
+            .map(|(id, _)| *id)
+            .collect();
         lost.sort_unstable();
         for id in lost {
             if let Some(first) = self.firsts.remove(&id) {
                 self.tally.lost(first.began, first.class);
             }
         }
-        let broken: Vec<(usize, u64)> =
-            self.connections.range((instance, 0)..(instance + 1, 0)).map(|(key, _)| *key).collect();
+        let broken: Vec<(usize, u64)> = self
+            .connections
+            .range((instance, 0)..(instance + 1, 0))
+            .map(|(key, _)| *key)
+            .collect();
         for key in broken {
             if let Some(server) = self.connections.remove(&key) {
-                self.servers[server].connections = self.servers[server].connections.saturating_sub(1);
+                self.servers[server].connections =
+                    self.servers[server].connections.saturating_sub(1);
             }
         }
         let mut out: Vec<(u64, usize)> = self
@@ -886,17 +1198,34 @@
         out.sort_unstable();
         for (token, server) in out {
             self.sent.remove(&token);
-            self.after(self.scenario.net.same_ms, Event::CalledOff { server, token });
+            self.after(
+                self.scenario.net.same_ms,
+                Event::CalledOff { server, token },
+            );
         }
         self.by_token.retain(|(owner, ..), _| *owner != instance);
     }
 
     fn report(self, seed: u64) -> Report {
-        Report::new(self.scenario, seed, self.tally, self.observer, &self.discovery, self.processed)
+        Report::new(
+            self.scenario,
+            seed,
+            self.tally,
+            self.observer,
+            &self.discovery,
+            self.processed,
+        )
     }
 }
 
 fn server(s: &Scenario, zone: usize, speed: f64) -> Server {
     let cold = micros(s.server.cold_s * 1000.0);
-    Server::new(zone, s.server.cores as usize, s.server.queue as usize, speed, s.server.cold_share, cold)
+    Server::new(
+        zone,
+        s.server.cores as usize,
+        s.server.queue as usize,
+        speed,
+        s.server.cold_share,
+        cold,
+    )
 }
--- a/crates/sandtrack-sidecar-simulator/tests/instrument.rs
+++ b/crates/sandtrack-sidecar-simulator/tests/instrument.rs
@@ -19,10 +19,15 @@
 fn holds(change: impl Fn(&mut Scenario), expected: f64) {
     let mut queue = scenario_file("queue.toml");
     change(&mut queue);
-    let runs: Vec<f64> = (1..=10).map(|seed| world::run(&queue, seed).expect("a run").mean_ms).collect();
+    let runs: Vec<f64> = (1..=10)
+        .map(|seed| world::run(&queue, seed).expect("a run").mean_ms)
+        .collect();
     let estimate = Estimate::of(&runs);
     let half = estimate.half.expect("ten runs");
-    assert!((estimate.mean - expected).abs() <= 1.5 * half, "{estimate:?}, by the closed form {expected}");
+    assert!(
+        (estimate.mean - expected).abs() <= 1.5 * half,
+        "{estimate:?}, by the closed form {expected}"
+    );
     // An interval so wide that it holds anything would prove nothing.
     assert!(half < 0.08 * expected, "{estimate:?}");
 }
@@ -45,7 +50,10 @@
 
 #[test]
 fn constant_work_is_md1() {
-    holds(|s| s.classes[0].dist = Dist::Constant, closed::mg1(0.07, 10.0, 0.0));
+    holds(
+        |s| s.classes[0].dist = Dist::Constant,
+        closed::mg1(0.07, 10.0, 0.0),
+    );
 }
 
 #[test]
@@ -66,11 +74,19 @@
 
 #[test]
 fn littles_law_holds_in_every_run() {
-    for policy in [Policy::Module, Policy::Sidecar, Policy::Random, Policy::Oracle] {
+    for policy in [
+        Policy::Module,
+        Policy::Sidecar,
+        Policy::Random,
+        Policy::Oracle,
+    ] {
         let report = world::run(&small(policy), 3).expect("a run");
         let [held, by_arrivals] = report.little;
         // What is held at the two ends of the time belongs to one side alone.
-        assert!((held - by_arrivals).abs() < 0.02 * held, "{policy:?} {held} {by_arrivals}");
+        assert!(
+            (held - by_arrivals).abs() < 0.02 * held,
+            "{policy:?} {held} {by_arrivals}"
+        );
         assert!(held > 1.0, "{held}");
     }
 }
@@ -81,7 +97,11 @@
     let mut odd = small(Policy::Module);
     odd.duration_s = 10.5;
     let report = world::run(&odd, 3).expect("a run");
-    assert!(report.little[0] > 1.0 && !report.upstreams.is_empty(), "{:?}", report.little);
+    assert!(
+        report.little[0] > 1.0 && !report.upstreams.is_empty(),
+        "{:?}",
+        report.little
+    );
 }
 
 #[test]
@@ -92,7 +112,10 @@
         .collect();
     let on = |threads: usize| -> Vec<String> {
         use rayon::prelude::*;
-        let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool");
+        let pool = rayon::ThreadPoolBuilder::new()
+            .num_threads(threads)
+            .build()
+            .expect("a pool");
         let play = |(scenario, seed): &(Scenario, u64)| {
             serde_json::to_string(&world::run(scenario, *seed).expect("a run")).expect("JSON")
         };
@@ -107,7 +130,12 @@
 fn policies_are_compared_on_the_same_requests() {
     let asked = |policy: Policy| -> Vec<u32> {
         let report = world::run(&small(policy), 5).expect("a run");
-        report.seconds.iter().take(20).map(|second| second.asked).collect()
+        report
+            .seconds
+            .iter()
+            .take(20)
+            .map(|second| second.asked)
+            .collect()
     };
     assert_eq!(asked(Policy::Random), asked(Policy::Oracle));
     assert_eq!(asked(Policy::Random), asked(Policy::Module));
@@ -118,25 +146,41 @@
 #[test]
 fn the_two_drivers_agree() {
     let of = |policy: Policy| {
-        let runs: Vec<Report> =
-            (1..=4).map(|seed| world::run(&small(policy), seed).expect("a run")).collect();
-        (Estimate::of(&runs.iter().map(|run| run.in_time).collect::<Vec<_>>()).mean, runs)
+        let runs: Vec<Report> = (1..=4)
+            .map(|seed| world::run(&small(policy), seed).expect("a run"))
+            .collect();
+        (
+            Estimate::of(&runs.iter().map(|run| run.in_time).collect::<Vec<_>>()).mean,
+            runs,
+        )
     };
     let ((module, runs), (sidecar, others)) = (of(Policy::Module), of(Policy::Sidecar));
     assert!((module - sidecar).abs() < 0.02, "{module} {sidecar}");
     let late = |runs: &[Report]| runs.iter().map(|run| run.late).sum::<u64>();
-    assert_eq!((late(&runs), late(&others)), (0, 0), "what is late is called off");
+    assert_eq!(
+        (late(&runs), late(&others)),
+        (0, 0),
+        "what is late is called off"
+    );
 }
 
 #[test]
 fn the_oracle_is_above_and_random_below_the_module() {
     let mean = |policy: Policy| {
-        let runs: Vec<f64> =
-            (1..=4).map(|seed| world::run(&small(policy), seed).expect("a run").in_time).collect();
+        let runs: Vec<f64> = (1..=4)
+            .map(|seed| world::run(&small(policy), seed).expect("a run").in_time)
+            .collect();
         Estimate::of(&runs).mean
     };
-    let (random, module, oracle) = (mean(Policy::Random), mean(Policy::Module), mean(Policy::Oracle));
-    assert!(random < module && module < oracle, "{random} {module} {oracle}");
+    let (random, module, oracle) = (
+        mean(Policy::Random),
+        mean(Policy::Module),
+        mean(Policy::Oracle),
+    );
+    assert!(
+        random < module && module < oracle,
+        "{random} {module} {oracle}"
+    );
 }
 
 #[test]
@@ -146,7 +190,11 @@
         over.client.rps = 150.0;
         let report = world::run(&over, 1).expect("a run");
         assert_eq!(report.breaks, [], "overload");
-        assert!(report.in_time > 0.05 && report.in_time < 0.6, "{}", report.in_time);
+        assert!(
+            report.in_time > 0.05 && report.in_time < 0.6,
+            "{}",
+            report.in_time
+        );
         let mut none = small(policy);
         (none.pools, none.failures) = (Vec::new(), Vec::new());
         let report = world::run(&none, 1).expect("a run");
@@ -161,9 +209,30 @@
         let mut herd = small(policy);
         (herd.discovery.call_ms, herd.discovery.timeout_s) = (150.0, 1.0);
         herd.failures = vec![
-            Failure { kind: Kind::Restart, at_s: 4.0, for_s: 0.5, share: 0.7, zone: None, factor: 1.0 },
-            Failure { kind: Kind::Restart, at_s: 5.0, for_s: 0.5, share: 0.7, zone: None, factor: 1.0 },
-            Failure { kind: Kind::Replace, at_s: 4.0, for_s: 3.0, share: 0.6, zone: None, factor: 1.0 },
+            Failure {
+                kind: Kind::Restart,
+                at_s: 4.0,
+                for_s: 0.5,
+                share: 0.7,
+                zone: None,
+                factor: 1.0,
+            },
+            Failure {
+                kind: Kind::Restart,
+                at_s: 5.0,
+                for_s: 0.5,
+                share: 0.7,
+                zone: None,
+                factor: 1.0,
+            },
+            Failure {
+                kind: Kind::Replace,
+                at_s: 4.0,
+                for_s: 3.0,
+                share: 0.6,
+                zone: None,
+                factor: 1.0,
+            },
         ];
         let report = world::run(&herd, 2).expect("a run");
         assert_eq!(report.breaks, []);
@@ -178,7 +247,12 @@
     (back.failures[0].at_s, back.failures[0].for_s) = (4.0, 2.0);
     let report = world::run(&back, 4).expect("a run");
     assert_eq!(report.breaks, []);
-    let held: Vec<u32> = report.upstreams.iter().take(3).map(|upstream| upstream.connections).collect();
+    let held: Vec<u32> = report
+        .upstreams
+        .iter()
+        .take(3)
+        .map(|upstream| upstream.connections)
+        .collect();
     assert!(held.iter().all(|held| *held > 0), "{held:?}");
 }
 
@@ -194,8 +268,14 @@
     assert_eq!(report.breaks, []);
     assert!(report.in_time > 0.95, "{}", report.in_time);
     let (sidecars, calls) = (12, report.calls);
-    assert!((sidecars * 3..sidecars * 11).contains(&calls), "{calls} calls of {sidecars} in 20 s");
-    let later: Vec<u32> = report.seconds[4..].iter().map(|second| second.calls).collect();
+    assert!(
+        (sidecars * 3..sidecars * 11).contains(&calls),
+        "{calls} calls of {sidecars} in 20 s"
+    );
+    let later: Vec<u32> = report.seconds[4..]
+        .iter()
+        .map(|second| second.calls)
+        .collect();
     assert!(later.iter().all(|calls| *calls < 10), "{later:?}");
 }
 
@@ -210,7 +290,13 @@
     assert_eq!(report.breaks, []);
     assert_eq!(report.most_connections, 5, "they are short of them");
     assert!(report.in_time > 0.9, "{}", report.in_time);
-    assert!(report.upstreams.iter().all(|upstream| upstream.busy_share > 0.02), "each is used");
+    assert!(
+        report
+            .upstreams
+            .iter()
+            .all(|upstream| upstream.busy_share > 0.02),
+        "each is used"
+    );
 }
 
 proptest! {
@@ -266,7 +352,10 @@
     seen.over(900_000);
     seen.over(900_001);
     assert_eq!(rules(&seen), [Rule::OneAnswer; 4]);
-    assert_eq!((seen.breaks[3].request, seen.breaks[1].upstream), (Some(3), Some(4)));
+    assert_eq!(
+        (seen.breaks[3].request, seen.breaks[1].upstream),
+        (Some(3), Some(4))
+    );
 }
 
 #[test]
@@ -306,16 +395,21 @@
 fn the_observer_sees_a_cold_upstream_pushed_over() {
     let mut seen = observer();
     // 0.3 of a core for 2 s, 2.5 times: 1,500 ms of work, and three requests more for chance.
-    let fallen =
-        (0..60_u64).map(|n| seen.cold_work(n * 10_000, 3, 30.0, 0.3)).filter(|fallen| *fallen).count();
+    let fallen = (0..60_u64)
+        .map(|n| seen.cold_work(n * 10_000, 3, 30.0, 0.3))
+        .filter(|fallen| *fallen)
+        .count();
     assert_eq!((fallen, rules(&seen)), (1, vec![Rule::Cold]));
     assert!((0..50_u64).all(|n| !seen.cold_work(9_000_000 + n * 40_000, 4, 30.0, 0.3)));
 }
 
 #[test]
 fn bad_input_is_refused_with_its_line_and_key() {
-    let text =
-        std::fs::read_to_string(format!("{}/scenarios/hall.toml", env!("CARGO_MANIFEST_DIR"))).unwrap();
+    let text = std::fs::read_to_string(format!(
+        "{}/scenarios/hall.toml",
+        env!("CARGO_MANIFEST_DIR")
+    ))
+    .unwrap();
     let line = |of: &str| text.lines().position(|line| line.starts_with(of)).unwrap() + 1;
     let wrong = [
         ("instances = 80", "instances = 0", "instances"),
@@ -335,14 +429,25 @@
         let bad = text.replacen(from, to, 1);
         assert_ne!(bad, text);
         let fault = scenario::read("x.toml", &bad, &[]).expect_err(to);
-        assert_eq!((fault.key.as_str(), fault.file.as_str()), (key, "x.toml"), "{to}: {fault}");
-        let near = if key == "class[0].share" { line("share") } else { line(from) };
+        assert_eq!(
+            (fault.key.as_str(), fault.file.as_str()),
+            (key, "x.toml"),
+            "{to}: {fault}"
+        );
+        let near = if key == "class[0].share" {
+            line("share")
+        } else {
+            line(from)
+        };
         assert_eq!(fault.line, near, "{to}: {fault}");
     }
-    let missing = scenario::read("x.toml", &text.replacen("queue = 10", "", 1), &[]).expect_err("no queue");
+    let missing =
+        scenario::read("x.toml", &text.replacen("queue = 10", "", 1), &[]).expect_err("no queue");
     assert!(missing.wrong.contains("queue"), "{missing}");
-    let odd = scenario::read("x.toml", &text, &[("client.rsp".to_owned(), 2.0)]).expect_err("no such key");
+    let odd = scenario::read("x.toml", &text, &[("client.rsp".to_owned(), 2.0)])
+        .expect_err("no such key");
     assert!(odd.wrong.contains("rsp"), "{odd}");
-    let set = scenario::read("x.toml", &text, &[("pool[1].count".to_owned(), 4.0)]).expect("a figure set");
+    let set = scenario::read("x.toml", &text, &[("pool[1].count".to_owned(), 4.0)])
+        .expect("a figure set");
     assert_eq!(set.pools[1].count, 4);
 }
--- a/crates/sandtrack-sidecar/src/admin.rs
+++ b/crates/sandtrack-sidecar/src/admin.rs
@@ -46,17 +46,23 @@
         if !asked {
             let told = match collector.next(&mut input) {
                 Ok(Some(Taken::Whole(message))) => Some(Input::AdminCall { conn, message }),
-                Ok(Some(Taken::Begun { .. })) => {
-                    Some(Input::AdminBad { conn, status: Bad::BodyTooLong.status() })
-                }
+                Ok(Some(Taken::Begun { .. })) => Some(Input::AdminBad {
+                    conn,
+                    status: Bad::BodyTooLong.status(),
+                }),
                 Ok(_) => None,
-                Err(bad) => Some(Input::AdminBad { conn, status: bad.status() }),
+                Err(bad) => Some(Input::AdminBad {
+                    conn,
+                    status: bad.status(),
+                }),
             };
             asked = told.is_some();
             told.into_iter().for_each(|input| inputs.send(input));
         }
         match next(stream, &mut input, orders, !asked).await {
-            Next::Order(Order::Answer { bytes, .. }) => return answer(stream, orders, &bytes).await,
+            Next::Order(Order::Answer { bytes, .. }) => {
+                return answer(stream, orders, &bytes).await
+            }
             Next::Order(Order::Close) | Next::Read(0) | Next::Broken => return,
             Next::Order(_) | Next::Read(_) => {}
         }
@@ -65,7 +71,8 @@
 
 async fn answer(stream: &Async<TcpStream>, orders: &Orders, bytes: &[u8]) {
     let mut output = Ring::new(http::WRITE_RING);
-    let write = async { output.push(bytes) && write_within(stream, &mut output, WRITE_PATIENCE).await };
+    let write =
+        async { output.push(bytes) && write_within(stream, &mut output, WRITE_PATIENCE).await };
     if unless_closed(orders, write).await == Some(true) {
         unless_closed(orders, linger(stream)).await;
     }
--- a/crates/sandtrack-sidecar/src/catalog.rs
+++ b/crates/sandtrack-sidecar/src/catalog.rs
@@ -16,7 +16,13 @@
 /// The call's buffer.
 const READ_RING: usize = 64 * 1024;
 /// Runs one watch call until it ends, and tells the reducer each list.
-pub async fn watch(call: CallId, address: SocketAddr, after: Option<u64>, orders: Orders, inputs: Inputs) {
+pub async fn watch(
+    call: CallId,
+    address: SocketAddr,
+    after: Option<u64>,
+    orders: Orders,
+    inputs: Inputs,
+) {
     if let Some(Err(error)) = unless_closed(&orders, follow(call, address, after, &inputs)).await {
         tracing::debug!(call, %error, "watch ended");
     }
@@ -24,7 +30,10 @@
 }
 
 async fn follow(
-    call: CallId, address: SocketAddr, after: Option<u64>, inputs: &Inputs,
+    call: CallId,
+    address: SocketAddr,
+    after: Option<u64>,
+    inputs: &Inputs,
 ) -> std::io::Result<()> {
     let stream = Async::<TcpStream>::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
@@ -34,7 +43,12 @@
     };
     let host = address.to_string();
     let mut out = Ring::new(http::WRITE_RING);
-    if !out.push(&http::request("GET", &target, [("Host", host.as_str())].into_iter(), b"")) {
+    if !out.push(&http::request(
+        "GET",
+        &target,
+        [("Host", host.as_str())].into_iter(),
+        b"",
+    )) {
         return Err(broken("the call is too long"));
     }
     write_all(&stream, &mut out).await?;
@@ -117,7 +131,8 @@
         }
         self.bytes.push(byte);
         if self.string {
-            (self.string, self.escaped) = (self.escaped || byte != b'"', byte == b'\\' && !self.escaped);
+            (self.string, self.escaped) =
+                (self.escaped || byte != b'"', byte == b'\\' && !self.escaped);
         } else {
             match byte {
                 b'"' => self.string = true,
@@ -148,7 +163,11 @@
             {"instanceId":"b","lifecycle":"RESTING","hostPort":"127.0.0.1:1","cell":null}, 3,
             {"instanceId":"c","lifecycle":"RESTING"}]}"#;
         let catalog: Catalog = read(line.as_bytes()).expect("a list");
-        let read: Vec<_> = catalog.instances.iter().map(|i| (i.instance_id.as_str(), i.lifecycle)).collect();
+        let read: Vec<_> = catalog
+            .instances
+            .iter()
+            .map(|i| (i.instance_id.as_str(), i.lifecycle))
+            .collect();
         assert_eq!(
             read,
             [("a", Lifecycle::Serving), ("c", Lifecycle::Draining)],
@@ -159,7 +178,12 @@
     /// Taken for a whole list without entries, it would take every upstream away.
     #[test]
     fn what_is_no_list_is_not_taken_for_an_empty_one() {
-        for line in ["[1,true,[]]", "{}", "null", r#"{"generation":1,"reset":true}"#] {
+        for line in [
+            "[1,true,[]]",
+            "{}",
+            "null",
+            r#"{"generation":1,"reset":true}"#,
+        ] {
             assert!(read(line.as_bytes()).is_err(), "{line}");
         }
     }
@@ -182,8 +206,14 @@
         let indented = "{\n  \"a\": [\n    {\"b\": \"}{\\\"]\\\\\"}\n\n  ]\n}";
         let text = format!("\n{{\"a\":1}}\n  {indented}\r\n\r\n{{}}{{\"ä\":\"ö\"}}\n");
         let told = cut(text.as_bytes()).unwrap();
-        let wanted =
-            [Told::Alive, list("{\"a\":1}"), list(indented), Told::Alive, list("{}"), list("{\"ä\":\"ö\"}")];
+        let wanted = [
+            Told::Alive,
+            list("{\"a\":1}"),
+            list(indented),
+            Told::Alive,
+            list("{}"),
+            list("{\"ä\":\"ö\"}"),
+        ];
         assert_eq!(told, wanted);
     }
 
--- a/crates/sandtrack-sidecar/src/client.rs
+++ b/crates/sandtrack-sidecar/src/client.rs
@@ -22,7 +22,10 @@
 /// Accepts until told to stop, then takes what is already waiting, unless that is left to another process, and closes its
 /// end of the listener.
 pub async fn accept(
-    listener: Async<TcpListener>, stop: Orders, inputs: Inputs, mut opened: impl FnMut(Async<TcpStream>),
+    listener: Async<TcpListener>,
+    stop: Orders,
+    inputs: Inputs,
+    mut opened: impl FnMut(Async<TcpStream>),
 ) {
     loop {
         match unless_stopped(&stop, listener.accept()).await {
@@ -93,13 +96,23 @@
                 Ok(Some(Taken::Begun { mut head, length })) => {
                     (unanswered, told, flows) = (true, (false, false), true);
                     held |= http::take_expectation(&mut head);
-                    inputs.send(Input::ClientFlows { conn, at, head, length });
+                    inputs.send(Input::ClientFlows {
+                        conn,
+                        at,
+                        head,
+                        length,
+                    });
                 }
                 Ok(Some(Taken::Piece(bytes))) => {
                     wanted = false;
                     let last = collector.finish();
                     flows = !last;
-                    inputs.send(Input::ClientPiece { conn, at, bytes, last });
+                    inputs.send(Input::ClientPiece {
+                        conn,
+                        at,
+                        bytes,
+                        last,
+                    });
                 }
                 Ok(Some(Taken::Over)) => {
                     (wanted, flows) = (false, false);
@@ -121,7 +134,10 @@
                 }
                 Err(bad) => {
                     (unanswered, wanted, flows) = (true, false, false);
-                    inputs.send(Input::ClientBad { conn, status: bad.status() });
+                    inputs.send(Input::ClientBad {
+                        conn,
+                        status: bad.status(),
+                    });
                 }
             }
         }
@@ -154,7 +170,8 @@
         };
         match future::or(came, left).await {
             Next::Order(Order::Answer { bytes, close, bad }) => {
-                let wrote = output.push(&bytes) && patiently(stream, &mut output, orders, &mut retired).await;
+                let wrote = output.push(&bytes)
+                    && patiently(stream, &mut output, orders, &mut retired).await;
                 if !wrote {
                     return;
                 }
@@ -171,7 +188,9 @@
                 unanswered = false;
             }
             Next::Order(Order::Piece { bytes }) => {
-                if !output.push(&bytes) || !patiently(stream, &mut output, orders, &mut retired).await {
+                if !output.push(&bytes)
+                    || !patiently(stream, &mut output, orders, &mut retired).await
+                {
                     return;
                 }
                 inputs.send(Input::ClientWrote { conn });
@@ -179,7 +198,9 @@
             Next::Order(Order::More) => wanted = flows,
             Next::Order(Order::Close) => return abort(stream),
             Next::Order(Order::Retire) => retired = true,
-            Next::Order(Order::Ask { .. } | Order::Pass { .. } | Order::Begin | Order::Withdraw) => {}
+            Next::Order(
+                Order::Ask { .. } | Order::Pass { .. } | Order::Begin | Order::Withdraw,
+            ) => {}
             Next::Read(0) | Next::Broken => {
                 // Told at once, while the socket is still held: the request has lost its client.
                 return;
@@ -191,15 +212,27 @@
 
 /// Writes the buffer; no when the client is gone, takes nothing, or the reducer wants the connection closed.
 async fn patiently(
-    stream: &Async<TcpStream>, output: &mut Ring, orders: &Orders, retired: &mut bool,
+    stream: &Async<TcpStream>,
+    output: &mut Ring,
+    orders: &Orders,
+    retired: &mut bool,
 ) -> bool {
-    unless_ordered(stream, orders, retired, write_within(stream, output, WRITE_PATIENCE)).await
+    unless_ordered(
+        stream,
+        orders,
+        retired,
+        write_within(stream, output, WRITE_PATIENCE),
+    )
+    .await
 }
 
 /// The outcome of the work; no when the reducer wants the connection closed. That it is to be retired is kept in mind
 /// for the time after the answer.
 async fn unless_ordered(
-    stream: &Async<TcpStream>, orders: &Orders, retired: &mut bool, work: impl Future<Output = bool>,
+    stream: &Async<TcpStream>,
+    orders: &Orders,
+    retired: &mut bool,
+    work: impl Future<Output = bool>,
 ) -> bool {
     let closed = async {
         while let Ok(order) = orders.recv().await {
--- a/crates/sandtrack-sidecar/src/config.rs
+++ b/crates/sandtrack-sidecar/src/config.rs
@@ -27,8 +27,17 @@
 }
 
 /// The keys of the file; another is nobody's, and is warned of.
-const KEYS: [&str; 9] =
-    ["name", "listen", "discovery", "admin", "seed", "limits", "known", "settings", FLEET];
+const KEYS: [&str; 9] = [
+    "name",
+    "listen",
+    "discovery",
+    "admin",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+    FLEET,
+];
 
 /// The fleet that the sidecar is a member of. A slip of the pen here could split a fleet: unknown keys are faults.
 #[derive(Deserialize)]
@@ -80,11 +89,19 @@
             "zone" => "settings.locality".to_owned(),
             key => format!("{FLEET}.{key}"),
         };
-        identity.check().map_err(|fault| wrong(&at(fault.key), fault.wrong))?;
+        identity
+            .check()
+            .map_err(|fault| wrong(&at(fault.key), fault.wrong))?;
         if self.listen.port() == 0 {
-            return Err(wrong("fleet.listen", "port 0 is none that others could be told".to_owned()));
+            return Err(wrong(
+                "fleet.listen",
+                "port 0 is none that others could be told".to_owned(),
+            ));
         }
-        Ok(FleetConfig { listen: self.listen, identity })
+        Ok(FleetConfig {
+            listen: self.listen,
+            identity,
+        })
     }
 }
 
@@ -105,7 +122,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: MEMORY_MB as f64 }
+        Limits {
+            sockets: 1024,
+            memory_mb: MEMORY_MB as f64,
+        }
     }
 }
 
@@ -157,22 +177,40 @@
 
 fn said(text: &[u8]) -> [serde_json::Value; WATCHED.len()] {
     let mut whole: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
-    WATCHED.map(|key| whole.get_mut(key).map(serde_json::Value::take).unwrap_or_default())
+    WATCHED.map(|key| {
+        whole
+            .get_mut(key)
+            .map(serde_json::Value::take)
+            .unwrap_or_default()
+    })
 }
 
 impl Source {
     /// Reads and checks the whole file again. What is wrong with it is told, and nothing of it is taken.
     pub fn again(&mut self) -> Result<Reload, Fault> {
         let text = text("NODE_CONFIG", &self.path)?;
-        let (name, fleet) = (self.name.clone(), self.fleet.as_deref().map(section).transpose()?);
-        let Config { discovery: found, checked, .. } = with_fleet(&text, name, fleet)?;
+        let (name, fleet) = (
+            self.name.clone(),
+            self.fleet.as_deref().map(section).transpose()?,
+        );
+        let Config {
+            discovery: found,
+            checked,
+            ..
+        } = with_fleet(&text, name, fleet)?;
         let before = std::mem::replace(&mut self.discovery, found);
         let kept = std::mem::replace(&mut self.said, said(&text));
         let changed = WATCHED.into_iter().zip(kept.iter().zip(&self.said));
-        let changed = changed.filter(|(_, (before, now))| before != now).map(|(key, _)| key);
+        let changed = changed
+            .filter(|(_, (before, now))| before != now)
+            .map(|(key, _)| key);
         let (settings, waiting): (Vec<_>, Vec<_>) = changed.partition(|key| *key == SETTINGS);
         let settings = Some(checked).filter(|_| !settings.is_empty());
-        Ok(Reload { discovery: Some(found).filter(|found| *found != before), settings, waiting })
+        Ok(Reload {
+            discovery: Some(found).filter(|found| *found != before),
+            settings,
+            waiting,
+        })
     }
 }
 
@@ -185,7 +223,10 @@
 /// Keys of the file that nobody reads.
 pub fn unread(text: &[u8]) -> Vec<String> {
     let whole: BTreeMap<String, IgnoredAny> = serde_json::from_slice(text).unwrap_or_default();
-    whole.into_keys().filter(|key| !KEYS.contains(&key.as_str())).collect()
+    whole
+        .into_keys()
+        .filter(|key| !KEYS.contains(&key.as_str()))
+        .collect()
 }
 
 /// Reads the configuration's text.
@@ -205,20 +246,35 @@
         })?,
     };
     if file.limits.sockets < DESCRIPTORS_LEAST {
-        let wrong = format!("{} are too few: {DESCRIPTORS_LEAST} are needed", file.limits.sockets);
-        return Err(Fault { key: "limits.sockets".to_owned(), wrong });
+        let wrong = format!(
+            "{} are too few: {DESCRIPTORS_LEAST} are needed",
+            file.limits.sockets
+        );
+        return Err(Fault {
+            key: "limits.sockets".to_owned(),
+            wrong,
+        });
     }
     // Not a number at all, or none that a machine could have.
     if !(1.0..1e9).contains(&file.limits.memory_mb) {
-        return Err(wrong("limits.memory_mb", format!("{} is no memory in MB", file.limits.memory_mb)));
+        return Err(wrong(
+            "limits.memory_mb",
+            format!("{} is no memory in MB", file.limits.memory_mb),
+        ));
     }
     let checked = file
         .settings
         .words()
         .and_then(|()| file.settings.checked())
-        .map_err(|fault| Fault { key: format!("settings.{}", fault.key), wrong: fault.wrong })?;
+        .map_err(|fault| Fault {
+            key: format!("settings.{}", fault.key),
+            wrong: fault.wrong,
+        })?;
     let zone = checked.zones.name(checked.settings.zone.0);
-    let fleet = fleet.or(file.fleet).map(|section| section.checked(&name, zone)).transpose()?;
+    let fleet = fleet
+        .or(file.fleet)
+        .map(|section| section.checked(&name, zone))
+        .transpose()?;
     Ok(Config {
         name,
         listen: file.listen,
@@ -235,7 +291,10 @@
 }
 
 pub fn wrong(key: &str, wrong: String) -> Fault {
-    Fault { key: key.to_owned(), wrong }
+    Fault {
+        key: key.to_owned(),
+        wrong,
+    }
 }
 
 fn text(key: &str, path: &std::path::Path) -> Result<Vec<u8>, Fault> {
@@ -263,17 +322,27 @@
     for key in unread(&text) {
         tracing::warn!(key, "a key of the configuration that nobody reads");
     }
-    let source = Source { path, discovery: config.discovery, said: said(&text), name, fleet };
+    let source = Source {
+        path,
+        discovery: config.discovery,
+        said: said(&text),
+        name,
+        fleet,
+    };
     let address = |key: &str| -> Result<Option<SocketAddr>, Fault> {
-        let read =
-            |text: String| text.parse().map_err(|_| wrong(key, format!("{text:?} is not address:port")));
+        let read = |text: String| {
+            text.parse()
+                .map_err(|_| wrong(key, format!("{text:?} is not address:port")))
+        };
         var(key).map(read).transpose()
     };
     config.listen = address("NODE_LISTEN")?.unwrap_or(config.listen);
     config.discovery = address("NODE_DISCOVERY")?.unwrap_or(config.discovery);
     config.admin = address("NODE_ADMIN")?.or(config.admin);
-    let number =
-        |text: String| text.parse().map_err(|_| wrong(SOCKET_FD, format!("{text:?} is no descriptor")));
+    let number = |text: String| {
+        text.parse()
+            .map_err(|_| wrong(SOCKET_FD, format!("{text:?} is no descriptor")))
+    };
     config.socket = var(SOCKET_FD).map(number).transpose()?;
     Ok((config, source))
 }
--- a/crates/sandtrack-sidecar/src/fleet.rs
+++ b/crates/sandtrack-sidecar/src/fleet.rs
@@ -24,13 +24,19 @@
     match Async::<UdpSocket>::bind(SocketAddr::V4(listen)) {
         Ok(socket) => Ok(Some(socket)),
         Err(error) if shared && error.kind() == io::ErrorKind::AddrInUse => Ok(None),
-        Err(error) => Err(io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}"))),
+        Err(error) => Err(io::Error::new(
+            error.kind(),
+            format!("fleet.listen {listen}: {error}"),
+        )),
     }
 }
 
 /// Serves until the way of the orders is closed; what was ordered by then is sent.
 pub async fn run(
-    listen: SocketAddrV4, first: Option<Async<UdpSocket>>, datagrams: Datagrams, inputs: Inputs,
+    listen: SocketAddrV4,
+    first: Option<Async<UdpSocket>>,
+    datagrams: Datagrams,
+    inputs: Inputs,
 ) {
     let socket = match first {
         Some(socket) => socket,
@@ -91,7 +97,10 @@
                 continue;
             }
         };
-        inputs.send(Input::Datagram { source, bytes: bytes[..count].to_vec() });
+        inputs.send(Input::Datagram {
+            source,
+            bytes: bytes[..count].to_vec(),
+        });
         told += 1;
         let lasted = window.elapsed();
         if lasted >= WINDOW {
--- a/crates/sandtrack-sidecar/src/handover.rs
+++ b/crates/sandtrack-sidecar/src/handover.rs
@@ -45,18 +45,32 @@
 impl Handover {
     /// Takes part in what is shared in that folder by the processes that serve this address.
     pub fn open(folder: Option<&Path>, listen: SocketAddr) -> Self {
-        let mut handover = Handover { place: None, known: ByHand::default() };
-        let Some(folder) = folder else { return handover };
+        let mut handover = Handover {
+            place: None,
+            known: ByHand::default(),
+        };
+        let Some(folder) = folder else {
+            return handover;
+        };
         let stem = format!("sandtrack-{}-{}", listen.ip(), listen.port()).replace(':', "_");
         let at = |end: &str| folder.join(format!("{stem}{end}"));
         let slots = std::array::from_fn(|slot| at(&format!(".{slot}.lives")));
-        let own = slots.iter().enumerate().find_map(|(slot, path)| Some((slot, taken(path).ok()?)));
+        let own = slots
+            .iter()
+            .enumerate()
+            .find_map(|(slot, path)| Some((slot, taken(path).ok()?)));
         if own.is_none() {
             tracing::error!(folder = %folder.display(), "no lock to be had: another process can't know of this one");
         }
         let fresh = at(&format!(".{}.fresh", std::process::id()));
-        let place =
-            Place { file: at(".json"), fresh, lock: at(".lock"), slots, own, seen: Default::default() };
+        let place = Place {
+            file: at(".json"),
+            fresh,
+            lock: at(".lock"),
+            slots,
+            own,
+            seen: Default::default(),
+        };
         handover.place = Some(place);
         handover.look();
         handover
@@ -78,9 +92,15 @@
 
     /// Whether another process of this sidecar lives.
     pub fn other_lives(&self) -> bool {
-        let Some(place) = &self.place else { return false };
+        let Some(place) = &self.place else {
+            return false;
+        };
         let own = place.own.as_ref().map(|(slot, _)| *slot);
-        let others = place.slots.iter().enumerate().filter(|(slot, _)| Some(*slot) != own);
+        let others = place
+            .slots
+            .iter()
+            .enumerate()
+            .filter(|(slot, _)| Some(*slot) != own);
         others.into_iter().any(|(_, path)| held(path))
     }
 
@@ -108,7 +128,9 @@
             let said = match serde_json::from_slice::<Versioned>(&bytes) {
                 Ok(read) if read.v == VERSION => Some(read.by_hand),
                 read => {
-                    let error = read.err().map_or("another version".to_owned(), |error| error.to_string());
+                    let error = read
+                        .err()
+                        .map_or("another version".to_owned(), |error| error.to_string());
                     tracing::error!(file = %self.file.display(), error, "not read: it goes for none");
                     None
                 }
@@ -120,8 +142,12 @@
 
     /// The new file takes the place of the old one whole, or not at all.
     fn replace(&self, next: &ByHand) -> io::Result<()> {
-        let bytes = serde_json::to_vec(&Versioned { v: VERSION, by_hand: next.clone() })?;
-        let replaced = fs::write(&self.fresh, bytes).and_then(|()| fs::rename(&self.fresh, &self.file));
+        let bytes = serde_json::to_vec(&Versioned {
+            v: VERSION,
+            by_hand: next.clone(),
+        })?;
+        let replaced =
+            fs::write(&self.fresh, bytes).and_then(|()| fs::rename(&self.fresh, &self.file));
         if replaced.is_err() {
             // It was there for a moment only, or not at all.
             let _ = fs::remove_file(&self.fresh);
@@ -132,19 +158,29 @@
 
 /// A lock of one's own on the slot; the file stays, the lock goes with the process.
 fn taken(path: &Path) -> io::Result<File> {
-    let file = File::options().create(true).truncate(false).write(true).open(path)?;
+    let file = File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)?;
     file.try_lock()?;
     Ok(file)
 }
 
 fn held(path: &Path) -> bool {
-    let Ok(file) = File::open(path) else { return false };
+    let Ok(file) = File::open(path) else {
+        return false;
+    };
     matches!(file.try_lock_shared(), Err(fs::TryLockError::WouldBlock))
 }
 
 /// The lock under which the file is replaced. One who holds it and does not go on must not stop this process.
 fn locked(path: &Path) -> io::Result<File> {
-    let file = File::options().create(true).truncate(false).write(true).open(path)?;
+    let file = File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)?;
     for _ in 0..TRIES {
         match file.try_lock() {
             Ok(()) => return Ok(file),
@@ -164,7 +200,10 @@
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0)?;
     let listener = taken.ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
     if !rustix::net::sockopt::socket_acceptconn(&listener)? {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "it does not listen"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "it does not listen",
+        ));
     }
     Ok(listener)
 }
@@ -178,7 +217,8 @@
 
     impl Folder {
         fn new(name: &str) -> Self {
-            let path = std::env::temp_dir().join(format!("sandtrack-handover-{}-{name}", std::process::id()));
+            let path = std::env::temp_dir()
+                .join(format!("sandtrack-handover-{}-{name}", std::process::id()));
             fs::create_dir_all(&path).unwrap();
             Folder(path)
         }
@@ -216,7 +256,11 @@
         assert_eq!(old.look(), None, "that is no news");
         drop(old);
         assert!(!new.other_lives());
-        new.change(Change::Back { id: "a".to_owned(), at: 7 }).unwrap();
+        new.change(Change::Back {
+            id: "a".to_owned(),
+            at: 7,
+        })
+        .unwrap();
         drop(new);
         let third = folder.open();
         assert_eq!(third.known().back, BTreeMap::from([("a".to_owned(), 7)]));
@@ -227,9 +271,12 @@
     #[test]
     fn a_file_that_cant_be_read_is_none_and_is_replaced_whole() {
         let folder = Folder::new("faulty");
-        for garbled in
-            ["", "{\"v\":1,\"out\":[\"a\"", "{\"v\":9,\"drained\":true,\"out\":[],\"back\":{}}", "[1]"]
-        {
+        for garbled in [
+            "",
+            "{\"v\":1,\"out\":[\"a\"",
+            "{\"v\":9,\"drained\":true,\"out\":[],\"back\":{}}",
+            "[1]",
+        ] {
             fs::write(folder.file(), garbled).unwrap();
             fs::write(folder.0.join("sandtrack-127.0.0.1-8000.1.fresh"), "half").unwrap();
             let mut handover = folder.open();
@@ -247,7 +294,8 @@
         fs::create_dir(folder.file()).unwrap();
         assert!(handover.change(out("a")).is_err());
         assert_eq!(*handover.known(), ByHand::default());
-        let mut nowhere = Handover::open(Some(&folder.0.join("gone")), "127.0.0.1:1".parse().unwrap());
+        let mut nowhere =
+            Handover::open(Some(&folder.0.join("gone")), "127.0.0.1:1".parse().unwrap());
         assert!(nowhere.change(out("a")).is_err());
     }
 
@@ -279,7 +327,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let near = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         // It is taken over, so it is not ours to close any more.
-        assert!(inherited(std::os::fd::IntoRawFd::into_raw_fd(near) as u32).is_err(), "it does not listen");
+        assert!(
+            inherited(std::os::fd::IntoRawFd::into_raw_fd(near) as u32).is_err(),
+            "it does not listen"
+        );
         let address = listener.local_addr().unwrap();
         let taken = inherited(std::os::fd::IntoRawFd::into_raw_fd(listener) as u32).unwrap();
         assert_eq!(taken.local_addr().unwrap(), address);
--- a/crates/sandtrack-sidecar/src/net.rs
+++ b/crates/sandtrack-sidecar/src/net.rs
@@ -72,12 +72,21 @@
 }
 
 /// Waits for an order, or for bytes where they are wanted and the buffer has room. Orders go first.
-pub async fn next(stream: &Async<TcpStream>, ring: &mut Ring, orders: &Orders, wanted: bool) -> Next {
+pub async fn next(
+    stream: &Async<TcpStream>,
+    ring: &mut Ring,
+    orders: &Orders,
+    wanted: bool,
+) -> Next {
     let order = async { orders.recv().await.map_or(Next::Broken, Next::Order) };
     if !wanted || ring.room() == 0 {
         return order.await;
     }
-    let read = async { read_into(stream, ring).await.map_or(Next::Broken, Next::Read) };
+    let read = async {
+        read_into(stream, ring)
+            .await
+            .map_or(Next::Broken, Next::Read)
+    };
     future::or(order, read).await
 }
 
--- a/crates/sandtrack-sidecar/src/program.rs
+++ b/crates/sandtrack-sidecar/src/program.rs
@@ -62,9 +62,14 @@
 
 /// Serves until SIGTERM, whatever the command line says.
 pub fn serve_only() -> ExitCode {
-    let level = std::env::var("SANDTRACK_LOG").ok().and_then(|level| level.parse().ok());
+    let level = std::env::var("SANDTRACK_LOG")
+        .ok()
+        .and_then(|level| level.parse().ok());
     let level = level.unwrap_or(tracing::Level::INFO);
-    let log = tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_writer(|| LogOutput);
+    let log = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_ansi(false)
+        .with_writer(|| LogOutput);
     // A line that can't be written now is lost; to tell of that where it can't be written either would end the process.
     log.log_internal_errors(false).init();
     // Before all else: a signal that comes while this process starts would end it, and what waits at its listener.
@@ -85,13 +90,22 @@
     let inherited = match config.socket.map(handover::inherited).transpose() {
         Ok(inherited) => inherited,
         Err(error) => {
-            tracing::error!("configuration: {}", config::wrong(config::SOCKET_FD, error.to_string()));
+            tracing::error!(
+                "configuration: {}",
+                config::wrong(config::SOCKET_FD, error.to_string())
+            );
             return ExitCode::from(2);
         }
     };
     let executor = Rc::new(LocalExecutor::new());
     // async-io's own: this thread then polls for events itself, and none has to cross from a helper thread.
-    match async_io::block_on(executor.run(serve(config, inherited, source, signals, executor.clone()))) {
+    match async_io::block_on(executor.run(serve(
+        config,
+        inherited,
+        source,
+        signals,
+        executor.clone(),
+    ))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "can't serve");
@@ -101,22 +115,35 @@
 }
 
 async fn serve(
-    config: Config, inherited: Option<TcpListener>, mut source: Source, signals: Signals,
+    config: Config,
+    inherited: Option<TcpListener>,
+    mut source: Source,
+    signals: Signals,
     executor: Rc<LocalExecutor<'_>>,
 ) -> std::io::Result<()> {
     let clock = Clock::start();
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1000.0;
     let epoch = wall - clock.now();
     let (inputs, received) = Inputs::new(clock);
     let memory = config.memory_mb.saturating_mul(1 << 20);
-    let ways = Ways { admin: config.admin.is_some(), inherited: inherited.is_some(), memory };
+    let ways = Ways {
+        admin: config.admin.is_some(),
+        inherited: inherited.is_some(),
+        memory,
+    };
     let listener = match inherited {
         Some(listener) => Async::new(listener)?,
         None => Async::<TcpListener>::bind(config.listen)?,
     };
     let staff = config.admin.map(Async::<TcpListener>::bind).transpose()?;
     // Where there is nobody to order anything, and no other process, nothing is shared.
-    let folder = std::env::var_os("TMPDIR").filter(|_| ways.admin || ways.inherited).map(PathBuf::from);
+    let folder = std::env::var_os("TMPDIR")
+        .filter(|_| ways.admin || ways.inherited)
+        .map(PathBuf::from);
     let handover = Handover::open(folder.as_deref(), config.listen);
     let shared = folder.is_some();
     let fleet_socket = match &config.fleet {
@@ -124,8 +151,14 @@
         None => None,
     };
     let (discovery, descriptors) = (config.discovery, config.descriptors);
-    let reducer =
-        Reducer::new(config.checked, discovery, config.seed, descriptors, epoch.round(), clock.now());
+    let reducer = Reducer::new(
+        config.checked,
+        discovery,
+        config.seed,
+        descriptors,
+        epoch.round(),
+        clock.now(),
+    );
     let other_lives = handover.other_lives();
     let mut reducer = reducer.with(ways, handover.known().clone(), other_lives);
     let mut fleet_orders = None;
@@ -133,9 +166,18 @@
         let (sender, datagrams) = async_channel::bounded(DATAGRAMS_WAIT);
         fleet_orders = Some(sender);
         // Two processes of one name and seed must differ: the seed may be a constant of the file.
-        reducer =
-            reducer.with_fleet(fleet.identity, config.seed ^ wall.to_bits() ^ u64::from(std::process::id()));
-        executor.spawn(fleet::run(fleet.listen, fleet_socket, datagrams, inputs.clone())).detach();
+        reducer = reducer.with_fleet(
+            fleet.identity,
+            config.seed ^ wall.to_bits() ^ u64::from(std::process::id()),
+        );
+        executor
+            .spawn(fleet::run(
+                fleet.listen,
+                fleet_socket,
+                datagrams,
+                inputs.clone(),
+            ))
+            .detach();
     }
     let handover = Rc::new(RefCell::new(handover));
     let reducer = Rc::new(RefCell::new(reducer));
@@ -206,7 +248,9 @@
         if matches!(input, Input::Terminate) && shared {
             // Whether this process is the last hangs on it, and it may have changed since it was looked at.
             let lives = tasks.borrow().handover.borrow().other_lives();
-            let effects = reducer.borrow_mut().handle(clock.now(), Input::OtherLives(lives));
+            let effects = reducer
+                .borrow_mut()
+                .handle(clock.now(), Input::OtherLives(lives));
             perform(&tasks, effects);
         }
         let mut next = Some(input);
@@ -241,11 +285,16 @@
         Ok(reload) => {
             let (waiting, settings) = (reload.waiting.join(", "), reload.settings.is_some());
             match reload.discovery {
-                Some(address) => tracing::info!(discovery = %address, settings, waiting, "reloaded"),
+                Some(address) => {
+                    tracing::info!(discovery = %address, settings, waiting, "reloaded")
+                }
                 None => tracing::info!(settings, waiting, "reloaded: discovery stays"),
             }
             let settings = reload.settings.map(Box::new);
-            Input::Reload { discovery: reload.discovery, settings }
+            Input::Reload {
+                discovery: reload.discovery,
+                settings,
+            }
         }
         Err(fault) => {
             tracing::error!("configuration kept as it was: {fault}");
@@ -260,7 +309,12 @@
     let (mut exit, mut told) = (false, None);
     for effect in effects {
         match effect {
-            Effect::Answer { conn, bytes, close, bad } => {
+            Effect::Answer {
+                conn,
+                bytes,
+                close,
+                bad,
+            } => {
                 order(&tasks.clients, conn, Order::Answer { bytes, close, bad });
             }
             Effect::Relay { conn, bytes } => order(&tasks.clients, conn, Order::Piece { bytes }),
@@ -269,25 +323,58 @@
             Effect::CloseClient { conn } => order(&tasks.clients, conn, Order::Close),
             Effect::RetireClient { conn } => order(&tasks.clients, conn, Order::Retire),
             Effect::Connect { conn, address } => tasks.connect(conn, address),
-            Effect::Write { conn, bytes, streamed, more } => {
-                order(&tasks.upstreams, conn, Order::Ask { bytes, streamed, more });
+            Effect::Write {
+                conn,
+                bytes,
+                streamed,
+                more,
+            } => {
+                order(
+                    &tasks.upstreams,
+                    conn,
+                    Order::Ask {
+                        bytes,
+                        streamed,
+                        more,
+                    },
+                );
+            }
+            Effect::Pass { conn, bytes, last } => {
+                order(&tasks.upstreams, conn, Order::Pass { bytes, last })
             }
-            Effect::Pass { conn, bytes, last } => order(&tasks.upstreams, conn, Order::Pass { bytes, last }),
             Effect::MoreClient { conn } => order(&tasks.clients, conn, Order::More),
             Effect::CloseUpstream { conn } => order(&tasks.upstreams, conn, Order::Close),
             Effect::Withdraw { conn } => order(&tasks.upstreams, conn, Order::Withdraw),
-            Effect::Watch { call, address, after } => tasks.watch(call, address, after),
+            Effect::Watch {
+                call,
+                address,
+                after,
+            } => tasks.watch(call, address, after),
             Effect::CloseWatch { call } => order(&tasks.watches, call, Order::Close),
             Effect::AnswerAdmin { conn, bytes } => {
-                order(&tasks.admins, conn, Order::Answer { bytes, close: true, bad: false });
+                order(
+                    &tasks.admins,
+                    conn,
+                    Order::Answer {
+                        bytes,
+                        close: true,
+                        bad: false,
+                    },
+                );
             }
             Effect::CloseAdmin { conn } => order(&tasks.admins, conn, Order::Close),
             Effect::Change { conn, change } => {
                 let noted = tasks.handover.borrow_mut().change(change).cloned();
-                told = Some(Input::Changed { conn, noted: noted.map_err(|error| error.to_string()) });
+                told = Some(Input::Changed {
+                    conn,
+                    noted: noted.map_err(|error| error.to_string()),
+                });
             }
             Effect::Datagram { to, bytes } => {
-                let _ = tasks.fleet.as_ref().map(|fleet| fleet.try_send((to, bytes)));
+                let _ = tasks
+                    .fleet
+                    .as_ref()
+                    .map(|fleet| fleet.try_send((to, bytes)));
             }
             Effect::CloseFleet => drop(tasks.fleet.take()),
             Effect::Accept => {
@@ -295,7 +382,10 @@
             }
             Effect::StopAccepting { leave } => {
                 // It fails only when the listener has ended already.
-                let _ = tasks.stop_accepting.try_send(if leave { Order::Retire } else { Order::Close });
+                let _ =
+                    tasks
+                        .stop_accepting
+                        .try_send(if leave { Order::Retire } else { Order::Close });
             }
             Effect::Exit => exit = true,
         }
@@ -321,18 +411,24 @@
     fn opened(&mut self, conn: ConnId, stream: Async<TcpStream>) {
         let orders = way(&mut self.clients, conn);
         self.inputs.send(Input::ClientOpened { conn });
-        self.executor.spawn(client::serve(conn, stream, orders, self.inputs.clone())).detach();
+        self.executor
+            .spawn(client::serve(conn, stream, orders, self.inputs.clone()))
+            .detach();
     }
 
     fn called(&mut self, conn: ConnId, stream: Async<TcpStream>) {
         let orders = way(&mut self.admins, conn);
         self.inputs.send(Input::AdminOpened { conn });
-        self.executor.spawn(admin::serve(conn, stream, orders, self.inputs.clone())).detach();
+        self.executor
+            .spawn(admin::serve(conn, stream, orders, self.inputs.clone()))
+            .detach();
     }
 
     fn connect(&mut self, conn: ConnId, address: SocketAddr) {
         let orders = way(&mut self.upstreams, conn);
-        self.executor.spawn(upstream::run(conn, address, orders, self.inputs.clone())).detach();
+        self.executor
+            .spawn(upstream::run(conn, address, orders, self.inputs.clone()))
+            .detach();
     }
 
     fn watch(&mut self, call: CallId, address: SocketAddr, after: Option<u64>) {
--- a/crates/sandtrack-sidecar/src/staff.rs
+++ b/crates/sandtrack-sidecar/src/staff.rs
@@ -37,8 +37,13 @@
     let call = format!("GET {target} HTTP/1.1\r\nHost: {admin}\r\nConnection: close\r\n\r\n");
     stream.write_all(call.as_bytes()).map_err(fault)?;
     let mut answer = String::new();
-    stream.take(ANSWER_MOST).read_to_string(&mut answer).map_err(fault)?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(|| format!("{admin}: no answer of HTTP"))?;
+    stream
+        .take(ANSWER_MOST)
+        .read_to_string(&mut answer)
+        .map_err(fault)?;
+    let (head, body) = answer
+        .split_once("\r\n\r\n")
+        .ok_or_else(|| format!("{admin}: no answer of HTTP"))?;
     let status = head.split(' ').nth(1).unwrap_or_default();
     if status == "200" {
         Ok(body.to_owned())
@@ -81,12 +86,20 @@
 /// Columns as wide as what stands in them.
 fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
-    let width = |n: usize| rows.iter().map(|row| row[n].chars().count()).max().unwrap_or(0);
+    let width = |n: usize| {
+        rows.iter()
+            .map(|row| row[n].chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     let mut text = String::new();
     for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
+            .collect();
         // Writing to a string can't fail.
         let _ = writeln!(text, "{}", cells.join("  ").trim_end());
     }
@@ -94,9 +107,19 @@
 }
 
 fn members(text: &str) -> Result<String, String> {
-    let read: Members =
-        serde_json::from_str(text).map_err(|error| format!("an answer of another form: {error}"))?;
-    let head = ["NAME", "STATE", "SINCE", "ZONE", "REGION", "ADDRESS", "INCARNATION", "OPEN", "PER S"];
+    let read: Members = serde_json::from_str(text)
+        .map_err(|error| format!("an answer of another form: {error}"))?;
+    let head = [
+        "NAME",
+        "STATE",
+        "SINCE",
+        "ZONE",
+        "REGION",
+        "ADDRESS",
+        "INCARNATION",
+        "OPEN",
+        "PER S",
+    ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
     let figure = |figure: Option<u32>| figure.map_or("-".to_owned(), |figure| figure.to_string());
     rows.extend(read.members.iter().map(|member| {
@@ -113,7 +136,10 @@
         ]
     }));
     let (me, view, reason, siblings) = (&read.me, &read.view, &read.reason, read.siblings);
-    Ok(format!("{me}: view {view} ({reason}), budgets shared by {siblings}\n{}", table(&rows)))
+    Ok(format!(
+        "{me}: view {view} ({reason}), budgets shared by {siblings}\n{}",
+        table(&rows)
+    ))
 }
 
 /// Carries a command out; what it shows, or why it can't.
@@ -135,9 +161,17 @@
              "since_ms":7300000,"open":4,"per_second":12}]}"#;
         let shown = members(text).unwrap();
         let lines: Vec<&str> = shown.lines().collect();
-        assert_eq!(lines[0], "n1: view whole (nearly all are heard), budgets shared by 2");
-        assert_eq!(lines[2], "n1         alive   1 s    a     east    127.0.0.1:1  3            -     -");
-        assert!(lines[3].starts_with("long-name  failed  2 h    b") && lines[3].ends_with("4     12"));
+        assert_eq!(
+            lines[0],
+            "n1: view whole (nearly all are heard), budgets shared by 2"
+        );
+        assert_eq!(
+            lines[2],
+            "n1         alive   1 s    a     east    127.0.0.1:1  3            -     -"
+        );
+        assert!(
+            lines[3].starts_with("long-name  failed  2 h    b") && lines[3].ends_with("4     12")
+        );
         assert!(members("[]").is_err());
     }
 }
--- a/crates/sandtrack-sidecar/src/upstream.rs
+++ b/crates/sandtrack-sidecar/src/upstream.rs
@@ -24,7 +24,11 @@
 
 /// The socket is closed when it returns.
 async fn carry(
-    conn: ConnId, stream: Async<TcpStream>, orders: &Orders, inputs: &Inputs, written: &mut Written,
+    conn: ConnId,
+    stream: Async<TcpStream>,
+    orders: &Orders,
+    inputs: &Inputs,
+    written: &mut Written,
 ) {
     no_delay(&stream);
     inputs.send(Input::UpstreamConnected { conn });
@@ -40,7 +44,11 @@
     let mut paused = false;
     loop {
         let count = match next(&stream, &mut input, orders, !paused).await {
-            Next::Order(Order::Ask { bytes, streamed, more }) => {
+            Next::Order(Order::Ask {
+                bytes,
+                streamed,
+                more,
+            }) => {
                 // Its client had left before that was read, or leaves in this moment: nothing is written. No other order
                 // follows this one before something of it is told.
                 if matches!(orders.try_recv(), Ok(Order::Withdraw | Order::Close)) {
@@ -48,7 +56,10 @@
                 }
                 // The other side may have closed it while it stood idle: nothing is written then, and the
                 // attempt may still go out on another connection.
-                if future::poll_once(read_into(&stream, &mut input)).await.is_some() {
+                if future::poll_once(read_into(&stream, &mut input))
+                    .await
+                    .is_some()
+                {
                     return;
                 }
                 written.begun += 1;
@@ -77,7 +88,12 @@
                 if let Some(Taken::Begun { head, length }) = collector.pass_on() {
                     (paused, flows) = (true, true);
                     let at = inputs.clock.now();
-                    inputs.send(Input::UpstreamBegan { conn, at, head, length });
+                    inputs.send(Input::UpstreamBegan {
+                        conn,
+                        at,
+                        head,
+                        length,
+                    });
                 }
                 continue;
             }
@@ -101,7 +117,10 @@
             // An interim response is no part of the answer: that may still take its time.
             Ok(None) => {
                 if !flows && collector.within(&input) {
-                    inputs.send(Input::UpstreamPartly { conn, open: collector.is_open() });
+                    inputs.send(Input::UpstreamPartly {
+                        conn,
+                        open: collector.is_open(),
+                    });
                 }
             }
             Ok(Some(taken)) => {
@@ -113,7 +132,12 @@
                 match taken {
                     Taken::Begun { head, length } => {
                         (paused, flows) = (true, true);
-                        inputs.send(Input::UpstreamBegan { conn, at, head, length });
+                        inputs.send(Input::UpstreamBegan {
+                            conn,
+                            at,
+                            head,
+                            length,
+                        });
                         continue;
                     }
                     Taken::Piece(bytes) => {
@@ -122,13 +146,21 @@
                         if !last {
                             continue;
                         }
-                        inputs.send(Input::UpstreamOver { conn, at, keep_alive: open });
+                        inputs.send(Input::UpstreamOver {
+                            conn,
+                            at,
+                            keep_alive: open,
+                        });
                     }
                     Taken::Whole(mut message) => {
                         message.head.keep_alive = open;
                         inputs.send(Input::UpstreamAnswered { conn, at, message });
                     }
-                    Taken::Over => inputs.send(Input::UpstreamOver { conn, at, keep_alive: open }),
+                    Taken::Over => inputs.send(Input::UpstreamOver {
+                        conn,
+                        at,
+                        keep_alive: open,
+                    }),
                 }
                 if !open {
                     return;
@@ -147,8 +179,13 @@
 
 /// Writes a request, or a part of it, and tells so; no when the connection broke, takes nothing, or is ordered closed.
 async fn write(
-    conn: ConnId, stream: &Async<TcpStream>, output: &mut Ring, bytes: &[u8], orders: &Orders,
-    inputs: &Inputs, last: bool,
+    conn: ConnId,
+    stream: &Async<TcpStream>,
+    output: &mut Ring,
+    bytes: &[u8],
+    orders: &Orders,
+    inputs: &Inputs,
+    last: bool,
 ) -> bool {
     if !output.push(bytes) {
         return false;
@@ -159,7 +196,11 @@
     };
     let wrote = future::or(write_within(stream, output, WRITE_PATIENCE), closed).await;
     if wrote {
-        inputs.send(if last { Input::UpstreamWrote { conn } } else { Input::UpstreamTook { conn } });
+        inputs.send(if last {
+            Input::UpstreamWrote { conn }
+        } else {
+            Input::UpstreamTook { conn }
+        });
     }
     wrote
 }
--- a/crates/sandtrack-sidecar/tests/common/mod.rs
+++ b/crates/sandtrack-sidecar/tests/common/mod.rs
@@ -53,14 +53,26 @@
 pub fn free_address(net: u8) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let own = format!("127.{net}.{}.1:0", NEXT.fetch_add(1, Ordering::Relaxed));
-    TcpListener::bind(own).unwrap().local_addr().unwrap().to_string()
+    TcpListener::bind(own)
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string()
 }
 
 /// One answer: its status, whether the connection closes, its body; `None` if the connection ended with none.
 pub fn answer(reader: &mut BufReader<TcpStream>) -> Option<(u16, bool, Vec<u8>)> {
     let mut line = String::new();
-    reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
-    let status = line.split(' ').nth(1).unwrap_or_else(|| panic!("no answer: {line:?}")).parse().unwrap();
+    reader
+        .read_line(&mut line)
+        .ok()
+        .filter(|count| *count > 0)?;
+    let status = line
+        .split(' ')
+        .nth(1)
+        .unwrap_or_else(|| panic!("no answer: {line:?}"))
+        .parse()
+        .unwrap();
     let (mut length, mut close) = (0, false);
     loop {
         line.clear();
--- a/crates/sandtrack-sidecar/tests/common/scripted.rs
+++ b/crates/sandtrack-sidecar/tests/common/scripted.rs
@@ -33,7 +33,10 @@
     /// Starts one and waits until it takes clients. What it last knew is nothing.
     pub fn start(name: &str, discovery: &str, edit: impl FnOnce(&mut Value)) -> Self {
         let address = free_address(9);
-        let path = std::env::temp_dir().join(format!("sandtrack-races-{}-{name}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "sandtrack-races-{}-{name}.json",
+            std::process::id()
+        ));
         let mut value = config(&address, discovery, common::catalog(0, true, Vec::new()));
         // A busy machine must not look like a slow upstream: no second copies, no early end, no connect that takes too long.
         value["settings"]["limits"]["parallel-tries"] = false.into();
@@ -41,15 +44,28 @@
         times(&mut value, 8000.0);
         edit(&mut value);
         std::fs::write(&path, value.to_string()).unwrap();
-        let sidecar = Sidecar { process: Self::spawn(&path), address, config: path };
+        let sidecar = Sidecar {
+            process: Self::spawn(&path),
+            address,
+            config: path,
+        };
         sidecar.wait_until_it_listens();
         sidecar
     }
 
     pub fn spawn(config: &std::path::Path) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack"));
-        command.env("NODE_CONFIG", config).stdout(Stdio::null()).stderr(Stdio::null());
-        for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_ADMIN", "NODE_FLEET", "NODE_SOCKET_FD"] {
+        command
+            .env("NODE_CONFIG", config)
+            .stdout(Stdio::null())
+            .stderr(Stdio::null());
+        for name in [
+            "NODE_LISTEN",
+            "NODE_DISCOVERY",
+            "NODE_ADMIN",
+            "NODE_FLEET",
+            "NODE_SOCKET_FD",
+        ] {
             command.env_remove(name);
         }
         command.spawn().unwrap()
@@ -61,7 +77,8 @@
         let pid = Pid::from_raw(self.process.id() as i32).unwrap();
         // The stop is taken note of, so that the next one is not mistaken for it; one that has ended is not reaped here.
         let is = |state| {
-            waitid(WaitId::Pid(pid), state | WaitIdOptions::NOHANG).is_ok_and(|found| found.is_some())
+            waitid(WaitId::Pid(pid), state | WaitIdOptions::NOHANG)
+                .is_ok_and(|found| found.is_some())
         };
         while !is(WaitIdOptions::STOPPED) && !is(WaitIdOptions::EXITED | WaitIdOptions::NOWAIT) {
             std::thread::sleep(Duration::from_micros(200));
@@ -120,7 +137,9 @@
 /// The status that the client gets, while the upstream answers what comes.
 fn answer_of(client: &mut BufReader<TcpStream>, upstream: &Upstream) -> u16 {
     let stream = client.get_ref().try_clone().unwrap();
-    stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_millis(5)))
+        .unwrap();
     let until = Instant::now() + PATIENCE;
     loop {
         if let Some(asked) = upstream.next(Duration::from_millis(1)) {
@@ -147,7 +166,10 @@
             "POST /api HTTP/1.1\r\n{head}Idempotency-Key: {id}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         ),
-        _ => format!("POST /api HTTP/1.1\r\n{head}Content-Length: {}\r\n\r\n{body}", body.len()),
+        _ => format!(
+            "POST /api HTTP/1.1\r\n{head}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        ),
     };
     (id, text)
 }
@@ -167,7 +189,10 @@
 impl Asked {
     pub fn answer(&self, body: &str) {
         // The other side may be gone: then that is what the test is about.
-        let _ = self.raw(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        let _ = self.raw(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     pub fn raw(&self, text: &str) -> std::io::Result<()> {
@@ -193,7 +218,11 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(id) = read_request(&mut reader) {
                         let stream = stream.try_clone().unwrap();
-                        let asked = Asked { id: id.unwrap_or_default(), connection, stream };
+                        let asked = Asked {
+                            id: id.unwrap_or_default(),
+                            connection,
+                            stream,
+                        };
                         if asked.id.is_empty() {
                             asked.answer("");
                         } else if sender.send(asked).is_err() {
@@ -214,11 +243,19 @@
 /// One request with its body: its id, if it has one; `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Option<String>> {
     let (mut line, mut id, mut length) = (String::new(), None, 0);
-    reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
+    reader
+        .read_line(&mut line)
+        .ok()
+        .filter(|count| *count > 0)?;
     loop {
         line.clear();
-        reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
-        let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|count| *count > 0)?;
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.parse().ok()?,
             "x-call-id" => id = Some(value.to_owned()),
@@ -247,7 +284,14 @@
                     line.clear();
                 }
                 stream.set_nodelay(true).unwrap();
-                if sender.send(Watch { stream, told: false, beats: Arc::default() }).is_err() {
+                if sender
+                    .send(Watch {
+                        stream,
+                        told: false,
+                        beats: Arc::default(),
+                    })
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/crates/sandtrack-sidecar/tests/config.rs
+++ b/crates/sandtrack-sidecar/tests/config.rs
@@ -5,7 +5,11 @@
 use serde_json::Value;
 
 fn value() -> Value {
-    common::config("127.0.0.1:1", "127.0.0.1:2", common::catalog(3, true, Vec::new()))
+    common::config(
+        "127.0.0.1:1",
+        "127.0.0.1:2",
+        common::catalog(3, true, Vec::new()),
+    )
 }
 
 fn fault(edit: impl FnOnce(&mut Value)) -> (String, String) {
@@ -31,13 +35,21 @@
         value.as_object_mut().expect("an object").remove(key);
     }
     value["seed"] = 7.into();
-    let limits = value["settings"]["limits"].as_object_mut().expect("an object");
+    let limits = value["settings"]["limits"]
+        .as_object_mut()
+        .expect("an object");
     limits.remove("conn-idle");
     limits.remove("connect-timeout");
     let config = config::parse(value.to_string().as_bytes()).expect("valid");
-    assert_eq!((config.name.as_str(), config.descriptors, config.seed), ("", 1024, 7));
+    assert_eq!(
+        (config.name.as_str(), config.descriptors, config.seed),
+        ("", 1024, 7)
+    );
     assert!(config.known.is_none() && config.checked.conn_idle.is_none());
-    assert_eq!((config.admin, config.socket, config.memory_mb), (None, None, 64));
+    assert_eq!(
+        (config.admin, config.socket, config.memory_mb),
+        (None, None, 64)
+    );
 }
 
 #[test]
@@ -100,7 +112,8 @@
 
 #[test]
 fn the_variables_go_before_the_file() {
-    let path = std::env::temp_dir().join(format!("sandtrack-{}-variables.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("sandtrack-{}-variables.json", std::process::id()));
     std::fs::write(&path, value().to_string()).expect("written");
     let load_with = |listen: &str, admin: &str, socket: &str| {
         let (path, listen) = (path.display().to_string(), listen.to_owned());
@@ -116,16 +129,42 @@
     };
     let load = |listen: &str| load_with(listen, "127.0.0.1:98", "7");
     let (config, _) = load("127.0.0.1:77").expect("valid");
-    assert_eq!((config.name.as_str(), config.listen.port(), config.discovery.port()), ("n9", 77, 2));
-    assert_eq!(load("77").map(drop).err().map(|fault| fault.key), Some("NODE_LISTEN".to_owned()));
-    assert_eq!((config.admin.map(|admin| admin.port()), config.socket), (Some(98), Some(7)));
-    let key =
-        |admin: &str, socket: &str| load_with("127.0.0.1:77", admin, socket).map(drop).err().map(|f| f.key);
+    assert_eq!(
+        (
+            config.name.as_str(),
+            config.listen.port(),
+            config.discovery.port()
+        ),
+        ("n9", 77, 2)
+    );
+    assert_eq!(
+        load("77").map(drop).err().map(|fault| fault.key),
+        Some("NODE_LISTEN".to_owned())
+    );
+    assert_eq!(
+        (config.admin.map(|admin| admin.port()), config.socket),
+        (Some(98), Some(7))
+    );
+    let key = |admin: &str, socket: &str| {
+        load_with("127.0.0.1:77", admin, socket)
+            .map(drop)
+            .err()
+            .map(|f| f.key)
+    };
     assert_eq!(key("98", "7"), Some("NODE_ADMIN".to_owned()));
-    assert_eq!(key("127.0.0.1:98", "seven"), Some("NODE_SOCKET_FD".to_owned()));
+    assert_eq!(
+        key("127.0.0.1:98", "seven"),
+        Some("NODE_SOCKET_FD".to_owned())
+    );
     assert_eq!(key("127.0.0.1:98", "-7"), Some("NODE_SOCKET_FD".to_owned()));
     std::fs::remove_file(&path).expect("removed");
-    assert_eq!(config::load(|_| None).map(drop).err().map(|fault| fault.key), Some("NODE_CONFIG".to_owned()));
+    assert_eq!(
+        config::load(|_| None)
+            .map(drop)
+            .err()
+            .map(|fault| fault.key),
+        Some("NODE_CONFIG".to_owned())
+    );
 }
 
 /// A variable goes before the file at the start; it must not undo what a reload brings, nor a reload what it says.
@@ -147,15 +186,26 @@
     assert_eq!(config.discovery.port(), 99);
     let mut found = || -> Result<_, sandtrack_settings::Fault> {
         let new = source.again()?;
-        Ok((new.discovery.map(|at| at.port()), new.settings.map(|s| s.classes.len()), new.waiting))
+        Ok((
+            new.discovery.map(|at| at.port()),
+            new.settings.map(|s| s.classes.len()),
+            new.waiting,
+        ))
     };
-    assert_eq!(found(), Ok((None, None, vec![])), "the file says what it said");
+    assert_eq!(
+        found(),
+        Ok((None, None, vec![])),
+        "the file says what it said"
+    );
     write(&|v| v["discovery"] = "127.0.0.1:3".into());
     assert_eq!(found(), Ok((Some(3), None, vec![])));
     assert_eq!(found(), Ok((None, None, vec![])), "once");
     write(&|v| {
         v["discovery"] = "127.0.0.1:3".into();
-        v["settings"]["classes"].as_array_mut().expect("classes").truncate(1);
+        v["settings"]["classes"]
+            .as_array_mut()
+            .expect("classes")
+            .truncate(1);
     });
     assert_eq!(found(), Ok((None, Some(1), vec![])));
     assert_eq!(found(), Ok((None, None, vec![])), "once");
@@ -167,28 +217,49 @@
         v["discovery"] = "127.0.0.1:4".into();
         v["settings"]["classes"][1]["deadline"] = "soon".into();
     });
-    assert_eq!(found().map_err(|fault| fault.key), Err("settings.classes[1].deadline".to_owned()));
+    assert_eq!(
+        found().map_err(|fault| fault.key),
+        Err("settings.classes[1].deadline".to_owned())
+    );
     type Slip = (&'static str, fn(&mut Value));
     let slips: [Slip; 7] = [
         ("weights", |s| s["weights"] = "heavy".into()),
         ("discovery", |s| s["discovery"] = "asked".into()),
         ("feedback.how", |s| s["feedback"]["how"] = "never".into()),
-        ("classes[0].effect", |s| s["classes"][0]["effect"] = "twice".into()),
-        ("classes[1].key-scope", |s| s["classes"][1]["key-scope"] = "pod".into()),
-        ("rules.cold-share", |s| s["rules"]["cold-share"] = 1.5.into()),
-        ("domain.warm-keys", |s| s["domain"] = serde_json::json!({"warm-keys": "yes"})),
+        ("classes[0].effect", |s| {
+            s["classes"][0]["effect"] = "twice".into()
+        }),
+        ("classes[1].key-scope", |s| {
+            s["classes"][1]["key-scope"] = "pod".into()
+        }),
+        ("rules.cold-share", |s| {
+            s["rules"]["cold-share"] = 1.5.into()
+        }),
+        ("domain.warm-keys", |s| {
+            s["domain"] = serde_json::json!({"warm-keys": "yes"})
+        }),
     ];
     for (key, slip) in slips {
         write(&|v| slip(&mut v["settings"]));
-        assert_eq!(found().map_err(|fault| fault.key), Err(format!("settings.{key}")));
+        assert_eq!(
+            found().map_err(|fault| fault.key),
+            Err(format!("settings.{key}"))
+        );
     }
     write(&|v| {
         v["limits"]["sockets"] = 99.into();
         v["seed"] = 7.into();
     });
-    assert_eq!(found(), Ok((Some(2), Some(4), vec!["limits"])), "seeds change with each start");
+    assert_eq!(
+        found(),
+        Ok((Some(2), Some(4), vec!["limits"])),
+        "seeds change with each start"
+    );
     std::fs::remove_file(&path).expect("removed");
-    assert_eq!(found().map_err(|fault| fault.key), Err("NODE_CONFIG".to_owned()));
+    assert_eq!(
+        found().map_err(|fault| fault.key),
+        Err("NODE_CONFIG".to_owned())
+    );
 }
 
 fn fleet() -> Value {
@@ -202,10 +273,19 @@
     assert!(config.fleet.is_none());
     let mut with = value();
     with["fleet"] = fleet();
-    let config = config::parse(with.to_string().as_bytes()).expect("valid").fleet.expect("a fleet");
+    let config = config::parse(with.to_string().as_bytes())
+        .expect("valid")
+        .fleet
+        .expect("a fleet");
     let who = config.identity;
-    assert_eq!((who.name.as_str(), who.zone.as_str(), who.region.as_str()), ("n0", "north", "east"));
-    assert_eq!((who.advertise, who.datagram, who.forget), (config.listen, 1200, 3_600_000));
+    assert_eq!(
+        (who.name.as_str(), who.zone.as_str(), who.region.as_str()),
+        ("n0", "north", "east")
+    );
+    assert_eq!(
+        (who.advertise, who.datagram, who.forget),
+        (config.listen, 1200, 3_600_000)
+    );
     let fault_in = |key: &str, to: Value| {
         fault(|v| {
             v["fleet"] = fleet();
@@ -264,14 +344,19 @@
 fn keys_that_nobody_reads_are_told() {
     let mut with = value();
     (with["flet"], with["fleet"], with["Seed"]) = (fleet(), fleet(), 7.into());
-    assert_eq!(config::unread(with.to_string().as_bytes()), ["Seed", "flet"]);
+    assert_eq!(
+        config::unread(with.to_string().as_bytes()),
+        ["Seed", "flet"]
+    );
     assert!(config::unread(value().to_string().as_bytes()).is_empty());
 }
 
 /// Where a platform writes the configuration, the section is in a file of the installation's own.
 #[test]
 fn a_file_of_its_own_may_hold_the_fleet_and_its_faults_are_named() {
-    let at = |end: &str| std::env::temp_dir().join(format!("sandtrack-{}-{end}.json", std::process::id()));
+    let at = |end: &str| {
+        std::env::temp_dir().join(format!("sandtrack-{}-{end}.json", std::process::id()))
+    };
     let (main, own) = (at("fleet-main"), at("fleet-own"));
     std::fs::write(&main, value().to_string()).expect("written");
     let load = |section: &str| {
@@ -288,7 +373,15 @@
     assert_eq!(config.fleet.expect("a fleet").identity.name, "n7");
     assert!(source.again().expect("valid").waiting.is_empty());
     let key = |section: &str| load(section).map(drop).err().map(|fault| fault.key);
-    assert_eq!(key("{\"cluster\": 7}").as_deref(), Some("NODE_FLEET: fleet.cluster"));
-    assert_eq!(key("{").map(|key| key.starts_with("NODE_FLEET")), Some(true));
-    [main, own].iter().for_each(|path| std::fs::remove_file(path).expect("removed"));
+    assert_eq!(
+        key("{\"cluster\": 7}").as_deref(),
+        Some("NODE_FLEET: fleet.cluster")
+    );
+    assert_eq!(
+        key("{").map(|key| key.starts_with("NODE_FLEET")),
+        Some(true)
+    );
+    [main, own]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).expect("removed"));
 }
