--- a/crates/sandtrack-sidecar/tests/fleet.rs
+++ b/crates/sandtrack-sidecar/tests/fleet.rs
@@ -30,16 +30,24 @@
 impl Process {
     fn get(&self, target: &str) -> Option<(u16, String)> {
         let stream = TcpStream::connect(&self.admin).ok()?;
-        stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .ok()?;
         let mut caller = BufReader::new(stream);
-        caller.get_mut().write_all(format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).ok()?;
+        caller
+            .get_mut()
+            .write_all(format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
+            .ok()?;
         let (status, _, body) = answer(&mut caller)?;
         Some((status, String::from_utf8(body).ok()?))
     }
 
     fn until(&self, target: &str, wanted: impl Fn(u16, &str) -> bool) {
         for _ in 0..4000 {
-            if self.get(target).is_some_and(|(status, text)| wanted(status, &text)) {
+            if self
+                .get(target)
+                .is_some_and(|(status, text)| wanted(status, &text))
+            {
                 return;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -52,12 +60,19 @@
         let told: Value = serde_json::from_str(&self.get("/-/members")?.1).ok()?;
         let members = told["members"].as_array()?.clone();
         let member = members.into_iter().find(|member| member["name"] == name)?;
-        Some((member["state"].as_str()?.to_owned(), member["incarnation"].as_u64()?))
+        Some((
+            member["state"].as_str()?.to_owned(),
+            member["incarnation"].as_u64()?,
+        ))
     }
 
     fn terminate(mut self) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-TERM", &pid])
+            .status()
+            .unwrap()
+            .success());
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
     }
 }
@@ -85,9 +100,15 @@
         toy::discovery(catalog, vec![address]);
         let (shared, _) = listener();
         rustix::io::fcntl_setfd(&shared, rustix::io::FdFlags::empty()).unwrap();
-        let folder = std::env::temp_dir().join(format!("sandtrack-membership-{}-{net}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("sandtrack-membership-{}-{net}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Place { folder, shared, discovery, net }
+        Place {
+            folder,
+            shared,
+            discovery,
+            net,
+        }
     }
 
     fn start(&self, number: u8, listen: &str, inherits: bool) -> Process {
@@ -95,17 +116,27 @@
         let at = |number: u8| format!("127.0.{}.{number}:7946", self.net);
         let mut config = common::config(listen, &self.discovery, known);
         config["name"] = format!("n{number}").into();
-        config["fleet"] = json!({"cluster": "upgrade", "listen": at(number), "seeds": [at(1), at(2)]});
+        config["fleet"] =
+            json!({"cluster": "upgrade", "listen": at(number), "seeds": [at(1), at(2)]});
         let path = self.folder.join(format!("{number}.json"));
         std::fs::write(&path, config.to_string()).unwrap();
         let admin = free_address(43);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack"));
-        command.env("NODE_CONFIG", path).env("NODE_ADMIN", &admin).env("TMPDIR", &self.folder);
-        command.env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY").env_remove("NODE_SOCKET_FD");
+        command
+            .env("NODE_CONFIG", path)
+            .env("NODE_ADMIN", &admin)
+            .env("TMPDIR", &self.folder);
+        command
+            .env_remove("NODE_LISTEN")
+            .env_remove("NODE_DISCOVERY")
+            .env_remove("NODE_SOCKET_FD");
         if inherits {
             command.env("NODE_SOCKET_FD", self.shared.as_raw_fd().to_string());
         }
-        Process { child: command.stderr(Stdio::null()).spawn().unwrap(), admin }
+        Process {
+            child: command.stderr(Stdio::null()).spawn().unwrap(),
+            admin,
+        }
     }
 }
 
@@ -138,30 +169,50 @@
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(other.holds("n1").is_some_and(|held| held.0 == "alive" && held.1 > 1));
+    assert!(other
+        .holds("n1")
+        .is_some_and(|held| held.0 == "alive" && held.1 > 1));
     new.until("/-/members", whole);
     // Alone, it leaves when it ends.
     new.terminate();
-    assert_eq!(other.holds("n1").map(|held| held.0).as_deref(), Some("left"));
+    assert_eq!(
+        other.holds("n1").map(|held| held.0).as_deref(),
+        Some("left")
+    );
 }
 
 #[test]
 fn staff_are_told_who_is_there_and_where_there_is_no_fleet() {
     let place = Place::new(42);
     let mut process = place.start(3, &free_address(44), false);
-    process.until("/-/members", |status, text| status == 200 && text.contains("no seed answers"));
+    process.until("/-/members", |status, text| {
+        status == 200 && text.contains("no seed answers")
+    });
     let sandtrack = env!("CARGO_BIN_EXE_sandtrack");
-    let shown = Command::new(sandtrack).args(["members", &process.admin]).output().unwrap();
+    let shown = Command::new(sandtrack)
+        .args(["members", &process.admin])
+        .output()
+        .unwrap();
     let text = String::from_utf8(shown.stdout).unwrap();
-    assert!(shown.status.success() && text.contains("view cut-off (no seed answers)"), "{text}");
-    assert!(text.lines().any(|line| line.starts_with("n3 ") && line.contains("joining")), "{text}");
+    assert!(
+        shown.status.success() && text.contains("view cut-off (no seed answers)"),
+        "{text}"
+    );
+    assert!(
+        text.lines()
+            .any(|line| line.starts_with("n3 ") && line.contains("joining")),
+        "{text}"
+    );
     process.until("/-/metrics", |_, text| text.contains("node.fleet_view=2"));
     // The address is taken: no second one starts.
     let mut second = place.start(3, &free_address(44), false);
     assert_eq!(second.child.wait().unwrap().code(), Some(1));
     process.child.kill().unwrap();
     process.child.wait().unwrap();
-    let shown = Command::new(sandtrack).args(["members", &process.admin]).output().unwrap();
+    let shown = Command::new(sandtrack)
+        .args(["members", &process.admin])
+        .output()
+        .unwrap();
     assert_eq!(shown.status.code(), Some(1), "nobody is there");
     let odd = Command::new(sandtrack).args(["member"]).output().unwrap();
     assert_eq!(odd.status.code(), Some(2), "no such word");
--- a/crates/sandtrack-sidecar/tests/full_log.rs
+++ b/crates/sandtrack-sidecar/tests/full_log.rs
@@ -19,7 +19,11 @@
 
 /// A log that is written to disk that is full.
 fn full() -> Stdio {
-    File::options().write(true).open("/dev/full").expect("the device that is always full").into()
+    File::options()
+        .write(true)
+        .open("/dev/full")
+        .expect("the device that is always full")
+        .into()
 }
 
 /// A log whose reader stands still: what it has not read fills the pipe. The reader has to be kept.
@@ -44,24 +48,38 @@
 
 fn serves_and_ends(name: &str, log: Stdio) {
     let address = free_address(9);
-    let path = std::env::temp_dir().join(format!("sandtrack-{name}-log-{}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("sandtrack-{name}-log-{}.json", std::process::id()));
     let nobody = free_address(9);
-    std::fs::write(&path, config(&address, &nobody, catalog(0, true, Vec::new())).to_string())
-        .expect("a file");
+    std::fs::write(
+        &path,
+        config(&address, &nobody, catalog(0, true, Vec::new())).to_string(),
+    )
+    .expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack"));
-    command.env("NODE_CONFIG", &path).stdout(Stdio::null()).stderr(log);
+    command
+        .env("NODE_CONFIG", &path)
+        .stdout(Stdio::null())
+        .stderr(log);
     let mut sidecar = Running(command.spawn().expect("a process"));
     let began = Instant::now();
     let mut stream = loop {
         let ended = sidecar.0.try_wait().expect("its state");
-        assert!(ended.is_none() && began.elapsed() < Duration::from_secs(20), "it ended: {ended:?}");
+        assert!(
+            ended.is_none() && began.elapsed() < Duration::from_secs(20),
+            "it ended: {ended:?}"
+        );
         match TcpStream::connect(&address) {
             Ok(stream) => break stream,
             Err(_) => std::thread::yield_now(),
         }
     };
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
-    stream.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("written");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("a time limit");
+    stream
+        .write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 "), "{answer}");
--- a/crates/sandtrack-sidecar/tests/halls.rs
+++ b/crates/sandtrack-sidecar/tests/halls.rs
@@ -48,7 +48,10 @@
             None => break,
         };
     }
-    let length = headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let length = headers
+        .get("content-length")
+        .and_then(|length| length.parse().ok())
+        .unwrap_or(0);
     reader.read_exact(&mut vec![0; length]).ok()?;
     Some((first, headers))
 }
@@ -74,7 +77,8 @@
                 Err(_) => pause(),
             }
         }
-        open.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        open.iter()
+            .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 }
 
@@ -84,13 +88,21 @@
     while let Some((first, headers)) = message(&mut reader) {
         let answer = if first.contains("/_load") {
             let body = "inflight=0,queue=0";
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+            format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
         } else {
             let _core = core.lock().unwrap();
             thread::sleep(Duration::from_millis(3));
             world.ran[hall].fetch_add(1, SeqCst);
             if headers.get("x-call-class").map(String::as_str) == Some("pay") {
-                *world.effects.lock().unwrap().entry(headers["x-call-id"].clone()).or_default() += 1;
+                *world
+                    .effects
+                    .lock()
+                    .unwrap()
+                    .entry(headers["x-call-id"].clone())
+                    .or_default() += 1;
             }
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned()
         };
@@ -129,10 +141,15 @@
                 let version = world.version.load(SeqCst);
                 beats += 1;
                 if told != Some(version) || beats % 250 == 0 {
-                    let line =
-                        if told == Some(version) { "\n".to_owned() } else { list(&world).to_string() + "\n" };
+                    let line = if told == Some(version) {
+                        "\n".to_owned()
+                    } else {
+                        list(&world).to_string() + "\n"
+                    };
                     told = Some(version);
-                    well = writer.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).is_ok();
+                    well = writer
+                        .write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
+                        .is_ok();
                 }
                 pause();
             }
@@ -151,7 +168,11 @@
 }
 
 fn address(host: &str) -> String {
-    TcpListener::bind(format!("{host}:0")).unwrap().local_addr().unwrap().to_string()
+    TcpListener::bind(format!("{host}:0"))
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string()
 }
 
 fn sidecar(world: &World, n: usize, discovery: &str) -> Sidecar {
@@ -163,15 +184,20 @@
     (settings["siblings"], settings["me"]) = (3.into(), n.into());
     // Wide enough that a slow machine is not taken for a slow server.
     for class in settings["classes"].as_array_mut().unwrap() {
-        (class["aim"], class["deadline"], class["window"]) = (4000.0.into(), 15000.0.into(), 30000.0.into());
+        (class["aim"], class["deadline"], class["window"]) =
+            (4000.0.into(), 15000.0.into(), 30000.0.into());
     }
     settings["limits"]["connect-timeout"] = 2000.0.into();
     settings["rules"]["cold-share"] = 0.3.into();
     (settings["rules"]["cold"], config["seed"]) = (600_000.0.into(), format!("{}", n + 11).into());
-    let path = std::env::temp_dir().join(format!("sandtrack-halls-{}-{n}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("sandtrack-halls-{}-{n}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack"));
-    command.env("NODE_CONFIG", &path).env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
+    command
+        .env("NODE_CONFIG", &path)
+        .env_remove("NODE_LISTEN")
+        .env_remove("NODE_DISCOVERY");
     let process = command.stderr(Stdio::null()).spawn().unwrap();
     let sidecar = Sidecar(process, listen, path);
     while TcpStream::connect(&sidecar.1).is_err() {
@@ -193,7 +219,9 @@
             _ => ("POST", "pay", String::new()),
         };
         let mut stream = TcpStream::connect(sidecar).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(60)))
+            .unwrap();
         let request = format!(
             "{method} / HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id:x}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
              {key}X-Budget-Ms: 15000\r\nConnection: close\r\n\r\n"
@@ -201,7 +229,11 @@
         stream.write_all(request.as_bytes()).unwrap();
         let mut all = String::new();
         stream.read_to_string(&mut all).unwrap();
-        assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "one final answer: {all:?}");
+        assert_eq!(
+            all.matches("HTTP/1.1 ").count(),
+            1,
+            "one final answer: {all:?}"
+        );
         served += usize::from(all.starts_with("HTTP/1.1 200"));
     }
     served
@@ -209,13 +241,19 @@
 
 fn ask_all(sidecars: &[Sidecar], count: usize) -> usize {
     thread::scope(|scope| {
-        let asking: Vec<_> = sidecars.iter().map(|sidecar| scope.spawn(|| ask(&sidecar.1, count))).collect();
+        let asking: Vec<_> = sidecars
+            .iter()
+            .map(|sidecar| scope.spawn(|| ask(&sidecar.1, count)))
+            .collect();
         asking.into_iter().map(|asked| asked.join().unwrap()).sum()
     })
 }
 
 fn turn(world: &World, hall: usize, up: bool) {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
     if up {
         world.started[hall].store(now, SeqCst);
     }
@@ -230,7 +268,11 @@
     for hall in 0..HALLS {
         for n in 0..EACH {
             let address = address(&format!("127.0.7{hall}.{}", n + 1));
-            world.addresses.lock().unwrap().push((hall, address.clone()));
+            world
+                .addresses
+                .lock()
+                .unwrap()
+                .push((hall, address.clone()));
             let world = world.clone();
             thread::spawn(move || server(world, hall, address));
         }
@@ -265,6 +307,10 @@
     }
     let effects = world.effects.lock().unwrap();
     let doubled: Vec<_> = effects.iter().filter(|(_, times)| **times > 1).collect();
-    assert!(effects.len() > 100 && doubled.is_empty(), "{doubled:?} of {}", effects.len());
+    assert!(
+        effects.len() > 100 && doubled.is_empty(),
+        "{doubled:?} of {}",
+        effects.len()
+    );
     world.over.store(true, SeqCst);
 }
--- a/crates/sandtrack-sidecar/tests/loopback.rs
+++ b/crates/sandtrack-sidecar/tests/loopback.rs
@@ -46,9 +46,17 @@
     let (discovery, _) = fleet(3, &served);
     let address = free_address(0);
     // What it last knew is out of date: nothing listens there.
-    let known = common::catalog(0, true, vec![common::instance(9, &free_address(0), "SERVING")]);
+    let known = common::catalog(
+        0,
+        true,
+        vec![common::instance(9, &free_address(0), "SERVING")],
+    );
     let config = std::env::temp_dir().join(format!("sandtrack-{}-{name}.json", std::process::id()));
-    std::fs::write(&config, common::config(&address, &discovery, known).to_string()).unwrap();
+    std::fs::write(
+        &config,
+        common::config(&address, &discovery, known).to_string(),
+    )
+    .unwrap();
     let process = Command::new(env!("CARGO_BIN_EXE_sandtrack"))
         .env("NODE_CONFIG", &config)
         .env_remove("NODE_LISTEN")
@@ -56,7 +64,11 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let sidecar = Sidecar { process, address, config };
+    let sidecar = Sidecar {
+        process,
+        address,
+        config,
+    };
     for _ in 0..500 {
         if TcpStream::connect(&sidecar.address).is_ok() {
             return (sidecar, served);
@@ -75,8 +87,11 @@
 fn request(target: &str, class: &str) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
-    let (method, body) =
-        if class == "read" { ("GET", "\r\n") } else { ("POST", "Content-Length: 4\r\n\r\nbody") };
+    let (method, body) = if class == "read" {
+        ("GET", "\r\n")
+    } else {
+        ("POST", "Content-Length: 4\r\n\r\nbody")
+    };
     format!(
         "{method} {target} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {id:016x}\r\nX-Call-Class: {class}\r\n\
          X-Caller: acme\r\nX-Budget-Ms: 20000\r\n{body}"
@@ -85,14 +100,19 @@
 
 fn connect(sidecar: &Sidecar) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(&sidecar.address).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     BufReader::new(stream)
 }
 
 /// Asks until it is served: at first the sidecar knows of no upstream that lives.
 fn served(client: &mut BufReader<TcpStream>, class: &str) -> String {
     for _ in 0..200 {
-        client.get_mut().write_all(request("/api", class).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(request("/api", class).as_bytes())
+            .unwrap();
         match answer(client) {
             (200, false, body) => return body,
             (502 | 503, ..) => std::thread::sleep(Duration::from_millis(50)),
@@ -106,12 +126,18 @@
 fn requests_are_served_refused_and_failed_over_one_connection() {
     let (sidecar, count) = start("serve");
     let mut client = connect(&sidecar);
-    client.get_mut().write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
+    client
+        .get_mut()
+        .write_all(b"GET /_health HTTP/1.1\r\n\r\n")
+        .unwrap();
     assert_eq!(answer(&mut client).0, 200);
     assert!(served(&mut client, "pay").starts_with("127.0.0.1:"));
     // An error may have run: an unsafe request fails, and only once.
     let before = count.load(Ordering::Relaxed);
-    client.get_mut().write_all(request("/fail", "pay").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("/fail", "pay").as_bytes())
+        .unwrap();
     assert_eq!(answer(&mut client).0, 502);
     assert_eq!(count.load(Ordering::Relaxed), before + 1);
     // Byte by byte, and two at once.
@@ -122,7 +148,10 @@
     let two = request("/api", "read") + &request("/api", "read");
     client.get_mut().write_all(two.as_bytes()).unwrap();
     assert_eq!((answer(&mut client).0, answer(&mut client).0), (200, 200));
-    client.get_mut().write_all(request("/api", "unheard-of").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("/api", "unheard-of").as_bytes())
+        .unwrap();
     assert_eq!(answer(&mut client).0, 400);
     client
         .get_mut()
@@ -140,9 +169,16 @@
     served(&mut client, "read");
     let mut idle = connect(&sidecar);
     served(&mut idle, "read");
-    client.get_mut().write_all(request("/slow", "pay").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("/slow", "pay").as_bytes())
+        .unwrap();
     sidecar.signal("-TERM");
-    assert_eq!(answer(&mut client).0, 200, "the toy answers it after half a second");
+    assert_eq!(
+        answer(&mut client).0,
+        200,
+        "the toy answers it after half a second"
+    );
     for mut client in [client, idle] {
         assert_eq!(client.read(&mut [0]).unwrap(), 0, "closed between requests");
     }
@@ -152,7 +188,11 @@
 impl Sidecar {
     fn signal(&self, signal: &str) {
         let pid = self.process.id().to_string();
-        assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([signal, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Edits the configuration and has it reloaded.
@@ -198,7 +238,10 @@
     let (mut client, mut slow) = (connect(&sidecar), connect(&sidecar));
     served(&mut client, "read");
     let mut known = |class: &str| {
-        client.get_mut().write_all(request("/api", class).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(request("/api", class).as_bytes())
+            .unwrap();
         match answer(&mut client).0 {
             200 => true,
             400 => false,
@@ -207,7 +250,9 @@
     };
     for _ in 0..2 {
         let before = count.load(Ordering::Relaxed);
-        slow.get_mut().write_all(request("/slow", "pay").as_bytes()).unwrap();
+        slow.get_mut()
+            .write_all(request("/slow", "pay").as_bytes())
+            .unwrap();
         std::thread::sleep(Duration::from_millis(100));
         let mut asked = 0;
         for (name, there) in [("charge", true), ("pay", false)] {
@@ -230,13 +275,20 @@
             asked += usize::from(there) * 2;
         }
         assert_eq!(answer(&mut slow).0, 200);
-        assert_eq!(count.load(Ordering::Relaxed), before + asked + 1, "each ran once");
+        assert_eq!(
+            count.load(Ordering::Relaxed),
+            before + asked + 1,
+            "each ran once"
+        );
     }
 }
 
 /// One request on the connection: its status, or `None` when it ended with not a byte of an answer.
 fn ask(client: &mut BufReader<TcpStream>) -> Option<(u16, bool)> {
-    client.get_mut().write_all(request("/api", "read").as_bytes()).ok()?;
+    client
+        .get_mut()
+        .write_all(request("/api", "read").as_bytes())
+        .ok()?;
     if client.fill_buf().map_or(true, <[u8]>::is_empty) {
         return None;
     }
@@ -287,10 +339,17 @@
 #[test]
 fn a_faulty_configuration_is_named_by_its_key() {
     let path = std::env::temp_dir().join(format!("sandtrack-{}-faulty.json", std::process::id()));
-    let mut config = common::config("127.0.0.1:1", "127.0.0.1:2", common::catalog(0, true, Vec::new()));
+    let mut config = common::config(
+        "127.0.0.1:1",
+        "127.0.0.1:2",
+        common::catalog(0, true, Vec::new()),
+    );
     config["settings"]["classes"][1]["deadline"] = "soon".into();
     std::fs::write(&path, config.to_string()).unwrap();
-    let run = Command::new(env!("CARGO_BIN_EXE_sandtrack")).env("NODE_CONFIG", &path).output().unwrap();
+    let run = Command::new(env!("CARGO_BIN_EXE_sandtrack"))
+        .env("NODE_CONFIG", &path)
+        .output()
+        .unwrap();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(run.status.code(), Some(2));
     let log = String::from_utf8(run.stdout).unwrap() + &String::from_utf8(run.stderr).unwrap();
--- a/crates/sandtrack-sidecar/tests/operations.rs
+++ b/crates/sandtrack-sidecar/tests/operations.rs
@@ -54,18 +54,27 @@
         toy::discovery(catalog, upstreams);
         let (listener, address) = listener();
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
-        let folder = std::env::temp_dir().join(format!("sandtrack-ops-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("sandtrack-ops-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let known = common::catalog(0, true, Vec::new());
         let config = common::config(&address, &discovery, known);
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-        Place { folder, listener, served }
+        Place {
+            folder,
+            listener,
+            served,
+        }
     }
 
     fn command(&self) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandtrack"));
-        command.env("NODE_CONFIG", self.folder.join("config.json")).env("TMPDIR", &self.folder);
-        command.env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
+        command
+            .env("NODE_CONFIG", self.folder.join("config.json"))
+            .env("TMPDIR", &self.folder);
+        command
+            .env_remove("NODE_LISTEN")
+            .env_remove("NODE_DISCOVERY");
         command.env("NODE_SOCKET_FD", self.listener.as_raw_fd().to_string());
         command
     }
@@ -73,20 +82,28 @@
     /// One more process, once it says that it is ready.
     fn start(&self) -> Process {
         let admin = free_address(1);
-        let child = self.command().env("NODE_ADMIN", &admin).stderr(Stdio::null()).spawn().unwrap();
+        let child = self
+            .command()
+            .env("NODE_ADMIN", &admin)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
         let process = Process { child, admin };
         process.until("GET", "/-/ready", |status, _| status == 200);
         process
     }
 
     fn connect(&self) -> BufReader<TcpStream> {
-        connect(&self.listener.local_addr().unwrap().to_string()).expect("the socket is always there")
+        connect(&self.listener.local_addr().unwrap().to_string())
+            .expect("the socket is always there")
     }
 }
 
 fn connect(address: &str) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     Some(BufReader::new(stream))
 }
 
@@ -117,7 +134,10 @@
     /// Asks until the answer is as wanted.
     fn until(&self, method: &str, target: &str, wanted: impl Fn(u16, &str) -> bool) {
         for _ in 0..2000 {
-            if self.call(method, target).is_some_and(|(status, text)| wanted(status, &text)) {
+            if self
+                .call(method, target)
+                .is_some_and(|(status, text)| wanted(status, &text))
+            {
                 return;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -126,12 +146,18 @@
     }
 
     fn shows(&self, line: &str) {
-        self.until("GET", "/-/metrics", |_, text| text.lines().any(|shown| shown == line));
+        self.until("GET", "/-/metrics", |_, text| {
+            text.lines().any(|shown| shown == line)
+        });
     }
 
     fn terminate(mut self) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-TERM", &pid])
+            .status()
+            .unwrap()
+            .success());
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
     }
 }
@@ -141,9 +167,12 @@
 fn keep_asking(address: String, stop: Arc<AtomicBool>) -> usize {
     let (mut client, mut answers) = (None, 0);
     while !stop.load(Ordering::Relaxed) {
-        let mut connected: BufReader<TcpStream> = client.take().unwrap_or_else(|| connect(&address).unwrap());
+        let mut connected: BufReader<TcpStream> =
+            client.take().unwrap_or_else(|| connect(&address).unwrap());
         std::thread::sleep(Duration::from_millis(1));
-        let asked = connected.get_mut().write_all((head("/api", "read") + "\r\n").as_bytes());
+        let asked = connected
+            .get_mut()
+            .write_all((head("/api", "read") + "\r\n").as_bytes());
         let answered = asked.ok().and_then(|()| answer(&mut connected));
         if let Some((status, close, _)) = answered {
             assert!(matches!(status, 200 | 502 | 503), "{status}");
@@ -190,7 +219,10 @@
     process.order("/-/drain");
     let mut client = place.connect();
     let health = |client: &mut BufReader<TcpStream>| {
-        client.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+        client
+            .get_mut()
+            .write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+            .unwrap();
         answer(client).unwrap().0
     };
     assert_eq!(health(&mut client), 503);
@@ -226,7 +258,10 @@
             }
         }
         if !framing.starts_with('C') {
-            client.get_mut().write_all(b"0\r\nDigest: none\r\n\r\n").unwrap();
+            client
+                .get_mut()
+                .write_all(b"0\r\nDigest: none\r\n\r\n")
+                .unwrap();
             // The toy reads no chunks: it answers nothing that could be passed on, and the client is told.
             assert!(answer(&mut client).is_some_and(|(status, ..)| status != 200));
             break;
@@ -247,7 +282,10 @@
     let slow: Vec<_> = (0..10)
         .map(|_| {
             let mut client = place.connect();
-            client.get_mut().write_all((head("/large", "read") + "\r\n").as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all((head("/large", "read") + "\r\n").as_bytes())
+                .unwrap();
             // It reads nothing but the beginning.
             assert!(!client.fill_buf().unwrap().is_empty());
             client
@@ -255,7 +293,10 @@
         .collect();
     let mut quick = place.connect();
     for _ in 0..50 {
-        quick.get_mut().write_all((head("/api", "read") + "\r\n").as_bytes()).unwrap();
+        quick
+            .get_mut()
+            .write_all((head("/api", "read") + "\r\n").as_bytes())
+            .unwrap();
         assert_eq!(answer(&mut quick).unwrap().0, 200);
     }
     for mut client in slow {
@@ -280,7 +321,11 @@
         // Told that its time is over, or closed for another: it ends well before it would leave.
         let mut text = Vec::new();
         let _ = caller.read_to_end(&mut text);
-        assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(&text));
+        assert!(
+            text.is_empty() || text.starts_with(b"HTTP/1.1 408"),
+            "{}",
+            String::from_utf8_lossy(&text)
+        );
     }
     assert_eq!(process.call("GET", "/-/nothing").unwrap().0, 404);
 }
@@ -300,14 +345,21 @@
         ("NODE_ADMIN", "localhost", 2),
         ("NODE_ADMIN", process.admin.as_str(), 1),
     ] {
-        let Output { status: ended, stdout, stderr } = place.command().env(key, value).output().unwrap();
+        let Output {
+            status: ended,
+            stdout,
+            stderr,
+        } = place.command().env(key, value).output().unwrap();
         let log = String::from_utf8(stdout).unwrap() + &String::from_utf8(stderr).unwrap();
         assert_eq!(ended.code(), Some(status), "{key}={value}: {log}");
         assert!(status == 1 || log.contains(key), "{log}");
     }
     process.shows("node.members=3");
     let mut client = place.connect();
-    client.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+    client
+        .get_mut()
+        .write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+        .unwrap();
     assert_eq!(answer(&mut client).unwrap().0, 200);
 }
 
@@ -318,17 +370,40 @@
     let process = place.start();
     let long = "a".repeat(20_000);
     for (text, status) in [
-        ("POST /-/drain HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n".to_owned(), 413),
-        ("POST /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_owned(), 400),
+        (
+            "POST /-/drain HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n".to_owned(),
+            413,
+        ),
+        (
+            "POST /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_owned(),
+            400,
+        ),
         ("noise\r\n\r\n".to_owned(), 400),
-        (format!("GET /-/ready HTTP/1.1\r\nLong: {long}\r\n\r\n"), 431),
-        (format!("POST /-/upstreams/{}/disable HTTP/1.1\r\n\r\n", &long[..5000]), 404),
-        ("PUT /-/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n".to_owned(), 405),
+        (
+            format!("GET /-/ready HTTP/1.1\r\nLong: {long}\r\n\r\n"),
+            431,
+        ),
+        (
+            format!(
+                "POST /-/upstreams/{}/disable HTTP/1.1\r\n\r\n",
+                &long[..5000]
+            ),
+            404,
+        ),
+        (
+            "PUT /-/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            405,
+        ),
     ] {
         let mut caller = connect(&process.admin).unwrap();
         caller.get_mut().write_all(text.as_bytes()).unwrap();
         let (told, close, _) = answer(&mut caller).expect("an answer");
-        assert_eq!((told, close), (status, true), "{}", &text[..40.min(text.len())]);
+        assert_eq!(
+            (told, close),
+            (status, true),
+            "{}",
+            &text[..40.min(text.len())]
+        );
     }
     process.shows("node.pending=0");
 }
--- a/crates/sandtrack-sidecar/tests/races.rs
+++ b/crates/sandtrack-sidecar/tests/races.rs
@@ -33,7 +33,10 @@
         let mut client = sidecar.connect();
         let asked = request("pay", 15_000, &"x".repeat(body));
         send(&mut client, &asked);
-        client.get_ref().set_read_timeout(Some(Duration::from_millis(150))).unwrap();
+        client
+            .get_ref()
+            .set_read_timeout(Some(Duration::from_millis(150)))
+            .unwrap();
         // It is refused at once for as long as the list is on its way: asked again then, as another.
         if client.fill_buf().is_err() {
             client.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
@@ -80,7 +83,10 @@
     watch.pieces(&[&list.as_bytes()[..cut], &list.as_bytes()[cut..]]);
     watch.keep();
     sidecar.warm(&upstream);
-    assert!(discovery.call(Duration::from_millis(200)).is_none(), "the watch holds");
+    assert!(
+        discovery.call(Duration::from_millis(200)).is_none(),
+        "the watch holds"
+    );
 }
 
 /// A sidecar's call after silence waited for a gap that the settings lengthen: here it came after 6.5 s, when all that the
@@ -95,10 +101,22 @@
     sidecar.warm(&upstream);
     watch.fall_silent();
     let silent = Instant::now();
-    let mut again = discovery.call(Duration::from_millis(4500)).expect("a call in time");
-    assert!(silent.elapsed() >= Duration::from_secs(1), "not while an empty line may still come");
+    let mut again = discovery
+        .call(Duration::from_millis(4500))
+        .expect("a call in time");
+    assert!(
+        silent.elapsed() >= Duration::from_secs(1),
+        "not while an empty line may still come"
+    );
     let drained = instance(0, &upstream.address, "DRAINING");
-    again.line(&catalog(2, false, vec![drained, instance(1, &other.address, "SERVING")]).to_string());
+    again.line(
+        &catalog(
+            2,
+            false,
+            vec![drained, instance(1, &other.address, "SERVING")],
+        )
+        .to_string(),
+    );
     again.keep();
     sidecar.warm(&other);
     // Rule 3: what it missed is kept.
@@ -127,9 +145,14 @@
     watch.reset();
     // Turned away twice: it comes again all the same.
     for _ in 0..2 {
-        discovery.call(Duration::from_millis(2000)).expect("a call at once").reset();
+        discovery
+            .call(Duration::from_millis(2000))
+            .expect("a call at once")
+            .reset();
     }
-    let mut again = discovery.call(Duration::from_millis(2000)).expect("a call at once");
+    let mut again = discovery
+        .call(Duration::from_millis(2000))
+        .expect("a call at once");
     again.line(&catalog(2, true, vec![instance(1, &other.address, "SERVING")]).to_string());
     again.keep();
     sidecar.warm(&other);
@@ -145,9 +168,14 @@
         let (sidecar, upstream, _watch) = before_one(&format!("left-unread-{cancel}"), |config| {
             config["settings"]["limits"]["cancel"] = cancel.into();
         });
-        for (class, left_by_reset) in
-            [("read", false), ("set", false), ("pay", false), ("read", true), ("set", true), ("pay", true)]
-        {
+        for (class, left_by_reset) in [
+            ("read", false),
+            ("set", false),
+            ("pay", false),
+            ("read", true),
+            ("set", true),
+            ("pay", true),
+        ] {
             sidecar.stop();
             let mut client = sidecar.connect();
             let left = request(class, 5000, "");
@@ -164,9 +192,13 @@
             let mut client = sidecar.connect();
             let next = request("pay", 5000, "");
             send(&mut client, &next);
-            let got =
-                upstream.next(PATIENCE).unwrap_or_else(|| panic!("not sent: {:?}", answer(&mut client)));
-            assert_eq!(got.id, next.0, "{class}, by reset: {left_by_reset}, cancel: {cancel}");
+            let got = upstream
+                .next(PATIENCE)
+                .unwrap_or_else(|| panic!("not sent: {:?}", answer(&mut client)));
+            assert_eq!(
+                got.id, next.0,
+                "{class}, by reset: {left_by_reset}, cancel: {cancel}"
+            );
             got.answer("served");
             assert_eq!(answer(&mut client).unwrap().0, 200);
             std::thread::sleep(Duration::from_millis(20));
@@ -212,12 +244,19 @@
     let (sidecar, upstream, _watch) = before_one("behind", |_| {});
     let mut client = sidecar.connect();
     let (first, second) = (request("pay", 5000, ""), request("pay", 250, ""));
-    send(&mut client, &(String::new(), format!("{}{}", first.1, second.1)));
+    send(
+        &mut client,
+        &(String::new(), format!("{}{}", first.1, second.1)),
+    );
     let asked = upstream.next(PATIENCE).unwrap();
     std::thread::sleep(Duration::from_millis(350));
     asked.answer("served");
     assert_eq!(answer(&mut client).unwrap().0, 200);
-    assert_eq!(answer(&mut client).unwrap().0, 503, "its time is over: it was never sent");
+    assert_eq!(
+        answer(&mut client).unwrap().0,
+        503,
+        "its time is over: it was never sent"
+    );
     assert!(upstream.next(Duration::from_millis(300)).is_none());
 }
 
@@ -242,7 +281,10 @@
     send(&mut client, &asked);
     let first = upstream.next(PATIENCE).unwrap();
     assert_eq!(first.id, asked.0);
-    let entries = vec![instance(0, &upstream.address, "DRAINING"), instance(1, &late, "SERVING")];
+    let entries = vec![
+        instance(0, &upstream.address, "DRAINING"),
+        instance(1, &late, "SERVING"),
+    ];
     watch.line(&catalog(2, false, entries).to_string());
     std::thread::sleep(Duration::from_millis(100));
     // It may have run, and the other is the only one left.
@@ -251,7 +293,11 @@
     drop(filler);
     let came = comes_late(&listener);
     assert!(!came.contains(&asked.0), "{came}");
-    assert_eq!(answer(&mut client).unwrap().0, 503, "the same key may come again");
+    assert_eq!(
+        answer(&mut client).unwrap().0,
+        503,
+        "the same key may come again"
+    );
 }
 
 /// What listens at an upstream's former address may be anybody: a connection that was on its way there when the list told of
@@ -286,13 +332,19 @@
         let mut client = sidecar.connect();
         let (first, second) = (request("pay", 5000, ""), request("pay", 5000, ""));
         // Behind the first in the same packet, it is taken as soon as that is answered.
-        send(&mut client, &(String::new(), format!("{}{}", first.1, second.1)));
+        send(
+            &mut client,
+            &(String::new(), format!("{}{}", first.1, second.1)),
+        );
         let asked = upstream.next(PATIENCE).unwrap();
         let answered = Instant::now();
         asked.answer("first");
         let next = upstream.next(PATIENCE).unwrap();
         let quick = answered.elapsed() < Duration::from_millis(9);
-        assert!(!quick || next.connection != asked.connection, "the connection had no time to show it");
+        assert!(
+            !quick || next.connection != asked.connection,
+            "the connection had no time to show it"
+        );
         let _ = asked.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst");
         next.answer("second");
         assert_eq!(answer(&mut client).unwrap().2, b"first");
@@ -328,8 +380,9 @@
         send(&mut client, &asked);
         std::thread::sleep(Duration::from_millis(20));
         sidecar.go_on();
-        let got =
-            upstream.next(PATIENCE).unwrap_or_else(|| panic!("{class}: not sent, {:?}", answer(&mut client)));
+        let got = upstream
+            .next(PATIENCE)
+            .unwrap_or_else(|| panic!("{class}: not sent, {:?}", answer(&mut client)));
         assert_eq!(got.id, asked.0);
         got.answer("served");
         assert_eq!(answer(&mut client).unwrap().0, 200, "{class}");
@@ -345,13 +398,22 @@
     send(&mut client, &request("pay", 900, ""));
     let asked = upstream.next(PATIENCE).unwrap();
     let began = Instant::now();
-    asked.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n").unwrap();
+    asked
+        .raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
+        .unwrap();
     let mut got = Vec::new();
     // A reset shows as an error once what came before it is read.
     let _ = client.read_to_end(&mut got);
     let text = String::from_utf8_lossy(&got);
-    assert!(text.contains("200 OK") && text.contains("part") && !text.contains("0\r\n\r\n"), "{text}");
-    assert!(began.elapsed() < Duration::from_millis(2500), "{:?}", began.elapsed());
+    assert!(
+        text.contains("200 OK") && text.contains("part") && !text.contains("0\r\n\r\n"),
+        "{text}"
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(2500),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 // The end.
@@ -373,9 +435,20 @@
     // It hangs there, or is refused where this machine is so slow that its time is seen to be too short.
     let status = answer(&mut client).expect("an answer").0;
     let sent = upstream.next(Duration::ZERO).is_some();
-    assert!(if sent { matches!(status, 502 | 504) } else { status == 503 }, "sent: {sent}, {status}");
+    assert!(
+        if sent {
+            matches!(status, 502 | 504)
+        } else {
+            status == 503
+        },
+        "sent: {sent}, {status}"
+    );
     // Far from the 11 s that it would have had, and near 1.6 s.
-    assert!(began.elapsed() < Duration::from_millis(4000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(4000),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// Stopped just before its last request's time is over, and on again behind that, the process finds both due at once: the answer,
@@ -384,8 +457,11 @@
 #[test]
 fn the_process_does_not_end_before_its_last_answer_is_written() {
     let (discovery, upstream) = (Discovery::start(), Upstream::start());
-    let sidecars = (0..6)
-        .map(|n| Sidecar::start(&format!("last-{n}"), &discovery.address, |config| times(config, 900.0)));
+    let sidecars = (0..6).map(|n| {
+        Sidecar::start(&format!("last-{n}"), &discovery.address, |config| {
+            times(config, 900.0)
+        })
+    });
     let ready = sidecars.map(|sidecar| {
         let watch = discovery.tell(listed(&upstream));
         sidecar.warm(&upstream);
@@ -421,14 +497,27 @@
 #[test]
 fn signals_that_come_while_it_starts_are_kept() {
     let (discovery, upstream) = (Discovery::start(), Upstream::start());
-    for signals in [vec![Signal::HUP], vec![Signal::HUP, Signal::HUP, Signal::TERM, Signal::TERM]] {
+    for signals in [
+        vec![Signal::HUP],
+        vec![Signal::HUP, Signal::HUP, Signal::TERM, Signal::TERM],
+    ] {
         let address = common::free_address(9);
-        let path = std::env::temp_dir().join(format!("sandtrack-races-{}-start.json", std::process::id()));
-        let text = common::config(&address, &discovery.address, catalog(0, true, Vec::new())).to_string();
+        let path =
+            std::env::temp_dir().join(format!("sandtrack-races-{}-start.json", std::process::id()));
+        let text =
+            common::config(&address, &discovery.address, catalog(0, true, Vec::new())).to_string();
         // It waits at a pipe for its configuration.
-        assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
+        assert!(std::process::Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .unwrap()
+            .success());
         let process = Sidecar::spawn(&path);
-        let mut sidecar = Sidecar { process, address, config: path.clone() };
+        let mut sidecar = Sidecar {
+            process,
+            address,
+            config: path.clone(),
+        };
         let mut pipe = std::fs::File::options().write(true).open(&path).unwrap();
         for signal in &signals {
             sidecar.signal(*signal);
--- a/crates/sandtrack-sidecar/tests/reducer.rs
+++ b/crates/sandtrack-sidecar/tests/reducer.rs
@@ -16,7 +16,9 @@
 fn message(side: Side, bytes: &[u8]) -> Message {
     let (mut ring, mut collector) = (Ring::new(http::WRITE_RING), Collector::new(side));
     assert!(ring.push(bytes));
-    let Ok(Some(Taken::Whole(message))) = collector.next(&mut ring) else { panic!("not whole: {bytes:?}") };
+    let Ok(Some(Taken::Whole(message))) = collector.next(&mut ring) else {
+        panic!("not whole: {bytes:?}")
+    };
     assert!(ring.is_empty());
     message
 }
@@ -117,11 +119,21 @@
 
     /// Beside another process, on the socket that both inherited.
     fn beside() -> Self {
-        World::within(Ways { admin: true, inherited: true, ..Ways::default() }, true, |_| ())
+        World::within(
+            Ways {
+                admin: true,
+                inherited: true,
+                ..Ways::default()
+            },
+            true,
+            |_| (),
+        )
     }
 
     fn within(ways: Ways, other_lives: bool, edit: impl FnOnce(&mut Value)) -> Self {
-        let instances = (0..4).map(|n| common::instance(n, &address(n), "SERVING")).collect();
+        let instances = (0..4)
+            .map(|n| common::instance(n, &address(n), "SERVING"))
+            .collect();
         let known = common::catalog(7, true, instances);
         let mut value = common::config("127.0.0.1:1", "127.0.0.1:2", known);
         edit(&mut value);
@@ -184,13 +196,19 @@
         let mut noted = None;
         for effect in effects {
             match effect {
-                Effect::Answer { conn, bytes, close, .. } => self.answered(conn, &bytes, close),
+                Effect::Answer {
+                    conn, bytes, close, ..
+                } => self.answered(conn, &bytes, close),
                 Effect::CloseClient { conn } => {
                     let client = self.clients.get_mut(&conn).expect("an open client");
                     client.closing = true;
                     if let Some(id) = client.call.take() {
                         assert!(client.streaming, "closed with a request unanswered");
-                        self.calls.get_mut(&id).expect("a call").answers.push(CUT_SHORT);
+                        self.calls
+                            .get_mut(&id)
+                            .expect("a call")
+                            .answers
+                            .push(CUT_SHORT);
                     }
                 }
                 Effect::RetireClient { conn } => {
@@ -198,9 +216,19 @@
                 }
                 Effect::Relay { conn, bytes } => {
                     let client = self.clients.get_mut(&conn).expect("an open client");
-                    let call = self.calls.get_mut(&client.call.expect("a call")).expect("a call");
-                    assert!(client.unwritten == 0 && !client.uploading, "one piece at a time");
-                    assert_eq!(bytes.starts_with(b"HTTP/1.1 200"), !client.streaming, "one head, and first");
+                    let call = self
+                        .calls
+                        .get_mut(&client.call.expect("a call"))
+                        .expect("a call");
+                    assert!(
+                        client.unwritten == 0 && !client.uploading,
+                        "one piece at a time"
+                    );
+                    assert_eq!(
+                        bytes.starts_with(b"HTTP/1.1 200"),
+                        !client.streaming,
+                        "one head, and first"
+                    );
                     (client.streaming, client.unwritten, call.begun) = (true, 1, true);
                 }
                 Effect::Begin { conn } => {
@@ -208,10 +236,18 @@
                 }
                 Effect::More { conn } => self.links.get_mut(&conn).expect("a link").paused = false,
                 Effect::Connect { conn, address } => {
-                    let link = Link { address: address.to_string(), ..Link::default() };
+                    let link = Link {
+                        address: address.to_string(),
+                        ..Link::default()
+                    };
                     assert!(self.links.insert(conn, link).is_none());
                 }
-                Effect::Write { conn, bytes, streamed, more } => self.written(conn, &bytes, streamed, more),
+                Effect::Write {
+                    conn,
+                    bytes,
+                    streamed,
+                    more,
+                } => self.written(conn, &bytes, streamed, more),
                 Effect::Pass { conn, bytes, last } => self.passed(conn, &bytes, last),
                 Effect::MoreClient { conn } => {
                     let client = self.clients.get_mut(&conn).expect("an open client");
@@ -220,12 +256,23 @@
                         "one at a time"
                     );
                 }
-                Effect::CloseUpstream { conn } => self.links.get_mut(&conn).expect("a link").closing = true,
+                Effect::CloseUpstream { conn } => {
+                    self.links.get_mut(&conn).expect("a link").closing = true
+                }
                 Effect::Withdraw { conn } => {
-                    let carries = self.links[&conn].carries.expect("only what was ordered is withdrawn");
-                    assert!(self.calls[&carries].client_left, "only if its client has left");
+                    let carries = self.links[&conn]
+                        .carries
+                        .expect("only what was ordered is withdrawn");
+                    assert!(
+                        self.calls[&carries].client_left,
+                        "only if its client has left"
+                    );
                 }
-                Effect::Watch { call, address, after } => {
+                Effect::Watch {
+                    call,
+                    address,
+                    after,
+                } => {
                     assert!(self.watch.is_none(), "one watch at a time");
                     assert_eq!(address.to_string(), self.discovery);
                     assert_eq!(after, Some(self.generation).filter(|_| !self.asked_for_all));
@@ -239,7 +286,10 @@
                     let answer = message(Side::Response, &bytes);
                     assert!(!answer.head.keep_alive, "one call a connection");
                     let text = String::from_utf8(answer.body).expect("text");
-                    assert!(self.told.insert(conn, (answer.head.status, text)).is_none(), "one answer");
+                    assert!(
+                        self.told.insert(conn, (answer.head.status, text)).is_none(),
+                        "one answer"
+                    );
                 }
                 Effect::CloseAdmin { conn } => assert!(self.sent_off.insert(conn), "closed once"),
                 Effect::Change { conn, change } => noted = Some((conn, change)),
@@ -251,11 +301,19 @@
         }
         while let Some((conn, whole)) = self.wrote.pop() {
             if self.links.contains_key(&conn) {
-                self.feed(if whole { Input::UpstreamWrote { conn } } else { Input::UpstreamTook { conn } });
+                self.feed(if whole {
+                    Input::UpstreamWrote { conn }
+                } else {
+                    Input::UpstreamTook { conn }
+                });
             }
         }
         if let Some((conn, change)) = noted {
-            let noted = self.handover.change(change).cloned().map_err(|error| error.to_string());
+            let noted = self
+                .handover
+                .change(change)
+                .cloned()
+                .map_err(|error| error.to_string());
             self.feed(Input::Changed { conn, noted });
         }
     }
@@ -273,7 +331,10 @@
         assert_eq!(answer.head.keep_alive, !close);
         let client = self.clients.get_mut(&conn).expect("an open client");
         client.closing |= close;
-        assert!(close || !client.uploading, "the rest of a body would be read as a request");
+        assert!(
+            close || !client.uploading,
+            "the rest of a body would be read as a request"
+        );
         client.uploading = false;
         let Some(id) = client.call.take() else {
             assert!(client.half && close, "an answer without a request");
@@ -284,7 +345,11 @@
         call.answers.push(answer.head.status);
         assert_eq!(call.answers.len(), 1, "more than one answer");
         if answer.head.status == 200 && call.class != "bad" && call.class != "health" {
-            assert_eq!(answer.body, id.to_string().as_bytes(), "served with another request's answer");
+            assert_eq!(
+                answer.body,
+                id.to_string().as_bytes(),
+                "served with another request's answer"
+            );
         }
         if matches!(answer.head.status, 429 | 503) && call.class == "pay" {
             assert_eq!(call.may_have_run, 0, "refused though it may have run");
@@ -300,7 +365,10 @@
         assert!(more || message(Side::Request, bytes).head == head);
         let link = self.links.get_mut(&conn).expect("a link");
         link.streamed = streamed;
-        assert!(link.up && !link.closing && link.carries.is_none(), "one request at a time, on an open one");
+        assert!(
+            link.up && !link.closing && link.carries.is_none(),
+            "one request at a time, on an open one"
+        );
         link.begun += 1;
         link.asking = more;
         let Some(id) = head.headers.get("X-Call-Id") else {
@@ -309,13 +377,28 @@
         };
         let id: u64 = id.parse().expect("the client's id");
         link.carries = Some(id);
-        assert!(!self.draining.contains(&link.address), "sent to one that drains or is gone");
-        assert!(!self.out.contains(&link.address), "sent to one that is out by hand");
+        assert!(
+            !self.draining.contains(&link.address),
+            "sent to one that drains or is gone"
+        );
+        assert!(
+            !self.out.contains(&link.address),
+            "sent to one that is out by hand"
+        );
         let call = self.calls.get_mut(&id).expect("a call");
-        assert!(call.answers.is_empty() && !call.client_left, "sent for a closed request");
-        assert!(call.class != "pay" || call.may_have_run == 0, "an unsafe request sent twice");
+        assert!(
+            call.answers.is_empty() && !call.client_left,
+            "sent for a closed request"
+        );
+        assert!(
+            call.class != "pay" || call.may_have_run == 0,
+            "an unsafe request sent twice"
+        );
         call.may_have_run += usize::from(!more);
-        assert!(!std::mem::replace(&mut call.taken, more), "a body sent twice");
+        assert!(
+            !std::mem::replace(&mut call.taken, more),
+            "a body sent twice"
+        );
         self.wrote.push((conn, !more));
     }
 
@@ -327,8 +410,14 @@
         }
         assert!(link.asking, "a piece of nothing");
         link.asking = !last;
-        let call = self.calls.get_mut(&link.carries.expect("a call")).expect("a call");
-        assert!(call.answers.is_empty() && !call.client_left, "sent for a closed request");
+        let call = self
+            .calls
+            .get_mut(&link.carries.expect("a call"))
+            .expect("a call");
+        assert!(
+            call.answers.is_empty() && !call.client_left,
+            "sent for a closed request"
+        );
         call.body.extend(bytes);
         call.may_have_run += usize::from(last);
         self.wrote.push((conn, last));
@@ -337,12 +426,23 @@
     /// The head of a request whose body follows in pieces.
     fn upload(&mut self, conn: ConnId, class: &str, budget: u32, length: Option<usize>) -> u64 {
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { class: class.to_owned(), ..Call::default() });
+        self.calls.insert(
+            id,
+            Call {
+                class: class.to_owned(),
+                ..Call::default()
+            },
+        );
         let client = self.clients.get_mut(&conn).expect("a client");
         (client.call, client.half, client.uploading) = (Some(id), false, true);
-        let key = if class == "set" { "Idempotency-Key: k\r\n" } else { "" };
-        let framing =
-            length.map_or("Transfer-Encoding: chunked".to_owned(), |l| format!("Content-Length: {l}"));
+        let key = if class == "set" {
+            "Idempotency-Key: k\r\n"
+        } else {
+            ""
+        };
+        let framing = length.map_or("Transfer-Encoding: chunked".to_owned(), |l| {
+            format!("Content-Length: {l}")
+        });
         let text = format!(
             "POST /api HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
              X-Budget-Ms: {budget}\r\n{key}{framing}\r\n\r\n"
@@ -352,7 +452,12 @@
         let Ok(Some(Part::Head(head))) = Parser::new(Side::Request).next(&mut ring) else {
             panic!("no head")
         };
-        self.feed(Input::ClientFlows { conn, at: self.now, head, length });
+        self.feed(Input::ClientFlows {
+            conn,
+            at: self.now,
+            head,
+            length,
+        });
         id
     }
 
@@ -363,7 +468,12 @@
             return false;
         }
         client.uploading = !last;
-        self.feed(Input::ClientPiece { conn, at: self.now, bytes: bytes.to_vec(), last });
+        self.feed(Input::ClientPiece {
+            conn,
+            at: self.now,
+            bytes: bytes.to_vec(),
+            last,
+        });
         true
     }
 
@@ -390,11 +500,21 @@
 
     fn request(&mut self, conn: ConnId, class: &str, budget: u32) -> u64 {
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { class: class.to_owned(), ..Call::default() });
+        self.calls.insert(
+            id,
+            Call {
+                class: class.to_owned(),
+                ..Call::default()
+            },
+        );
         let client = self.clients.get_mut(&conn).expect("a client");
         (client.call, client.half) = (Some(id), false);
         let (method, key, body) = match class {
-            "set" => ("POST", "Idempotency-Key: k\r\n", "Content-Length: 2\r\n\r\nhi"),
+            "set" => (
+                "POST",
+                "Idempotency-Key: k\r\n",
+                "Content-Length: 2\r\n\r\nhi",
+            ),
             "pay" => ("POST", "", "Content-Length: 2\r\n\r\nhi"),
             _ => ("GET", "", "\r\n"),
         };
@@ -403,7 +523,11 @@
              X-Budget-Ms: {budget}\r\n{key}{body}"
         );
         let message = message(Side::Request, text.as_bytes());
-        self.feed(Input::ClientRequest { conn, at: self.now, message });
+        self.feed(Input::ClientRequest {
+            conn,
+            at: self.now,
+            message,
+        });
         id
     }
 
@@ -421,7 +545,10 @@
 
     /// No: it is not known (any more).
     fn take_out(&mut self, number: usize) -> bool {
-        let known = self.staff("POST", &format!("/-/upstreams/s-{number}/disable")).0 == 200;
+        let known = self
+            .staff("POST", &format!("/-/upstreams/s-{number}/disable"))
+            .0
+            == 200;
         if known {
             self.out.insert(address(number));
         }
@@ -429,8 +556,14 @@
     }
 
     fn take_back(&mut self, number: usize) -> bool {
-        let known = self.staff("POST", &format!("/-/upstreams/s-{number}/enable")).0 == 200;
-        assert!(known || !self.out.contains(&address(number)), "what is out can be taken back");
+        let known = self
+            .staff("POST", &format!("/-/upstreams/s-{number}/enable"))
+            .0
+            == 200;
+        assert!(
+            known || !self.out.contains(&address(number)),
+            "what is out can be taken back"
+        );
         self.out.remove(&address(number));
         known
     }
@@ -438,10 +571,20 @@
     fn health(&mut self) -> u16 {
         let conn = self.open();
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { class: "health".to_owned(), ..Call::default() });
+        self.calls.insert(
+            id,
+            Call {
+                class: "health".to_owned(),
+                ..Call::default()
+            },
+        );
         self.clients.get_mut(&conn).expect("a client").call = Some(id);
         let message = message(Side::Request, b"GET /_health HTTP/1.1\r\n\r\n");
-        self.feed(Input::ClientRequest { conn, at: self.now, message });
+        self.feed(Input::ClientRequest {
+            conn,
+            at: self.now,
+            message,
+        });
         let status = self.calls[&id].answers[0];
         self.leave(conn);
         status
@@ -451,8 +594,13 @@
     fn figure(&mut self, name: &str) -> u64 {
         let (status, text) = self.staff("GET", "/-/metrics");
         assert_eq!(status, 200);
-        let mut lines = text.lines().filter_map(|line| line.strip_prefix("node.")?.split_once('='));
-        lines.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok()).expect("the figure")
+        let mut lines = text
+            .lines()
+            .filter_map(|line| line.strip_prefix("node.")?.split_once('='));
+        lines
+            .find(|(key, _)| *key == name)
+            .and_then(|(_, value)| value.parse().ok())
+            .expect("the figure")
     }
 
     /// Probes are answered within half a millisecond all the while.
@@ -478,13 +626,23 @@
 
     fn bad_request(&mut self, conn: ConnId, edit: (&str, &str)) -> u16 {
         let id = self.calls.len() as u64 + 1;
-        self.calls.insert(id, Call { class: "bad".to_owned(), ..Call::default() });
+        self.calls.insert(
+            id,
+            Call {
+                class: "bad".to_owned(),
+                ..Call::default()
+            },
+        );
         self.clients.get_mut(&conn).expect("a client").call = Some(id);
         let text = "POST /api HTTP/1.1\r\nX-Call-Id: 5\r\nX-Call-Class: set\r\nX-Caller: acme\r\n\
              X-Budget-Ms: 400\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n";
         assert!(text.contains(edit.0));
         let message = message(Side::Request, text.replace(edit.0, edit.1).as_bytes());
-        self.feed(Input::ClientRequest { conn, at: self.now, message });
+        self.feed(Input::ClientRequest {
+            conn,
+            at: self.now,
+            message,
+        });
         self.calls[&id].answers[0]
     }
 
@@ -512,8 +670,12 @@
 
     /// The clients have written what was passed on to them.
     fn relayed(&mut self) {
-        let written: Vec<ConnId> =
-            self.clients.iter().filter(|(_, c)| c.unwritten > 0).map(|(c, _)| *c).collect();
+        let written: Vec<ConnId> = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.unwritten > 0)
+            .map(|(c, _)| *c)
+            .collect();
         for conn in written {
             self.clients.get_mut(&conn).expect("a client").unwritten = 0;
             self.feed(Input::ClientWrote { conn });
@@ -528,17 +690,37 @@
         }
         if !std::mem::replace(&mut link.streaming, true) {
             link.paused = true;
-            let (mut ring, mut collector) = (Ring::new(http::WRITE_RING), Collector::new(Side::Response));
+            let (mut ring, mut collector) =
+                (Ring::new(http::WRITE_RING), Collector::new(Side::Response));
             collector.streamed = true;
-            assert!(ring.push(&http::response_head(200, std::iter::empty(), http::Flow::Chunks, false)));
-            let Ok(Some(Taken::Begun { head, .. })) = collector.next(&mut ring) else { panic!("no head") };
-            self.feed(Input::UpstreamBegan { conn, at: self.now, head, length: None });
+            assert!(ring.push(&http::response_head(
+                200,
+                std::iter::empty(),
+                http::Flow::Chunks,
+                false
+            )));
+            let Ok(Some(Taken::Begun { head, .. })) = collector.next(&mut ring) else {
+                panic!("no head")
+            };
+            self.feed(Input::UpstreamBegan {
+                conn,
+                at: self.now,
+                head,
+                length: None,
+            });
         } else if over {
             (link.streaming, link.carries) = (false, None);
-            self.feed(Input::UpstreamOver { conn, at: self.now, keep_alive: true });
+            self.feed(Input::UpstreamOver {
+                conn,
+                at: self.now,
+                keep_alive: true,
+            });
         } else {
             link.paused = true;
-            self.feed(Input::UpstreamPiece { conn, bytes: b"piece".to_vec() });
+            self.feed(Input::UpstreamPiece {
+                conn,
+                bytes: b"piece".to_vec(),
+            });
         }
     }
 
@@ -547,17 +729,25 @@
         let link = self.links.get_mut(&conn).expect("a link");
         if link.asking {
             // Ahead of the request's end: it can't be an answer to it.
-            let Some(call) = link.carries.take().and_then(|id| self.calls.get_mut(&id)) else { return };
+            let Some(call) = link.carries.take().and_then(|id| self.calls.get_mut(&id)) else {
+                return;
+            };
             link.asking = false;
             call.early = true;
             let bytes = http::response(status, std::iter::empty(), b"early", true);
             let message = message(Side::Response, &bytes);
-            return self.feed(Input::UpstreamAnswered { conn, at: self.now, message });
+            return self.feed(Input::UpstreamAnswered {
+                conn,
+                at: self.now,
+                message,
+            });
         }
         if link.streaming || status == 200 && link.streamed && link.carries.is_some() {
             return self.stream(conn, close);
         }
-        let Some(id) = link.carries.take().filter(|_| !link.closing) else { return };
+        let Some(id) = link.carries.take().filter(|_| !link.closing) else {
+            return;
+        };
         let (mut headers, mut body) = (Vec::new(), id.to_string());
         if rejected {
             headers.push(("X-Rejected", "1"));
@@ -570,14 +760,23 @@
         }
         let bytes = http::response(status, headers.into_iter(), body.as_bytes(), close);
         let message = message(Side::Response, &bytes);
-        self.feed(Input::UpstreamAnswered { conn, at: self.now, message });
+        self.feed(Input::UpstreamAnswered {
+            conn,
+            at: self.now,
+            message,
+        });
     }
 
     /// The connection ends; `unwritten`: before the last byte of what it carries was written.
     fn ends(&mut self, conn: ConnId, unwritten: bool) {
-        let Some(link) = self.links.remove(&conn) else { return };
+        let Some(link) = self.links.remove(&conn) else {
+            return;
+        };
         let busy = link.carries.filter(|_| !link.closing && !link.streaming);
-        let mut written = Written { begun: link.begun, whole: link.begun };
+        let mut written = Written {
+            begun: link.begun,
+            whole: link.begun,
+        };
         if link.asking {
             written.whole -= 1;
         } else if let Some(id) = busy.filter(|_| unwritten) {
@@ -593,7 +792,9 @@
     }
 
     fn told(&mut self, number: usize, lifecycle: &str, started: f64) {
-        let Some(call) = self.watch.filter(|_| !self.asked_for_all) else { return };
+        let Some(call) = self.watch.filter(|_| !self.asked_for_all) else {
+            return;
+        };
         self.generation += 1;
         let mut instance = common::instance(number, &address(number), lifecycle);
         instance["startedAtMs"] = started.into();
@@ -613,15 +814,27 @@
             (self.discovery, self.asked_for_all) = (discovery.clone(), true);
         }
         let discovery = Some(discovery.parse().expect("an address"));
-        self.feed(Input::Reload { discovery, settings: None });
+        self.feed(Input::Reload {
+            discovery,
+            settings: None,
+        });
     }
 
     /// SIGHUP: the settings are others.
     fn adopt(&mut self, edit: impl FnOnce(&mut Value)) {
-        let mut value = common::config("127.0.0.1:1", "127.0.0.1:2", common::catalog(7, true, vec![]));
+        let mut value = common::config(
+            "127.0.0.1:1",
+            "127.0.0.1:2",
+            common::catalog(7, true, vec![]),
+        );
         edit(&mut value["settings"]);
-        let checked = config::parse(value.to_string().as_bytes()).expect("a configuration").checked;
-        self.feed(Input::Reload { discovery: None, settings: Some(Box::new(checked)) });
+        let checked = config::parse(value.to_string().as_bytes())
+            .expect("a configuration")
+            .checked;
+        self.feed(Input::Reload {
+            discovery: None,
+            settings: Some(Box::new(checked)),
+        });
     }
 
     fn watch_ends(&mut self) {
@@ -632,18 +845,33 @@
 
     /// What is ordered closed ends.
     fn close_all_ordered(&mut self) {
-        let links: Vec<ConnId> = self.links.iter().filter(|(_, l)| l.closing).map(|(c, _)| *c).collect();
+        let links: Vec<ConnId> = self
+            .links
+            .iter()
+            .filter(|(_, l)| l.closing)
+            .map(|(c, _)| *c)
+            .collect();
         links.into_iter().for_each(|conn| self.ends(conn, false));
-        let over =
-            |client: &Client| client.closing || client.retired && client.call.is_none() && !client.half;
-        let clients: Vec<ConnId> = self.clients.iter().filter(|(_, c)| over(c)).map(|(c, _)| *c).collect();
+        let over = |client: &Client| {
+            client.closing || client.retired && client.call.is_none() && !client.half
+        };
+        let clients: Vec<ConnId> = self
+            .clients
+            .iter()
+            .filter(|(_, c)| over(c))
+            .map(|(c, _)| *c)
+            .collect();
         clients.into_iter().for_each(|conn| self.leave(conn));
     }
 
     /// All links that carry a request of a client.
     fn carrying(&self) -> Vec<ConnId> {
         let carries = |link: &Link| !link.closing && link.carries.is_some_and(|id| id > 0);
-        self.links.iter().filter(|(_, link)| carries(link)).map(|(conn, _)| *conn).collect()
+        self.links
+            .iter()
+            .filter(|(_, link)| carries(link))
+            .map(|(conn, _)| *conn)
+            .collect()
     }
 
     /// Probes are answered and connections come up until nothing of that is left to do.
@@ -703,7 +931,11 @@
     fn end(&mut self) {
         self.pass(1000.0);
         // A client that sends no more of its body is waited for a little longer.
-        if self.clients.values().any(|client| client.uploading && !client.closing) {
+        if self
+            .clients
+            .values()
+            .any(|client| client.uploading && !client.closing)
+        {
             self.pass(4000.0);
             self.pass(1000.0);
         }
@@ -789,7 +1021,9 @@
 }
 
 fn nth<T>(map: &BTreeMap<ConnId, T>, which: u8) -> Option<ConnId> {
-    map.keys().nth(usize::from(which) % map.len().max(1)).copied()
+    map.keys()
+        .nth(usize::from(which) % map.len().max(1))
+        .copied()
 }
 
 fn run(world: &mut World, step: Step) {
@@ -797,10 +1031,16 @@
         Step::Pass(time) => world.pass(f64::from(time)),
         Step::Open => drop(world.open()),
         Step::Request(which, class, budget) => {
-            let Some(conn) = nth(&world.clients, which) else { return };
+            let Some(conn) = nth(&world.clients, which) else {
+                return;
+            };
             let client = &world.clients[&conn];
             if client.call.is_none() && !client.closing {
-                world.request(conn, ["read", "set", "pay", "feed"][usize::from(class)], budget.into());
+                world.request(
+                    conn,
+                    ["read", "set", "pay", "feed"][usize::from(class)],
+                    budget.into(),
+                );
             }
         }
         Step::Half(which) => {
@@ -809,12 +1049,21 @@
             }
         }
         Step::Partly(which) | Step::Spoilt(which) => {
-            let Some(conn) = nth(&world.links, which) else { return };
+            let Some(conn) = nth(&world.links, which) else {
+                return;
+            };
             let link = &world.links[&conn];
             if link.carries.is_some() && !link.streaming && !link.asking {
                 let spoilt = matches!(step, Step::Spoilt(_));
-                let part = Input::UpstreamPartly { conn, open: which % 2 == 0 };
-                world.feed(if spoilt { Input::UpstreamSpoilt { conn } } else { part });
+                let part = Input::UpstreamPartly {
+                    conn,
+                    open: which % 2 == 0,
+                };
+                world.feed(if spoilt {
+                    Input::UpstreamSpoilt { conn }
+                } else {
+                    part
+                });
             }
         }
         Step::Leave(which) => {
@@ -828,7 +1077,9 @@
             }
         }
         Step::Serve(which, how) => {
-            let Some(conn) = nth(&world.links, which) else { return };
+            let Some(conn) = nth(&world.links, which) else {
+                return;
+            };
             let probe = world.links[&conn].carries == Some(0);
             match how {
                 0 => world.serve(conn, 500, false, false),
@@ -857,11 +1108,17 @@
         // The unsafe class keeps what it is by its name, so that the stand-in can tell; all else moves about it.
         Step::Adopt(which) => world.adopt(|settings| match which {
             1 => {
-                settings["classes"].as_array_mut().expect("classes").reverse();
+                settings["classes"]
+                    .as_array_mut()
+                    .expect("classes")
+                    .reverse();
                 settings["orgs"].as_array_mut().expect("tenants").reverse();
             }
             2 => {
-                settings["classes"].as_array_mut().expect("classes").drain(..1);
+                settings["classes"]
+                    .as_array_mut()
+                    .expect("classes")
+                    .drain(..1);
                 settings["orgs"].as_array_mut().expect("tenants").drain(..1);
                 settings["limits"]["parallel-tries"] = false.into();
                 settings["limits"]["cancel"] = false.into();
@@ -879,11 +1136,18 @@
             _ => {}
         }),
         Step::Upload(which, class, budget, chunks) => {
-            let Some(conn) = nth(&world.clients, which) else { return };
+            let Some(conn) = nth(&world.clients, which) else {
+                return;
+            };
             let client = &world.clients[&conn];
             if client.call.is_none() && !client.closing {
                 let length = Some(100_000).filter(|_| !chunks);
-                world.upload(conn, ["set", "pay"][usize::from(class)], budget.into(), length);
+                world.upload(
+                    conn,
+                    ["set", "pay"][usize::from(class)],
+                    budget.into(),
+                    length,
+                );
             }
         }
         Step::Piece(which, last) => {
@@ -892,7 +1156,9 @@
             }
         }
         Step::Flow(which, over) => {
-            let Some(conn) = nth(&world.links, which) else { return };
+            let Some(conn) = nth(&world.links, which) else {
+                return;
+            };
             let link = &world.links[&conn];
             if link.carries.is_some_and(|id| id > 0) && !link.asking {
                 world.relayed();
@@ -995,10 +1261,22 @@
         (("X-Budget-Ms: 400", "X-Budget-Ms: nan"), 400),
         (("X-Call-Id: 5\r\n", ""), 400),
         (("Idempotency-Key: k\r\n", ""), 400),
-        (("Idempotency-Key: k\r\n", "Idempotency-Key: k\r\nIdempotency-Key: l\r\n"), 400),
-        (("X-Call-Id: 5\r\n", "X-Call-Id: 5\r\nX-Call-Id: 6\r\n"), 400),
+        (
+            (
+                "Idempotency-Key: k\r\n",
+                "Idempotency-Key: k\r\nIdempotency-Key: l\r\n",
+            ),
+            400,
+        ),
+        (
+            ("X-Call-Id: 5\r\n", "X-Call-Id: 5\r\nX-Call-Id: 6\r\n"),
+            400,
+        ),
         (("X-Budget-Ms: 400", "X-Budget-Ms: +400"), 400),
-        (("X-Budget-Ms: 400", "X-Budget-Ms: 99999999999999999999"), 400),
+        (
+            ("X-Budget-Ms: 400", "X-Budget-Ms: 99999999999999999999"),
+            400,
+        ),
         (("POST /api", "CONNECT /api"), 405),
         // The method follows from the class.
         (("POST /api", "GET /api"), 405),
@@ -1039,8 +1317,10 @@
         world.request(conn, "read", 800);
         for _ in 0..20 {
             let links: Vec<ConnId> = world.links.keys().copied().collect();
-            for conn in
-                links.into_iter().filter(|conn| world.links[conn].carries == Some(0)).collect::<Vec<_>>()
+            for conn in links
+                .into_iter()
+                .filter(|conn| world.links[conn].carries == Some(0))
+                .collect::<Vec<_>>()
             {
                 if world.links[&conn].address != far {
                     world.serve(conn, 200, false, false);
@@ -1099,7 +1379,10 @@
             world.pass(0.5);
             world.calm();
         }
-        world.carrying().into_iter().for_each(|conn| world.serve(conn, 200, false, false));
+        world
+            .carrying()
+            .into_iter()
+            .for_each(|conn| world.serve(conn, 200, false, false));
         let places = world.links.values().map(|link| link.address.clone());
         let mut count: BTreeMap<String, usize> = BTreeMap::new();
         places.for_each(|address| *count.entry(address).or_default() += 1);
@@ -1107,7 +1390,13 @@
             break address;
         }
     };
-    let open = |world: &World| world.links.values().filter(|l| l.address == doubled && !l.closing).count();
+    let open = |world: &World| {
+        world
+            .links
+            .values()
+            .filter(|l| l.address == doubled && !l.closing)
+            .count()
+    };
     // From now on it answers no probe, and no new connection comes up.
     for _ in 0..200 {
         world.pass(50.0);
@@ -1128,7 +1417,11 @@
     world.calm();
     let (_, link) = world.sent(clients[0], "read", 800);
     let refused = world.request(clients[1], "read", 800);
-    assert_eq!(world.calls[&refused].answers, [503], "the ten that it may hold are taken");
+    assert_eq!(
+        world.calls[&refused].answers,
+        [503],
+        "the ten that it may hold are taken"
+    );
     world.serve(link, 200, false, false);
     world.served(clients[2], "read", 800);
     world.end();
@@ -1178,7 +1471,11 @@
         let (_, link) = world.sent(conn, "read", 400);
         world.serve(link, 200, false, false);
         world.close_all_ordered();
-        assert!(world.clients.len() < third / 2 + 2, "{}", world.clients.len());
+        assert!(
+            world.clients.len() < third / 2 + 2,
+            "{}",
+            world.clients.len()
+        );
     }
     // Those that are all busy at once are closed as they come to rest.
     let conns: Vec<ConnId> = (0..third).map(|_| world.open()).collect();
@@ -1219,7 +1516,10 @@
     assert!(!world.clients[&silent].retired);
     world.pass(1300.0);
     assert!(world.clients[&silent].retired && !world.clients[&served].retired);
-    assert!(world.clients[&half].closing, "from the opening on, however late its bytes come");
+    assert!(
+        world.clients[&half].closing,
+        "from the opening on, however late its bytes come"
+    );
     world.pass(1000.0);
     assert!(world.clients[&served].retired);
     world.close_all_ordered();
@@ -1245,9 +1545,15 @@
         for stalls in [false, true] {
             let (id, link) = world.sent(conn, class, 800);
             if stalls {
-                world.feed(Input::UpstreamPartly { conn: link, open: false });
+                world.feed(Input::UpstreamPartly {
+                    conn: link,
+                    open: false,
+                });
                 world.pass(99.0);
-                assert!(!world.links[&link].closing, "the rest is given the time of a connect");
+                assert!(
+                    !world.links[&link].closing,
+                    "the rest is given the time of a connect"
+                );
                 world.pass(2.0);
             } else {
                 world.feed(Input::UpstreamSpoilt { conn: link });
@@ -1260,7 +1566,11 @@
             for link in world.carrying() {
                 world.serve(link, 200, false, false);
             }
-            assert_eq!(world.calls[&id].answers, [status], "{class}: once only where a repeat may do harm");
+            assert_eq!(
+                world.calls[&id].answers,
+                [status],
+                "{class}: once only where a repeat may do harm"
+            );
         }
     }
     world.end();
@@ -1272,13 +1582,20 @@
     let (mut world, conn) = World::warm();
     for _ in 0..20 {
         world.pass(30.0);
-        let probes = world.links.iter().filter(|(_, link)| link.carries == Some(0) && !link.closing);
+        let probes = world
+            .links
+            .iter()
+            .filter(|(_, link)| link.carries == Some(0) && !link.closing);
         let probes: Vec<ConnId> = probes.map(|(link, _)| *link).collect();
         for link in probes {
             world.links.get_mut(&link).expect("a link").carries = None;
             let bytes = http::response(200, std::iter::empty(), b"inflight=9999,queue=-1", false);
             let message = message(Side::Response, &bytes);
-            world.feed(Input::UpstreamAnswered { conn: link, at: world.now, message });
+            world.feed(Input::UpstreamAnswered {
+                conn: link,
+                at: world.now,
+                message,
+            });
         }
     }
     // Taken at their word, all upstreams would be full.
@@ -1305,7 +1622,10 @@
     world.close_all_ordered();
     world.pass(60.0);
     let late = world.open();
-    assert!(world.clients[&silent[0]].retired && !world.clients[&silent[1]].retired, "the eldest makes room");
+    assert!(
+        world.clients[&silent[0]].retired && !world.clients[&silent[1]].retired,
+        "the eldest makes room"
+    );
     world.close_all_ordered();
     world.served(late, "read", 400);
 }
@@ -1317,7 +1637,10 @@
     let (_, link) = world.sent(conn, "read", 400);
     world.serve(link, 200, false, false);
     world.feed(Input::Terminate);
-    assert!(!world.clients[&conn].retired, "its next answer tells it, which nothing can cross");
+    assert!(
+        !world.clients[&conn].retired,
+        "its next answer tells it, which nothing can cross"
+    );
     world.pass(700.0);
     assert!(world.clients[&conn].retired);
     world.served(conn, "read", 400);
@@ -1386,11 +1709,18 @@
 fn what_an_idle_connection_never_began_goes_out_on_a_new_one() {
     let (mut world, conn) = World::warm();
     let (id, link) = world.sent(conn, "pay", 400);
-    assert!(world.links[&link].begun > 1, "it goes out on the connection of a probe");
+    assert!(
+        world.links[&link].begun > 1,
+        "it goes out on the connection of a probe"
+    );
     world.ends(link, true);
     world.calm();
     let again = world.carrying();
-    assert_eq!((again.len(), world.links[&again[0]].begun), (1, 1), "on a new connection");
+    assert_eq!(
+        (again.len(), world.links[&again[0]].begun),
+        (1, 1),
+        "on a new connection"
+    );
     world.serve(again[0], 200, false, false);
     assert_eq!(world.calls[&id].answers, [200]);
 }
@@ -1418,7 +1748,11 @@
     world.calm();
     assert!(world.carrying().is_empty());
     world.pass(500.0);
-    assert_eq!(world.calls[&id].answers, [503], "it never ran: a retry is harmless");
+    assert_eq!(
+        world.calls[&id].answers,
+        [503],
+        "it never ran: a retry is harmless"
+    );
 }
 
 /// Where nothing may be cancelled, an attempt outlives its request: it was written when its connection came up.
@@ -1439,7 +1773,9 @@
     let (mut world, _) = World::warm();
     for _ in 0..5 {
         world.pass(2000.0);
-        world.feed(Input::WatchBeat { call: world.watch.expect("watching") });
+        world.feed(Input::WatchBeat {
+            call: world.watch.expect("watching"),
+        });
         world.close_all_ordered();
     }
     assert_eq!(world.watches, 1, "an empty line every 2 s keeps it");
@@ -1457,7 +1793,9 @@
     let (mut world, _) = World::warm();
     world.adopt(|settings| settings["rules"]["ask-within"] = 60_000.0.into());
     world.pass(2000.0);
-    world.feed(Input::WatchBeat { call: world.watch.expect("watching") });
+    world.feed(Input::WatchBeat {
+        call: world.watch.expect("watching"),
+    });
     world.pass(2000.0);
     world.watch_ends();
     world.pass(250.0);
@@ -1465,7 +1803,10 @@
     // That call fails: a twentieth of `ask-within` goes by at least.
     world.watch_ends();
     world.pass(2500.0);
-    assert_eq!(world.watches, 2, "a discovery that is down is not asked over and over");
+    assert_eq!(
+        world.watches, 2,
+        "a discovery that is down is not asked over and over"
+    );
     world.pass(2000.0);
     assert_eq!(world.watches, 3);
 }
@@ -1505,7 +1846,12 @@
             settings["orgs"][0]["name"] = "other".into();
         },
         // Its place goes to one that may be repeated.
-        |settings| settings["classes"].as_array_mut().expect("classes").reverse(),
+        |settings| {
+            settings["classes"]
+                .as_array_mut()
+                .expect("classes")
+                .reverse()
+        },
     ];
     for edit in edits {
         let (mut world, conn) = World::warm();
@@ -1514,7 +1860,11 @@
         world.adopt(|_| ());
         world.adopt(edit);
         world.serve(link, 500, false, false);
-        assert_eq!(world.calls[&id].answers, [502], "it may have run, and is neither repeated nor refused");
+        assert_eq!(
+            world.calls[&id].answers,
+            [502],
+            "it may have run, and is neither repeated nor refused"
+        );
         // And back, by the same step: all is as it was.
         world.adopt(|_| ());
         world.served(conn, "pay", 400);
@@ -1532,10 +1882,18 @@
     world.served(conn, "fetch", 400);
     world.adopt(|settings| settings["orgs"][0]["name"] = "other".into());
     let strange = world.request(conn, "read", 400);
-    assert_eq!(world.calls[&strange].answers, [400], "its tenant is not known any more");
+    assert_eq!(
+        world.calls[&strange].answers,
+        [400],
+        "its tenant is not known any more"
+    );
     world.adopt(|settings| settings["classes"][1]["effect"] = "repeatable".into());
     let other = world.request(conn, "set", 400);
-    assert_eq!(world.calls[&other].answers, [405], "under its name other terms count now");
+    assert_eq!(
+        world.calls[&other].answers,
+        [405],
+        "under its name other terms count now"
+    );
     world.adopt(|_| ());
     world.served(conn, "read", 400);
     world.end();
@@ -1548,7 +1906,12 @@
     let (id, link) = world.sent(conn, "set", 400);
     (0..3).for_each(|number| world.told(number, "DRAINING", 0.0));
     world.watch_ends();
-    world.adopt(|settings| settings["classes"].as_array_mut().expect("classes").reverse());
+    world.adopt(|settings| {
+        settings["classes"]
+            .as_array_mut()
+            .expect("classes")
+            .reverse()
+    });
     world.feed(Input::Terminate);
     world.adopt(|_| ());
     world.serve(link, 200, false, false);
@@ -1566,11 +1929,17 @@
     world.served(conn, "read", 400);
     // What the old address still says is no news; that its watch ends is none either.
     let late = list(common::catalog(900, true, Vec::new()));
-    world.feed(Input::WatchLine { call: old, catalog: late });
+    world.feed(Input::WatchLine {
+        call: old,
+        catalog: late,
+    });
     world.feed(Input::WatchEnded { call: old });
     let (id, link) = world.sent(conn, "read", 400);
     world.serve(link, 200, false, false);
-    assert_eq!((world.calls[&id].answers.as_slice(), world.watches), ([200].as_slice(), 2));
+    assert_eq!(
+        (world.calls[&id].answers.as_slice(), world.watches),
+        ([200].as_slice(), 2)
+    );
     // The new address says nothing: there is time to ask again before the 4 s are over, and a second reload.
     world.pass(3000.0);
     assert_eq!(world.watches, 3);
@@ -1579,7 +1948,10 @@
     assert_eq!(world.watches, 4, "the same address again changes nothing");
     let whole = common::catalog(3, true, vec![common::instance(1, &address(1), "SERVING")]);
     (world.generation, world.asked_for_all) = (3, false);
-    world.feed(Input::WatchLine { call: world.watch.expect("watching"), catalog: list(whole) });
+    world.feed(Input::WatchLine {
+        call: world.watch.expect("watching"),
+        catalog: list(whole),
+    });
     world.watch_ends();
     world.end();
 }
@@ -1609,10 +1981,19 @@
     let (mut world, _) = World::warm();
     assert!(world.links.values().any(|link| link.address == address(1)));
     world.generation += 1;
-    let moved =
-        common::catalog(world.generation, false, vec![common::instance(1, "127.0.0.1:9901", "SERVING")]);
-    world.feed(Input::WatchLine { call: world.watch.expect("watching"), catalog: list(moved) });
-    assert!(world.links.values().all(|link| link.closing || link.address != address(1)));
+    let moved = common::catalog(
+        world.generation,
+        false,
+        vec![common::instance(1, "127.0.0.1:9901", "SERVING")],
+    );
+    world.feed(Input::WatchLine {
+        call: world.watch.expect("watching"),
+        catalog: list(moved),
+    });
+    assert!(world
+        .links
+        .values()
+        .all(|link| link.closing || link.address != address(1)));
 }
 
 /// Tables grew with each upstream ever listed, each with its name; and a number used again would be two upstreams.
@@ -1643,11 +2024,19 @@
 fn a_connection_in_use_to_a_former_address_is_closed_once_it_is_answered() {
     let (mut world, conn) = World::warm();
     let (id, link) = world.sent(conn, "read", 400);
-    let number = (0..4).find(|n| address(*n) == world.links[&link].address).expect("one of them");
+    let number = (0..4)
+        .find(|n| address(*n) == world.links[&link].address)
+        .expect("one of them");
     world.generation += 1;
-    let moved =
-        common::catalog(world.generation, false, vec![common::instance(number, "127.0.0.1:9901", "SERVING")]);
-    world.feed(Input::WatchLine { call: world.watch.expect("watching"), catalog: list(moved) });
+    let moved = common::catalog(
+        world.generation,
+        false,
+        vec![common::instance(number, "127.0.0.1:9901", "SERVING")],
+    );
+    world.feed(Input::WatchLine {
+        call: world.watch.expect("watching"),
+        catalog: list(moved),
+    });
     assert!(!world.links[&link].closing, "it is owed its answer");
     world.serve(link, 200, false, false);
     assert_eq!(world.calls[&id].answers, [200]);
@@ -1668,7 +2057,10 @@
     };
     let empty = list(common::catalog(world.generation + 1, false, Vec::new()));
     world.generation += 1;
-    world.feed(Input::WatchLine { call, catalog: empty });
+    world.feed(Input::WatchLine {
+        call,
+        catalog: empty,
+    });
     world.pass(3500.0);
     let idle = |link: &Link| link.carries.is_none() && link.up && !link.closing;
     assert!(!world.links.values().any(idle));
@@ -1683,9 +2075,12 @@
     assert!(world.take_out(2) && world.take_out(2));
     assert_eq!(world.figure("members_unavailable"), 1);
     let others: BTreeSet<String> = [0, 1, 3].into_iter().map(address).collect();
-    for (lifecycle, started) in
-        [("SERVING", 0.0), ("DRAINING", 0.0), ("DELETED", 0.0), ("SERVING", 1e12 + 500.0)]
-    {
+    for (lifecycle, started) in [
+        ("SERVING", 0.0),
+        ("DRAINING", 0.0),
+        ("DELETED", 0.0),
+        ("SERVING", 1e12 + 500.0),
+    ] {
         world.told(2, lifecycle, started);
         world.calm();
         assert_eq!(world.chosen(conn, 40), others, "{lifecycle}");
@@ -1694,8 +2089,13 @@
     world.reload(7);
     let call = world.watch.expect("a watch");
     (world.generation, world.asked_for_all) = (50, false);
-    let whole = (0..4).map(|n| common::instance(n, &address(n), "SERVING")).collect();
-    world.feed(Input::WatchLine { call, catalog: list(common::catalog(50, true, whole)) });
+    let whole = (0..4)
+        .map(|n| common::instance(n, &address(n), "SERVING"))
+        .collect();
+    world.feed(Input::WatchLine {
+        call,
+        catalog: list(common::catalog(50, true, whole)),
+    });
     assert_eq!(world.chosen(conn, 40), others);
     assert!(world.take_back(2));
     assert_eq!(world.figure("members_unavailable"), 0);
@@ -1715,7 +2115,10 @@
         world.serve(link, 200, false, false);
         world.pass_calmly(1);
     }
-    assert!((1..35).contains(&first), "{first} of 200 went to one that may have just started");
+    assert!(
+        (1..35).contains(&first),
+        "{first} of 200 went to one that may have just started"
+    );
 }
 
 /// What discovery wants of it holds then.
@@ -1755,7 +2158,12 @@
         assert!(world.take_back(number));
     }
     let id = world.request(conn, "pay", 300);
-    let connecting: Vec<String> = world.links.values().filter(|l| !l.up).map(|l| l.address.clone()).collect();
+    let connecting: Vec<String> = world
+        .links
+        .values()
+        .filter(|l| !l.up)
+        .map(|l| l.address.clone())
+        .collect();
     for number in (0..4).filter(|n| connecting.contains(&address(*n))) {
         assert!(world.take_out(number));
     }
@@ -1778,10 +2186,16 @@
     assert_eq!(world.chosen(conn, 1).len(), 1);
     assert_eq!(world.health(), 503);
     by_hand.apply(Change::Resume);
-    by_hand.apply(Change::Back { id: "s-0".to_owned(), at: 1e12 as i64 + world.now as i64 });
+    by_hand.apply(Change::Back {
+        id: "s-0".to_owned(),
+        at: 1e12 as i64 + world.now as i64,
+    });
     world.out.clear();
     world.feed(Input::ByHand(by_hand));
-    assert_eq!((world.health(), world.figure("members_unavailable")), (200, 0));
+    assert_eq!(
+        (world.health(), world.figure("members_unavailable")),
+        (200, 0)
+    );
 }
 
 #[test]
@@ -1825,13 +2239,17 @@
         })
         .collect();
     assert_eq!(world.sent_off, callers[..3].iter().copied().collect());
-    callers[..3].iter().for_each(|conn| world.feed(Input::AdminClosed { conn: *conn }));
+    callers[..3]
+        .iter()
+        .for_each(|conn| world.feed(Input::AdminClosed { conn: *conn }));
     assert_eq!(world.staff("GET", "/-/metrics").0, 200);
     assert_eq!(world.sent_off.len(), 4);
     world.pass(1000.0);
     assert_eq!(world.told.len(), ADMIN_MOST - 1);
     assert!(world.told.values().all(|(status, _)| *status == 408));
-    callers.iter().for_each(|conn| world.feed(Input::AdminClosed { conn: *conn }));
+    callers
+        .iter()
+        .for_each(|conn| world.feed(Input::AdminClosed { conn: *conn }));
     assert!(world.reducer.next_due().is_some());
 }
 
@@ -1840,12 +2258,21 @@
     let (mut world, idle) = World::warm();
     world.served(idle, "read", 400);
     let busy = world.open();
-    assert_eq!((world.health(), world.staff("POST", "/-/drain").0), (200, 200));
+    assert_eq!(
+        (world.health(), world.staff("POST", "/-/drain").0),
+        (200, 200)
+    );
     assert_eq!(world.health(), 503);
     world.pass(300.0);
-    assert!(!world.clients[&idle].retired, "its next answer tells it, which nothing can cross");
+    assert!(
+        !world.clients[&idle].retired,
+        "its next answer tells it, which nothing can cross"
+    );
     world.served(busy, "read", 400);
-    assert!(world.clients[&busy].closing, "an answer says that the connection closes");
+    assert!(
+        world.clients[&busy].closing,
+        "an answer says that the connection closes"
+    );
     world.pass(400.0);
     assert!(world.clients[&idle].retired);
     let late = world.open();
@@ -1853,8 +2280,17 @@
     assert!(world.clients[&late].closing, "what still comes is served");
     world.close_all_ordered();
     assert!(!world.exited && !world.stopped);
-    assert_eq!((world.staff("POST", "/-/resume").0, world.health()), (200, 200));
-    assert_eq!((world.staff("POST", "/-/drain").0, world.staff("POST", "/-/resume").0), (200, 200));
+    assert_eq!(
+        (world.staff("POST", "/-/resume").0, world.health()),
+        (200, 200)
+    );
+    assert_eq!(
+        (
+            world.staff("POST", "/-/drain").0,
+            world.staff("POST", "/-/resume").0
+        ),
+        (200, 200)
+    );
     let kept = world.open();
     world.served(kept, "read", 400);
     world.pass(1000.0);
@@ -1877,15 +2313,23 @@
     assert!(!world.accepting);
     assert_eq!(world.staff("GET", "/-/ready").0, 503);
     let call = world.watch.expect("a watch");
-    let whole = (0..4).map(|n| common::instance(n, &address(n), "SERVING")).collect();
-    world.feed(Input::WatchLine { call, catalog: list(common::catalog(8, true, whole)) });
+    let whole = (0..4)
+        .map(|n| common::instance(n, &address(n), "SERVING"))
+        .collect();
+    world.feed(Input::WatchLine {
+        call,
+        catalog: list(common::catalog(8, true, whole)),
+    });
     assert!(world.accepting);
     assert_eq!(world.staff("GET", "/-/ready").0, 200);
     world.calm();
     let conn = world.open();
     world.served(conn, "read", 400);
     world.feed(Input::Terminate);
-    assert!(world.stopped && world.left, "new connections are the other's at once");
+    assert!(
+        world.stopped && world.left,
+        "new connections are the other's at once"
+    );
     assert_eq!(world.staff("GET", "/-/ready").0, 503);
     world.feed(Input::AcceptStopped);
     world.pass(300.0);
@@ -1921,10 +2365,19 @@
 fn two_processes_share_the_descriptors() {
     let (mut world, _) = World::warm();
     let clients: Vec<ConnId> = (0..200).map(|_| world.open()).collect();
-    assert!(clients.iter().filter(|conn| !world.clients[*conn].retired).count() > 150);
+    assert!(
+        clients
+            .iter()
+            .filter(|conn| !world.clients[*conn].retired)
+            .count()
+            > 150
+    );
     world.feed(Input::OtherLives(true));
     world.pass(400.0);
-    let kept = clients.iter().filter(|conn| !world.clients[*conn].retired).count();
+    let kept = clients
+        .iter()
+        .filter(|conn| !world.clients[*conn].retired)
+        .count();
     assert!(kept <= 128, "{kept}");
 }
 
@@ -1959,7 +2412,13 @@
     assert_eq!(text, expected);
     world.feed(Input::ReloadFailed);
     world.adopt(|_| ());
-    assert_eq!((world.figure("config_reloads"), world.figure("config_reload_errors")), (1, 1));
+    assert_eq!(
+        (
+            world.figure("config_reloads"),
+            world.figure("config_reload_errors")
+        ),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -1978,11 +2437,18 @@
         } else {
             let client = world.clients.get_mut(&conn).expect("a client");
             assert!(std::mem::take(&mut client.uploading) && std::mem::take(&mut client.wanted));
-            world.feed(Input::ClientOver { conn, at: world.now });
+            world.feed(Input::ClientOver {
+                conn,
+                at: world.now,
+            });
         }
         let body = &world.calls[&id].body;
         let framed = |body: &[u8]| body.starts_with(b"4e20\r\n") && body.ends_with(b"0\r\n\r\n");
-        assert!(if length.is_some() { body.ends_with(b"xend") } else { framed(body) });
+        assert!(if length.is_some() {
+            body.ends_with(b"xend")
+        } else {
+            framed(body)
+        });
         world.pass_calmly(5);
         assert!(world.calls[&id].answers.is_empty());
         world.serve(link, 200, false, false);
@@ -1991,9 +2457,16 @@
     let (id, link) = world.uploading(conn, "pay", Some(3));
     assert!(world.send_piece(conn, b"end", true));
     world.pass(401.0);
-    assert_eq!(world.calls[&id].answers, [502], "its deadline counts from its last byte");
+    assert_eq!(
+        world.calls[&id].answers,
+        [502],
+        "its deadline counts from its last byte"
+    );
     assert!(world.links[&link].closing);
-    assert_eq!((world.figure("completed.pay"), world.figure("failed.pay")), (2, 1));
+    assert_eq!(
+        (world.figure("completed.pay"), world.figure("failed.pay")),
+        (2, 1)
+    );
     assert_eq!(world.figure("upstream_requests"), 3);
 }
 
@@ -2008,12 +2481,22 @@
             if whole {
                 let client = world.clients.get_mut(&conn).expect("a client");
                 (client.uploading, client.wanted) = (false, false);
-                world.feed(Input::ClientOver { conn, at: world.now });
+                world.feed(Input::ClientOver {
+                    conn,
+                    at: world.now,
+                });
             }
             world.ends(link, false);
-            assert_eq!(world.calls[&id].answers, [status], "{class}, whole: {whole}");
+            assert_eq!(
+                world.calls[&id].answers,
+                [status],
+                "{class}, whole: {whole}"
+            );
             let closing = world.clients[&conn].closing;
-            assert_eq!(closing, !whole, "the rest of the body would be read as a request");
+            assert_eq!(
+                closing, !whole,
+                "the rest of the body would be read as a request"
+            );
             world.calm();
             assert!(world.carrying().is_empty());
         }
@@ -2046,7 +2529,10 @@
         world.send_piece(slow, b"x", false);
     }
     assert_eq!(world.calls[&id].answers, [408]);
-    assert!(world.links[&link].closing, "what its upstream has of it is of no use");
+    assert!(
+        world.links[&link].closing,
+        "what its upstream has of it is of no use"
+    );
     // A client that leaves takes its part along.
     let carried = world.carrying()[0];
     world.leave(honest);
@@ -2074,12 +2560,18 @@
             2 => world.pass(5100.0),
             _ => {
                 world.leave(conn);
-                assert!(world.links[&link].closing, "nobody is left to pass it on to");
+                assert!(
+                    world.links[&link].closing,
+                    "nobody is left to pass it on to"
+                );
                 world.end();
                 continue;
             }
         }
-        assert_eq!(world.calls[&id].answers, [if how == 0 { 200 } else { CUT_SHORT }]);
+        assert_eq!(
+            world.calls[&id].answers,
+            [if how == 0 { 200 } else { CUT_SHORT }]
+        );
         assert_eq!(world.clients[&conn].closing, how != 0);
         assert_eq!(world.figure("completed.read"), u64::from(how == 0));
         assert_eq!(world.figure("failed.read"), u64::from(how != 0));
@@ -2090,7 +2582,10 @@
 /// No flow waits for the memory of another: beyond what the memory holds, one more is refused.
 #[test]
 fn bodies_beyond_the_memory_are_refused() {
-    let ways = Ways { memory: 1 << 20, ..Ways::default() };
+    let ways = Ways {
+        memory: 1 << 20,
+        ..Ways::default()
+    };
     let mut world = World::within(ways, false, |_| ());
     world.calm();
     let open = 1024 * 1024 / 4 / (32 * 1024);
@@ -2098,7 +2593,10 @@
         let conn = world.open();
         let id = world.upload(conn, "pay", 400, Some(100_000));
         world.calm();
-        assert_eq!(world.calls[&id].answers, if n < open { vec![] } else { vec![503] });
+        assert_eq!(
+            world.calls[&id].answers,
+            if n < open { vec![] } else { vec![503] }
+        );
     }
 }
 
@@ -2108,7 +2606,10 @@
     let (mut world, conn) = World::warm();
     let (id, link) = world.sent(conn, "pay", 900);
     for _ in 0..6 {
-        world.feed(Input::UpstreamPartly { conn: link, open: false });
+        world.feed(Input::UpstreamPartly {
+            conn: link,
+            open: false,
+        });
         world.pass(90.0);
     }
     assert!(world.calls[&id].answers.is_empty());
@@ -2141,7 +2642,10 @@
     let (id, link) = world.sent(conn, "pay", 900);
     world.pass_calmly(5);
     for _ in 0..6 {
-        world.feed(Input::UpstreamPartly { conn: link, open: false });
+        world.feed(Input::UpstreamPartly {
+            conn: link,
+            open: false,
+        });
         world.pass_calmly(50);
     }
     world.serve(link, 200, false, false);
@@ -2152,8 +2656,13 @@
 /// Staff get their answer while clients are at their limit, and are not in their budget.
 #[test]
 fn the_second_address_answers_while_clients_are_at_their_limit() {
-    let ways = Ways { admin: true, ..Ways::default() };
-    let mut world = World::within(ways, false, |config| config["limits"]["sockets"] = 64.into());
+    let ways = Ways {
+        admin: true,
+        ..Ways::default()
+    };
+    let mut world = World::within(ways, false, |config| {
+        config["limits"]["sockets"] = 64.into()
+    });
     world.calm();
     for _ in 0..60 {
         let conn = world.open();
@@ -2183,7 +2692,11 @@
         assert_eq!(world.health(), 200);
     }
     world.close_all_ordered();
-    let conn = if world.clients.contains_key(&conn) { conn } else { world.open() };
+    let conn = if world.clients.contains_key(&conn) {
+        conn
+    } else {
+        world.open()
+    };
     world.calm();
     world.pass_calmly(50);
     world.served(conn, "read", 400);
--- a/crates/sandtrack-sidecar/tests/tasks.rs
+++ b/crates/sandtrack-sidecar/tests/tasks.rs
@@ -41,8 +41,12 @@
     let (mut near, far) = pair();
     near.write_all(written).unwrap();
     let (orders, receiver, inputs, received) = channels();
-    orders_first.into_iter().for_each(|order| orders.try_send(order).unwrap());
-    std::thread::spawn(move || block_on(client::serve(1, Async::new(far).unwrap(), receiver, inputs)));
+    orders_first
+        .into_iter()
+        .for_each(|order| orders.try_send(order).unwrap());
+    std::thread::spawn(move || {
+        block_on(client::serve(1, Async::new(far).unwrap(), receiver, inputs))
+    });
     (near, orders, received)
 }
 
@@ -50,9 +54,18 @@
 #[test]
 fn a_request_that_came_before_its_connection_is_retired_is_told_and_answered() {
     let (mut near, orders, received) = client_task(vec![Order::Retire], REQUEST);
-    assert!(matches!(told(&received), Input::ClientRequest { conn: 1, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientRequest { conn: 1, .. }
+    ));
     let bytes = http::response(200, std::iter::empty(), b"served", true);
-    orders.try_send(Order::Answer { bytes: bytes.clone(), close: true, bad: false }).unwrap();
+    orders
+        .try_send(Order::Answer {
+            bytes: bytes.clone(),
+            close: true,
+            bad: false,
+        })
+        .unwrap();
     let mut answer = Vec::new();
     near.read_to_end(&mut answer).unwrap();
     assert_eq!(answer, bytes);
@@ -89,11 +102,20 @@
     let (mut near, orders, received) = client_task(Vec::new(), &REQUEST.repeat(3));
     let began = std::time::Instant::now();
     for round in 0..3 {
-        assert!(matches!(told(&received), Input::ClientRequest { conn: 1, .. }));
+        assert!(matches!(
+            told(&received),
+            Input::ClientRequest { conn: 1, .. }
+        ));
         // A lower bound alone: it holds on a busy machine too.
         assert!(began.elapsed() >= std::time::Duration::from_millis(50 * round));
         let bytes = http::response(400, std::iter::empty(), b"", false);
-        orders.try_send(Order::Answer { bytes: bytes.clone(), close: false, bad: true }).unwrap();
+        orders
+            .try_send(Order::Answer {
+                bytes: bytes.clone(),
+                close: false,
+                bad: true,
+            })
+            .unwrap();
         let mut answer = vec![0; bytes.len()];
         near.read_exact(&mut answer).unwrap();
         assert_eq!(answer, bytes);
@@ -103,19 +125,34 @@
 #[test]
 fn half_a_request_is_told_once() {
     let (mut near, _orders, received) = client_task(Vec::new(), &REQUEST[..9]);
-    assert!(matches!(told(&received), Input::ClientBegan { conn: 1, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientBegan { conn: 1, .. }
+    ));
     near.write_all(&REQUEST[9..20]).unwrap();
     near.write_all(&REQUEST[20..]).unwrap();
-    assert!(matches!(told(&received), Input::ClientRequest { conn: 1, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientRequest { conn: 1, .. }
+    ));
 }
 
 /// What it sent on was read for as long as it came, and nobody else had a turn; closed at once, the error would be lost.
 #[test]
 fn one_that_sends_without_end_is_read_no_further_and_gets_its_error() {
     let (mut near, orders, received) = client_task(Vec::new(), b"GET / HTTP/9\r\n\r\n");
-    assert!(matches!(told(&received), Input::ClientBad { status: 400, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientBad { status: 400, .. }
+    ));
     let bytes = http::response(400, std::iter::empty(), b"", true);
-    orders.try_send(Order::Answer { bytes: bytes.clone(), close: true, bad: false }).unwrap();
+    orders
+        .try_send(Order::Answer {
+            bytes: bytes.clone(),
+            close: true,
+            bad: false,
+        })
+        .unwrap();
     let mut answer = vec![0; bytes.len()];
     near.read_exact(&mut answer).unwrap();
     assert_eq!(answer, bytes);
@@ -124,7 +161,9 @@
     while received.is_empty() && sent < 1 << 30 {
         match near.write(&[7; 65536]) {
             Ok(count) => sent += count,
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => std::thread::yield_now(),
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
+                std::thread::yield_now()
+            }
             Err(_) => break,
         }
     }
@@ -140,12 +179,21 @@
     let (orders, receiver, inputs, received) = channels();
     std::thread::spawn(move || block_on(upstream::run(1, address, receiver, inputs)));
     let far = listener.accept().unwrap().0;
-    assert!(matches!(told(&received), Input::UpstreamConnected { conn: 1 }));
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamConnected { conn: 1 }
+    ));
     (far, orders, received)
 }
 
 fn ask(orders: &Orders) {
-    orders.try_send(Order::Ask { bytes: REQUEST.to_vec(), streamed: false, more: false }).unwrap();
+    orders
+        .try_send(Order::Ask {
+            bytes: REQUEST.to_vec(),
+            streamed: false,
+            more: false,
+        })
+        .unwrap();
 }
 
 fn written(received: &Received) -> Written {
@@ -161,7 +209,11 @@
     let (far, orders, received) = upstream_task();
     drop(far);
     // The order may find the task still there or gone: nothing is begun either way.
-    let _ = orders.try_send(Order::Ask { bytes: REQUEST.to_vec(), streamed: false, more: false });
+    let _ = orders.try_send(Order::Ask {
+        bytes: REQUEST.to_vec(),
+        streamed: false,
+        more: false,
+    });
     assert_eq!(written(&received), Written { begun: 0, whole: 0 });
 }
 
@@ -174,7 +226,10 @@
         ("HTTP/1.1 200 OK\r\n", false),
         ("SSH-2.0\r\n\r\n", true),
         ("HTTP/1.1 200 OK\r\n\r\nuntil the end", true),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on", true),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
+            true,
+        ),
         (long.as_str(), true),
     ] {
         let (mut far, orders, received) = upstream_task();
@@ -194,7 +249,11 @@
                 other => panic!("{other:?}"),
             }
         };
-        assert_eq!((ended, told_spoilt), (Written { begun: 1, whole: 1 }, spoilt), "{answer:?}");
+        assert_eq!(
+            (ended, told_spoilt),
+            (Written { begun: 1, whole: 1 }, spoilt),
+            "{answer:?}"
+        );
         drop(far);
     }
 }
@@ -207,10 +266,17 @@
         ask(&orders);
         far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
         far.write_all(b"HTTP/1.1 103 Hints\r\n\r\n").unwrap();
-        far.write_all(("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi".to_owned() + behind).as_bytes())
-            .unwrap();
-        let Input::UpstreamAnswered { message, .. } = told(&received) else { panic!("no answer") };
-        assert_eq!((message.body.as_slice(), message.head.keep_alive), (b"hi".as_slice(), false));
+        far.write_all(
+            ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi".to_owned() + behind).as_bytes(),
+        )
+        .unwrap();
+        let Input::UpstreamAnswered { message, .. } = told(&received) else {
+            panic!("no answer")
+        };
+        assert_eq!(
+            (message.body.as_slice(), message.head.keep_alive),
+            (b"hi".as_slice(), false)
+        );
         assert_eq!(written(&received), Written { begun: 1, whole: 1 });
     }
 }
@@ -220,13 +286,21 @@
     let (mut far, orders, received) = upstream_task();
     for (text, kept) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi", false),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi",
+            false,
+        ),
     ] {
         ask(&orders);
         far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
         far.write_all(text.as_bytes()).unwrap();
-        let Input::UpstreamAnswered { message, .. } = told(&received) else { panic!("no answer") };
-        assert_eq!((message.body.as_slice(), message.head.keep_alive), (b"hi".as_slice(), kept));
+        let Input::UpstreamAnswered { message, .. } = told(&received) else {
+            panic!("no answer")
+        };
+        assert_eq!(
+            (message.body.as_slice(), message.head.keep_alive),
+            (b"hi".as_slice(), kept)
+        );
     }
     assert_eq!(written(&received), Written { begun: 2, whole: 2 });
 }
@@ -236,7 +310,10 @@
     let (mut far, orders, received) = upstream_task();
     ask(&orders);
     far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
-    assert!(matches!(block_on(received.recv()).unwrap(), Input::UpstreamWrote { conn: 1 }));
+    assert!(matches!(
+        block_on(received.recv()).unwrap(),
+        Input::UpstreamWrote { conn: 1 }
+    ));
     orders.try_send(Order::Close).unwrap();
     assert_eq!(written(&received), Written { begun: 1, whole: 1 });
     assert_eq!(far.read(&mut [0]).unwrap(), 0);
@@ -245,9 +322,21 @@
 #[test]
 fn a_streamed_answer_is_told_one_piece_at_a_time() {
     let (mut far, orders, received) = upstream_task();
-    orders.try_send(Order::Ask { bytes: REQUEST.to_vec(), streamed: true, more: false }).unwrap();
+    orders
+        .try_send(Order::Ask {
+            bytes: REQUEST.to_vec(),
+            streamed: true,
+            more: false,
+        })
+        .unwrap();
     far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
-    far.write_all(&http::response_head(200, std::iter::empty(), http::Flow::Chunks, false)).unwrap();
+    far.write_all(&http::response_head(
+        200,
+        std::iter::empty(),
+        http::Flow::Chunks,
+        false,
+    ))
+    .unwrap();
     for piece in [b"one".as_slice(), b"two", b""] {
         far.write_all(&http::chunk(piece)).unwrap();
     }
@@ -255,11 +344,19 @@
     for piece in [b"one".as_slice(), b"two"] {
         assert!(received.is_empty(), "the next is told when it is wanted");
         orders.try_send(Order::More).unwrap();
-        let Input::UpstreamPiece { bytes, .. } = told(&received) else { panic!("no piece") };
+        let Input::UpstreamPiece { bytes, .. } = told(&received) else {
+            panic!("no piece")
+        };
         assert_eq!(bytes, piece);
     }
     orders.try_send(Order::More).unwrap();
-    assert!(matches!(told(&received), Input::UpstreamOver { keep_alive: true, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamOver {
+            keep_alive: true,
+            ..
+        }
+    ));
 }
 
 #[test]
@@ -267,12 +364,26 @@
     let (mut near, orders, received) = client_task(Vec::new(), REQUEST);
     assert!(matches!(told(&received), Input::ClientRequest { .. }));
     let mut whole = http::response_head(200, std::iter::empty(), http::Flow::Chunks, true);
-    orders.try_send(Order::Piece { bytes: whole.clone() }).unwrap();
+    orders
+        .try_send(Order::Piece {
+            bytes: whole.clone(),
+        })
+        .unwrap();
     assert!(matches!(told(&received), Input::ClientWrote { conn: 1 }));
     let (piece, last) = (http::chunk(b"piece"), http::chunk(b""));
-    orders.try_send(Order::Piece { bytes: piece.clone() }).unwrap();
+    orders
+        .try_send(Order::Piece {
+            bytes: piece.clone(),
+        })
+        .unwrap();
     assert!(matches!(told(&received), Input::ClientWrote { conn: 1 }));
-    orders.try_send(Order::Answer { bytes: last.clone(), close: true, bad: false }).unwrap();
+    orders
+        .try_send(Order::Answer {
+            bytes: last.clone(),
+            close: true,
+            bad: false,
+        })
+        .unwrap();
     let mut answer = Vec::new();
     near.read_to_end(&mut answer).unwrap();
     whole.extend(piece);
@@ -287,10 +398,18 @@
     let mut told_to = vec![0; http::CONTINUE.len()];
     near.read_exact(&mut told_to).unwrap();
     assert_eq!(told_to, http::CONTINUE);
-    assert!(matches!(told(&received), Input::ClientBegan { conn: 1, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientBegan { conn: 1, .. }
+    ));
     near.write_all(b"body").unwrap();
-    let Input::ClientRequest { message, .. } = told(&received) else { panic!("no request") };
-    assert_eq!((message.body.as_slice(), message.head.headers.get("Expect")), (b"body".as_slice(), None));
+    let Input::ClientRequest { message, .. } = told(&received) else {
+        panic!("no request")
+    };
+    assert_eq!(
+        (message.body.as_slice(), message.head.headers.get("Expect")),
+        (b"body".as_slice(), None)
+    );
 }
 
 /// Its pieces wait in the socket until they are wanted: a slow upstream holds back its own client.
@@ -298,7 +417,14 @@
 fn a_large_request_is_told_piece_by_piece_as_it_is_wanted() {
     let head = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 100000\r\n\r\n";
     let (mut near, orders, received) = client_task(Vec::new(), head);
-    let Input::ClientFlows { head, length: Some(100_000), .. } = told(&received) else { panic!("no head") };
+    let Input::ClientFlows {
+        head,
+        length: Some(100_000),
+        ..
+    } = told(&received)
+    else {
+        panic!("no head")
+    };
     assert_eq!(head.headers.get("Expect"), None);
     orders.try_send(Order::More).unwrap();
     let mut told_to = vec![0; http::CONTINUE.len()];
@@ -310,7 +436,9 @@
     near.write_all(REQUEST).unwrap();
     let mut got = Vec::new();
     loop {
-        let Input::ClientPiece { bytes, last, .. } = told(&received) else { panic!("no piece") };
+        let Input::ClientPiece { bytes, last, .. } = told(&received) else {
+            panic!("no piece")
+        };
         got.extend(bytes);
         assert!(received.is_empty(), "one at a time");
         if last {
@@ -320,16 +448,31 @@
     }
     assert_eq!(got, body);
     let bytes = http::response(200, std::iter::empty(), b"", false);
-    orders.try_send(Order::Answer { bytes: bytes.clone(), close: false, bad: false }).unwrap();
+    orders
+        .try_send(Order::Answer {
+            bytes: bytes.clone(),
+            close: false,
+            bad: false,
+        })
+        .unwrap();
     near.read_exact(&mut vec![0; bytes.len()]).unwrap();
-    assert!(matches!(told(&received), Input::ClientRequest { conn: 1, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::ClientRequest { conn: 1, .. }
+    ));
 }
 
 #[test]
 fn a_request_in_pieces_is_written_and_said_to_be_whole_at_its_last_byte() {
     let (mut far, orders, received) = upstream_task();
     let head = b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n";
-    orders.try_send(Order::Ask { bytes: head.to_vec(), streamed: false, more: true }).unwrap();
+    orders
+        .try_send(Order::Ask {
+            bytes: head.to_vec(),
+            streamed: false,
+            more: true,
+        })
+        .unwrap();
     assert!(matches!(told(&received), Input::UpstreamTook { conn: 1 }));
     for (piece, last) in [(b"piece".to_vec(), false), (b"last".to_vec(), true)] {
         orders.try_send(Order::Pass { bytes: piece, last }).unwrap();
@@ -342,11 +485,20 @@
     let mut request = vec![0; head.len() + 9];
     far.read_exact(&mut request).unwrap();
     assert!(request.ends_with(b"\r\n\r\npiecelast"));
-    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
-    let Input::UpstreamAnswered { message, .. } = told(&received) else { panic!("no answer") };
+    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+        .unwrap();
+    let Input::UpstreamAnswered { message, .. } = told(&received) else {
+        panic!("no answer")
+    };
     assert!(message.head.keep_alive);
     // One that ends in the midst of a body was not asked for whole.
-    orders.try_send(Order::Ask { bytes: head.to_vec(), streamed: false, more: true }).unwrap();
+    orders
+        .try_send(Order::Ask {
+            bytes: head.to_vec(),
+            streamed: false,
+            more: true,
+        })
+        .unwrap();
     assert!(matches!(told(&received), Input::UpstreamTook { conn: 1 }));
     drop(far);
     assert_eq!(written(&received), Written { begun: 2, whole: 1 });
@@ -374,7 +526,9 @@
                 }
                 Input::UpstreamBegan { length: None, .. } => {}
                 Input::UpstreamPiece { bytes, .. } => got.extend(bytes),
-                Input::UpstreamOver { keep_alive: false, .. } => break,
+                Input::UpstreamOver {
+                    keep_alive: false, ..
+                } => break,
                 other => panic!("{other:?}"),
             }
             orders.try_send(Order::More).unwrap();
@@ -391,31 +545,67 @@
     far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
     // There is nothing to pass on yet.
     orders.try_send(Order::Begin).unwrap();
-    far.write_all(&http::response_head(200, [("Kind", "a")].into_iter(), http::Flow::Chunks, false)).unwrap();
-    assert!(matches!(told(&received), Input::UpstreamPartly { open: true, .. }));
+    far.write_all(&http::response_head(
+        200,
+        [("Kind", "a")].into_iter(),
+        http::Flow::Chunks,
+        false,
+    ))
+    .unwrap();
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamPartly { open: true, .. }
+    ));
     far.write_all(&http::chunk(b"first")).unwrap();
-    assert!(matches!(told(&received), Input::UpstreamPartly { open: true, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamPartly { open: true, .. }
+    ));
     orders.try_send(Order::Begin).unwrap();
-    let Input::UpstreamBegan { head, length: None, .. } = told(&received) else { panic!("not begun") };
+    let Input::UpstreamBegan {
+        head, length: None, ..
+    } = told(&received)
+    else {
+        panic!("not begun")
+    };
     assert_eq!(head.headers.get("Kind"), Some("a"));
     orders.try_send(Order::More).unwrap();
-    let Input::UpstreamPiece { bytes, .. } = told(&received) else { panic!("no piece") };
+    let Input::UpstreamPiece { bytes, .. } = told(&received) else {
+        panic!("no piece")
+    };
     assert_eq!(bytes, b"first");
     orders.try_send(Order::More).unwrap();
     far.write_all(b"9\r\nsec").unwrap();
-    let Input::UpstreamPiece { bytes, .. } = told(&received) else { panic!("no piece") };
-    assert_eq!(bytes, b"sec", "a part of a chunk is told, and its silence is no end");
+    let Input::UpstreamPiece { bytes, .. } = told(&received) else {
+        panic!("no piece")
+    };
+    assert_eq!(
+        bytes, b"sec",
+        "a part of a chunk is told, and its silence is no end"
+    );
     orders.try_send(Order::More).unwrap();
     far.write_all(b"ond...\r\n0\r\n\r\n").unwrap();
-    let Input::UpstreamPiece { bytes, .. } = told(&received) else { panic!("no piece") };
+    let Input::UpstreamPiece { bytes, .. } = told(&received) else {
+        panic!("no piece")
+    };
     assert_eq!(bytes, b"ond...");
     orders.try_send(Order::More).unwrap();
-    assert!(matches!(told(&received), Input::UpstreamOver { keep_alive: true, .. }));
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamOver {
+            keep_alive: true,
+            ..
+        }
+    ));
     // One whose length is told is kept whole.
     ask(&orders);
     far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
-    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhi").unwrap();
-    assert!(matches!(told(&received), Input::UpstreamPartly { open: false, .. }));
+    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhi")
+        .unwrap();
+    assert!(matches!(
+        told(&received),
+        Input::UpstreamPartly { open: false, .. }
+    ));
     orders.try_send(Order::Begin).unwrap();
     far.write_all(b"hi").unwrap();
     assert!(matches!(told(&received), Input::UpstreamAnswered { .. }));
@@ -430,7 +620,10 @@
     orders.try_send(Order::Piece { bytes }).unwrap();
     assert!(matches!(told(&received), Input::ClientWrote { conn: 1 }));
     orders.try_send(Order::Close).unwrap();
-    assert!(near.read_to_end(&mut Vec::new()).is_err(), "it ended as if it were whole");
+    assert!(
+        near.read_to_end(&mut Vec::new()).is_err(),
+        "it ended as if it were whole"
+    );
 }
 
 /// A client that left with its last byte was not counted as served, and the connection to its upstream was closed.
@@ -440,18 +633,33 @@
     for _ in 0..2 {
         ask(&orders);
         far.read_exact(&mut vec![0; REQUEST.len()]).unwrap();
-        far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n").unwrap();
-        assert!(matches!(told(&received), Input::UpstreamBegan { length: Some(70_000), .. }));
+        far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
+            .unwrap();
+        assert!(matches!(
+            told(&received),
+            Input::UpstreamBegan {
+                length: Some(70_000),
+                ..
+            }
+        ));
         let mut rest = far.try_clone().unwrap();
         std::thread::spawn(move || rest.write_all(&[7; 70_000]).unwrap());
         let mut got = 0;
         while got < 70_000 {
             orders.try_send(Order::More).unwrap();
-            let Input::UpstreamPiece { bytes, .. } = told(&received) else { panic!("no piece") };
+            let Input::UpstreamPiece { bytes, .. } = told(&received) else {
+                panic!("no piece")
+            };
             got += bytes.len();
         }
         assert!(
-            matches!(told(&received), Input::UpstreamOver { keep_alive: true, .. }),
+            matches!(
+                told(&received),
+                Input::UpstreamOver {
+                    keep_alive: true,
+                    ..
+                }
+            ),
             "without being asked"
         );
     }
--- a/crates/sandtrack-simulation/src/disk.rs
+++ b/crates/sandtrack-simulation/src/disk.rs
@@ -38,7 +38,9 @@
 impl File {
     fn content(&self) -> Vec<u8> {
         let mut content = self.synced.clone();
-        self.changes.iter().for_each(|change| change.apply(&mut content));
+        self.changes
+            .iter()
+            .for_each(|change| change.apply(&mut content));
         content
     }
 }
@@ -127,7 +129,10 @@
                     (_, 0) => continue,
                     (Change::Write { offset, bytes }, 1) => {
                         let torn = random.gen_range(0..=bytes.len());
-                        Change::Write { offset, bytes: bytes[..torn].to_vec() }
+                        Change::Write {
+                            offset,
+                            bytes: bytes[..torn].to_vec(),
+                        }
                     }
                     (change, _) => change,
                 };
@@ -159,7 +164,9 @@
 
     fn file(&mut self, name: &str) -> Result<&mut File> {
         let file = self.names.get(name).ok_or(ErrorKind::NotFound)?;
-        self.files.get_mut(file).ok_or_else(|| ErrorKind::NotFound.into())
+        self.files
+            .get_mut(file)
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
 
     fn change_names(&mut self, change: NameChange) {
@@ -170,7 +177,12 @@
 
 impl Store for Disk {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>> {
-        Ok(self.0.borrow_mut().file(name).ok().map(|file| file.content()))
+        Ok(self
+            .0
+            .borrow_mut()
+            .file(name)
+            .ok()
+            .map(|file| file.content()))
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()> {
@@ -183,9 +195,15 @@
             folder.next_file += 1;
             let file = folder.next_file;
             folder.files.insert(file, File::default());
-            folder.change_names(NameChange::Made { name: name.to_owned(), file });
+            folder.change_names(NameChange::Made {
+                name: name.to_owned(),
+                file,
+            });
         }
-        let change = Change::Write { offset: offset as usize, bytes: bytes.to_vec() };
+        let change = Change::Write {
+            offset: offset as usize,
+            bytes: bytes.to_vec(),
+        };
         folder.file(name)?.changes.push(change);
         Ok(())
     }
@@ -197,7 +215,10 @@
     fn set_length(&mut self, name: &str, length: u64) -> Result<()> {
         let mut folder = self.0.borrow_mut();
         folder.call()?;
-        folder.file(name)?.changes.push(Change::Length(length as usize));
+        folder
+            .file(name)?
+            .changes
+            .push(Change::Length(length as usize));
         Ok(())
     }
 
@@ -214,7 +235,11 @@
         let mut folder = self.0.borrow_mut();
         folder.call()?;
         let file = *folder.names.get(from).ok_or(ErrorKind::NotFound)?;
-        folder.change_names(NameChange::Renamed { from: from.to_owned(), to: to.to_owned(), file });
+        folder.change_names(NameChange::Renamed {
+            from: from.to_owned(),
+            to: to.to_owned(),
+            file,
+        });
         Ok(())
     }
 
@@ -222,7 +247,9 @@
         let mut folder = self.0.borrow_mut();
         folder.call()?;
         if folder.names.contains_key(name) {
-            folder.change_names(NameChange::Removed { name: name.to_owned() });
+            folder.change_names(NameChange::Removed {
+                name: name.to_owned(),
+            });
         }
         Ok(())
     }
--- a/crates/sandtrack-simulation/src/documents.rs
+++ b/crates/sandtrack-simulation/src/documents.rs
@@ -15,7 +15,11 @@
 
 /// A whole configuration; `ballast` routes only make it large.
 pub fn whole(random: &mut Pcg64Mcg, version: u64, ballast: usize, valid: bool) -> String {
-    let service = if valid { ["print", "lm"][random.gen_range(0..2)] } else { "nobody" };
+    let service = if valid {
+        ["print", "lm"][random.gen_range(0..2)]
+    } else {
+        "nobody"
+    };
     let first = route("r-first", service, random.gen_range(1000..9000));
     let filler = (0..ballast).map(|number| route(&format!("r-filler-{number}"), "print", 4000));
     let routes: Vec<String> = std::iter::once(first).chain(filler).collect();
@@ -39,7 +43,9 @@
 }
 
 pub fn update_in_force(base: &Document, body: &str) -> Option<Document> {
-    Update::parse(body.as_bytes()).ok().map(|update| base.updated(&update))
+    Update::parse(body.as_bytes())
+        .ok()
+        .map(|update| base.updated(&update))
 }
 
 /// A call as it is read off a connection.
@@ -57,5 +63,8 @@
         keep_alive: true,
         chunks: true,
     };
-    Message { head, body: body.as_bytes().to_vec() }
+    Message {
+        head,
+        body: body.as_bytes().to_vec(),
+    }
 }
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -84,7 +84,9 @@
 
     /// The address of the control node that it has its session with.
     pub fn control_node(&self) -> Option<&str> {
-        self.session.as_ref().map(|session| session.address.as_str())
+        self.session
+            .as_ref()
+            .map(|session| session.address.as_str())
     }
 
     fn hello(&self) -> ToControl {
@@ -93,9 +95,18 @@
             incarnation: self.incarnation,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
-            front: self.settings.listen.get("front").cloned().unwrap_or_default(),
+            front: self
+                .settings
+                .listen
+                .get("front")
+                .cloned()
+                .unwrap_or_default(),
         };
-        ToControl::Hello { format: FORMAT, info, state: self.balancer.state() }
+        ToControl::Hello {
+            format: FORMAT,
+            info,
+            state: self.balancer.state(),
+        }
     }
 
     /// Looks at what is due.
@@ -118,8 +129,13 @@
     }
 
     fn end_silent(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
-        if let Some(session) = self.session.take_if(|session| now - session.heard > SILENCE_MS as Millis) {
-            wishes.push(Wish::Close { number: session.number });
+        if let Some(session) = self
+            .session
+            .take_if(|session| now - session.heard > SILENCE_MS as Millis)
+        {
+            wishes.push(Wish::Close {
+                number: session.number,
+            });
             self.lost(now, wishes);
         }
     }
@@ -127,22 +143,35 @@
     /// The session is over: a look for a better one ends with it, and the round begins anew.
     fn lost(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
         if let Some(attempt) = self.search.take().and_then(|search| search.attempt) {
-            wishes.push(Wish::Close { number: attempt.number });
+            wishes.push(Wish::Close {
+                number: attempt.number,
+            });
         }
         self.search_at = now;
     }
 
     fn begin_search(&mut self, accepted: Accepted, except: Option<&str>) {
         let all = candidates(&self.settings, &self.balancer.control_nodes);
-        let left = all.into_iter().filter(|address| Some(address.as_str()) != except).collect();
-        self.search = Some(Search { left, accepted, attempt: None });
+        let left = all
+            .into_iter()
+            .filter(|address| Some(address.as_str()) != except)
+            .collect();
+        self.search = Some(Search {
+            left,
+            accepted,
+            attempt: None,
+        });
     }
 
     /// Takes the next candidate where the one before did not answer in time.
     fn go_on(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
-        let Some(search) = &mut self.search else { return };
+        let Some(search) = &mut self.search else {
+            return;
+        };
         if let Some(attempt) = search.attempt.take_if(|attempt| now > attempt.until) {
-            wishes.push(Wish::Close { number: attempt.number });
+            wishes.push(Wish::Close {
+                number: attempt.number,
+            });
         }
         if search.attempt.is_some() {
             return;
@@ -151,8 +180,16 @@
             Some(address) => {
                 self.next_number += 1;
                 let number = self.next_number;
-                wishes.push(Wish::Dial { number, address: address.clone() });
-                search.attempt = Some(Attempt { number, address, opened: false, until: now + CONNECT_MS });
+                wishes.push(Wish::Dial {
+                    number,
+                    address: address.clone(),
+                });
+                search.attempt = Some(Attempt {
+                    number,
+                    address,
+                    opened: false,
+                    until: now + CONNECT_MS,
+                });
             }
             None => {
                 self.search = None;
@@ -166,27 +203,41 @@
 
     fn tell(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
         let state = self.balancer.state();
-        let Some(session) = &mut self.session else { return };
+        let Some(session) = &mut self.session else {
+            return;
+        };
         let marks = |state: &ProxyState| (state.ready, state.leaving, state.version);
         let same = session.told.as_ref().map(marks) == Some(marks(&state));
         if !same || now - session.told_at >= BEAT_MS as Millis {
-            wishes
-                .push(Wish::Send { number: session.number, bytes: bytes(&ToControl::State(state.clone())) });
+            wishes.push(Wish::Send {
+                number: session.number,
+                bytes: bytes(&ToControl::State(state.clone())),
+            });
             (session.told, session.told_at) = (Some(state), now);
         }
     }
 
     pub fn opened(&mut self, now: Millis, number: u64, wishes: &mut Vec<Wish>) {
         let hello = self.hello();
-        let attempt = self.search.as_mut().and_then(|search| search.attempt.as_mut());
+        let attempt = self
+            .search
+            .as_mut()
+            .and_then(|search| search.attempt.as_mut());
         if let Some(attempt) = attempt.filter(|attempt| attempt.number == number) {
             (attempt.opened, attempt.until) = (true, now + SILENCE_MS as Millis);
-            wishes.push(Wish::Send { number, bytes: bytes(&hello) });
+            wishes.push(Wish::Send {
+                number,
+                bytes: bytes(&hello),
+            });
         }
     }
 
     pub fn closed(&mut self, now: Millis, number: u64, wishes: &mut Vec<Wish>) {
-        if self.session.take_if(|session| session.number == number).is_some() {
+        if self
+            .session
+            .take_if(|session| session.number == number)
+            .is_some()
+        {
             self.lost(now, wishes);
         }
         if let Some(search) = &mut self.search {
@@ -196,13 +247,20 @@
     }
 
     pub fn frame(&mut self, now: Millis, number: u64, frame: ToProxy, wishes: &mut Vec<Wish>) {
-        if let Some(session) = self.session.as_mut().filter(|session| session.number == number) {
+        if let Some(session) = self
+            .session
+            .as_mut()
+            .filter(|session| session.number == number)
+        {
             session.heard = now;
             if let ToProxy::Beat { attached } = &frame {
                 session.standing.beat(now, *attached);
             }
             if self.balancer.fold(now, frame) == Folded::WantConfiguration {
-                wishes.push(Wish::Send { number, bytes: bytes(&ToControl::WantConfiguration) });
+                wishes.push(Wish::Send {
+                    number,
+                    bytes: bytes(&ToControl::WantConfiguration),
+                });
             }
             self.tell(now, wishes);
             return;
@@ -212,12 +270,18 @@
 
     /// The first frame of a session that was asked for.
     fn welcomed(&mut self, now: Millis, number: u64, frame: &ToProxy, wishes: &mut Vec<Wish>) {
-        let Some(search) = &mut self.search else { return };
-        let Some(attempt) = search.attempt.take_if(|attempt| attempt.number == number) else { return };
+        let Some(search) = &mut self.search else {
+            return;
+        };
+        let Some(attempt) = search.attempt.take_if(|attempt| attempt.number == number) else {
+            return;
+        };
         let judged = match frame {
-            ToProxy::Welcome { format, attached, .. } => {
-                judge_welcome(*format, *attached, search.accepted).map(|()| *attached).ok()
-            }
+            ToProxy::Welcome {
+                format, attached, ..
+            } => judge_welcome(*format, *attached, search.accepted)
+                .map(|()| *attached)
+                .ok(),
             _ => None,
         };
         let Some(attached) = judged else {
@@ -225,7 +289,9 @@
             return self.go_on(now, wishes);
         };
         if let Some(before) = self.session.take() {
-            wishes.push(Wish::Close { number: before.number });
+            wishes.push(Wish::Close {
+                number: before.number,
+            });
         }
         (self.search, self.vain_rounds) = (None, 0);
         self.session = Some(Session {
--- a/crates/sandtrack-simulation/src/judge.rs
+++ b/crates/sandtrack-simulation/src/judge.rs
@@ -68,22 +68,40 @@
 
     /// An operator sends a configuration for the first time.
     pub fn configuration_sent(&mut self, order: usize, version: u64, document: Option<String>) {
-        self.sent.insert(order, Sent { version, document, acknowledged: false, refused: None });
+        self.sent.insert(
+            order,
+            Sent {
+                version,
+                document,
+                acknowledged: false,
+                refused: None,
+            },
+        );
     }
 
     /// CONFIG: never two changes acknowledged on one version, and nothing invalid.
     pub fn acknowledged(&mut self, order: usize, based_on: u64) {
-        let Some(sent) = self.sent.get_mut(&order) else { return };
+        let Some(sent) = self.sent.get_mut(&order) else {
+            return;
+        };
         sent.acknowledged = true;
         let (version, valid) = (sent.version, sent.document.is_some());
         self.newest_acknowledged = self.newest_acknowledged.max(version);
-        self.hold(valid, "invalid_is_not_acknowledged", || format!("order {order}, version {version}"));
+        self.hold(valid, "invalid_is_not_acknowledged", || {
+            format!("order {order}, version {version}")
+        });
         let winner = *self.winners.entry(based_on).or_insert(order);
         let same = self.sent.get(&winner).map(|sent| &sent.document)
             == self.sent.get(&order).map(|sent| &sent.document);
         self.hold(winner == order, "one_change_on_a_version", || {
-            let what = if same { "of one content" } else { "of two contents" };
-            format!("orders {winner} and {order}, {what}, were both acknowledged on version {based_on}")
+            let what = if same {
+                "of one content"
+            } else {
+                "of two contents"
+            };
+            format!(
+                "orders {winner} and {order}, {what}, were both acknowledged on version {based_on}"
+            )
         });
     }
 
@@ -102,33 +120,58 @@
     }
 
     /// A control node shows a configuration as committed. It was sent, was not refused, and is the same everywhere.
-    pub fn configuration_in_force(&mut self, machine: usize, number: u64, version: u64, document: String) {
-        let known = self.in_force.entry(number).or_insert_with(|| (version, document.clone()));
+    pub fn configuration_in_force(
+        &mut self,
+        machine: usize,
+        number: u64,
+        version: u64,
+        document: String,
+    ) {
+        let known = self
+            .in_force
+            .entry(number)
+            .or_insert_with(|| (version, document.clone()));
         let same = known.0 == version && known.1 == document;
-        self.hold(same, "states_agree", || format!("machine {machine} differs at number {number}"));
+        self.hold(same, "states_agree", || {
+            format!("machine {machine} differs at number {number}")
+        });
         let was_sent = self
             .sent
             .values()
             .any(|sent| sent.version == version && sent.document.as_ref() == Some(&document));
         self.hold(was_sent, "only_what_was_sent_is_in_force", || {
-            format!("machine {machine} shows version {version} at number {number}, which nobody sent")
+            format!(
+                "machine {machine} shows version {version} at number {number}, which nobody sent"
+            )
         });
     }
 
     /// Versions and numbers of what is in force rise together.
     pub fn versions_rise(&mut self) {
-        let versions: Vec<u64> = self.in_force.values().map(|(version, _)| *version).collect();
+        let versions: Vec<u64> = self
+            .in_force
+            .values()
+            .map(|(version, _)| *version)
+            .collect();
         let rise = versions.windows(2).all(|pair| pair[0] < pair[1]);
         self.hold(rise, "versions_rise", || format!("{versions:?}"));
     }
 
     /// CONFIG: nothing is in force that was refused, lost its race or is invalid.
     pub fn nothing_refused_in_force(&mut self) {
-        let in_force: BTreeSet<&String> = self.in_force.values().map(|(_, document)| document).collect();
+        let in_force: BTreeSet<&String> = self
+            .in_force
+            .values()
+            .map(|(_, document)| document)
+            .collect();
         let wrong = self.sent.iter().find_map(|(order, sent)| {
             let status = sent.refused?;
             let document = sent.document.as_ref()?;
-            (in_force.contains(document) && !sent.acknowledged).then_some((*order, sent.version, status))
+            (in_force.contains(document) && !sent.acknowledged).then_some((
+                *order,
+                sent.version,
+                status,
+            ))
         });
         if let Some((order, version, status)) = wrong {
             self.fail(
@@ -140,15 +183,29 @@
 
     /// Every acknowledged change came into force, next after the version that it was based on.
     pub fn acknowledged_was_in_force(&mut self) {
-        let line: Vec<u64> = self.in_force.values().map(|(version, _)| *version).collect();
-        let winners: Vec<(u64, usize)> =
-            self.winners.iter().map(|(based_on, order)| (*based_on, *order)).collect();
+        let line: Vec<u64> = self
+            .in_force
+            .values()
+            .map(|(version, _)| *version)
+            .collect();
+        let winners: Vec<(u64, usize)> = self
+            .winners
+            .iter()
+            .map(|(based_on, order)| (*based_on, *order))
+            .collect();
         for (based_on, order) in winners {
-            let Some(sent) = self.sent.get(&order) else { continue };
+            let Some(sent) = self.sent.get(&order) else {
+                continue;
+            };
             let version = sent.version;
             let document = sent.document.clone().unwrap_or_default();
-            let came = self.in_force.values().any(|known| *known == (version, document.clone()));
-            self.hold(came, "acknowledged_was_in_force", || format!("order {order}, version {version}"));
+            let came = self
+                .in_force
+                .values()
+                .any(|known| *known == (version, document.clone()));
+            self.hold(came, "acknowledged_was_in_force", || {
+                format!("order {order}, version {version}")
+            });
             let at = line.iter().position(|known| *known == version);
             let before = at.map_or(0, |at| at.checked_sub(1).map_or(0, |before| line[before]));
             self.hold(at.is_none() || before == based_on, "one_change_on_a_version", || {
@@ -159,30 +216,44 @@
 
     /// Where the core has been stable, an order has a clear answer within its time.
     pub fn answered_when_stable(&mut self, order: usize, waits_ms: Millis, bound_ms: Millis) {
-        self.hold(waits_ms <= bound_ms, "a_stable_core_answers_in_time", || {
-            format!("order {order} has waited for {waits_ms:.0} ms")
-        });
+        self.hold(
+            waits_ms <= bound_ms,
+            "a_stable_core_answers_in_time",
+            || format!("order {order} has waited for {waits_ms:.0} ms"),
+        );
     }
 
     /// A control node passes callers on by itself: it sends none elsewhere, but for an order for a zone (`is_zone_order`), and
     /// then with 307 and to another one (`names_another`).
-    pub fn redirect(&mut self, machine: usize, status: u16, is_zone_order: bool, names_another: bool) {
+    pub fn redirect(
+        &mut self,
+        machine: usize,
+        status: u16,
+        is_zone_order: bool,
+        names_another: bool,
+    ) {
         let redirects = (300..400).contains(&status);
         let may = status == 307 && is_zone_order && names_another;
-        self.hold(!redirects || may, "a_redirect_is_of_a_zone_order_to_another", || {
-            format!("machine {machine} answered {status}")
-        });
+        self.hold(
+            !redirects || may,
+            "a_redirect_is_of_a_zone_order_to_another",
+            || format!("machine {machine} answered {status}"),
+        );
     }
 
     /// A control node shows evacuations. An order that was overtaken by a later acknowledged one takes no effect.
     pub fn evacuations_in_force(&mut self, machine: usize, number: u64, zones: BTreeSet<String>) {
-        let known = self.evacuations.entry(number).or_insert_with(|| zones.clone());
+        let known = self
+            .evacuations
+            .entry(number)
+            .or_insert_with(|| zones.clone());
         let same = *known == zones;
-        self.hold(same, "states_agree", || format!("machine {machine} differs at evacuation {number}"));
-        let overtaken = self
-            .settled
-            .iter()
-            .find(|(zone, settled)| number > settled.number && zones.contains(*zone) != settled.begun);
+        self.hold(same, "states_agree", || {
+            format!("machine {machine} differs at evacuation {number}")
+        });
+        let overtaken = self.settled.iter().find(|(zone, settled)| {
+            number > settled.number && zones.contains(*zone) != settled.begun
+        });
         if let Some((zone, settled)) = overtaken {
             let what = format!(
                 "{zone} was acknowledged as {} at number {}, and number {number} undid it with no order under way",
@@ -200,26 +271,44 @@
 
     /// It is acknowledged: what control shows newest has it.
     pub fn evacuation_acknowledged(&mut self, zone: &str, begun: bool) {
-        let newest = self.evacuations.last_key_value().map(|(number, zones)| (*number, zones.contains(zone)));
+        let newest = self
+            .evacuations
+            .last_key_value()
+            .map(|(number, zones)| (*number, zones.contains(zone)));
         let (number, shown) = newest.unwrap_or((0, false));
         self.hold(shown == begun, OVERTAKEN, || {
             format!("{zone}: acknowledged as {begun}, and shown as {shown} at number {number}")
         });
-        self.settled.insert(zone.to_owned(), Settled { begun, number });
+        self.settled
+            .insert(zone.to_owned(), Settled { begun, number });
     }
 
     /// Zones that are settled: whether evacuated, and the newest number when that was acknowledged.
     pub fn settled_evacuations(&self) -> impl Iterator<Item = (&str, bool, u64)> {
-        self.settled.iter().map(|(zone, settled)| (zone.as_str(), settled.begun, settled.number))
+        self.settled
+            .iter()
+            .map(|(zone, settled)| (zone.as_str(), settled.begun, settled.number))
     }
 
     /// No definite answer comes from a control node that had no way to a majority for `alone_ms`.
-    pub fn definite_answer(&mut self, machine: usize, status: u16, alone_ms: Millis, bound_ms: Millis) {
+    pub fn definite_answer(
+        &mut self,
+        machine: usize,
+        status: u16,
+        alone_ms: Millis,
+        bound_ms: Millis,
+    ) {
         // 400: this document is malformed, which needs nobody else.
         let definite = status < 500 && status != 400;
-        self.hold(!definite || alone_ms <= bound_ms, "no_definite_answer_without_majority", || {
-            format!("machine {machine} answered {status} after {alone_ms:.0} ms without a majority")
-        });
+        self.hold(
+            !definite || alone_ms <= bound_ms,
+            "no_definite_answer_without_majority",
+            || {
+                format!(
+                    "machine {machine} answered {status} after {alone_ms:.0} ms without a majority"
+                )
+            },
+        );
     }
 
     /// CONFIG: in one incarnation a proxy never goes back; what it serves by was sent.
@@ -229,7 +318,9 @@
             format!("incarnation {incarnation} went from {before} to {version}")
         });
         let known = version == 0 || self.in_force.values().any(|(known, _)| *known == version);
-        self.hold(known, "only_what_is_committed_is_served", || format!("version {version}"));
+        self.hold(known, "only_what_is_committed_is_served", || {
+            format!("version {version}")
+        });
     }
 
     /// CONFIG: a proxy in touch serves by a version within its time.
@@ -248,9 +339,15 @@
 
     /// A proxy that starts is given nothing older than what was acknowledged when its control node was alone for long.
     pub fn first_configuration(&mut self, proxy: &str, alone_ms: Millis, bound_ms: Millis) {
-        self.hold(alone_ms <= bound_ms, "a_detached_node_gives_no_first_configuration", || {
-            format!("{proxy} got its first configuration from a node alone for {alone_ms:.0} ms")
-        });
+        self.hold(
+            alone_ms <= bound_ms,
+            "a_detached_node_gives_no_first_configuration",
+            || {
+                format!(
+                    "{proxy} got its first configuration from a node alone for {alone_ms:.0} ms"
+                )
+            },
+        );
     }
 
     /// A read is not older than what was acknowledged before it began.
@@ -271,7 +368,11 @@
 
     /// What is read is, byte for byte, what was acknowledged under its version, or else sent.
     pub fn read_is_what_was_sent(&mut self, version: u64, document: &str) {
-        let candidates: Vec<&Sent> = self.sent.values().filter(|sent| sent.version == version).collect();
+        let candidates: Vec<&Sent> = self
+            .sent
+            .values()
+            .filter(|sent| sent.version == version)
+            .collect();
         let acknowledged = candidates.iter().find(|sent| sent.acknowledged);
         let matches = |sent: &&Sent| sent.document.as_deref() == Some(document);
         let same = acknowledged.map_or_else(|| candidates.iter().any(matches), matches);
@@ -282,8 +383,10 @@
 
     /// After calm an order is acknowledged in time.
     pub fn acknowledged_in_calm(&mut self, what: &str, status: Option<u16>, bound_ms: Millis) {
-        self.hold(status == Some(200), "after_calm_an_order_is_acknowledged", || {
-            format!("{what}: {status:?} within {bound_ms:.0} ms")
-        });
+        self.hold(
+            status == Some(200),
+            "after_calm_an_order_is_acknowledged",
+            || format!("{what}: {status:?} within {bound_ms:.0} ms"),
+        );
     }
 }
--- a/crates/sandtrack-simulation/src/log_lines.rs
+++ b/crates/sandtrack-simulation/src/log_lines.rs
@@ -25,7 +25,12 @@
     fn log(&self, record: &log::Record<'_>) {
         LINES.with_borrow_mut(|lines| {
             if lines.on {
-                let line = format!("{:9.1} machine {}: {}", lines.time, lines.machine, record.args());
+                let line = format!(
+                    "{:9.1} machine {}: {}",
+                    lines.time,
+                    lines.machine,
+                    record.args()
+                );
                 lines.lines.push(line);
             }
         });
@@ -39,7 +44,12 @@
     if log::set_logger(&Logger).is_ok() {
         log::set_max_level(log::LevelFilter::Debug);
     }
-    LINES.with_borrow_mut(|lines| *lines = Lines { on: true, ..Lines::default() });
+    LINES.with_borrow_mut(|lines| {
+        *lines = Lines {
+            on: true,
+            ..Lines::default()
+        }
+    });
 }
 
 /// The lines kept, which ends the keeping.
--- a/crates/sandtrack-simulation/src/machine.rs
+++ b/crates/sandtrack-simulation/src/machine.rs
@@ -25,7 +25,12 @@
     /// How long it takes on a disk that is well.
     pub fn takes(&self) -> Millis {
         let bytes: usize = self.records.iter().map(Vec::len).sum();
-        bytes as f64 / BYTES_PER_MS + if self.rewrites { 3.0 * SYNC_MS } else { SYNC_MS }
+        bytes as f64 / BYTES_PER_MS
+            + if self.rewrites {
+                3.0 * SYNC_MS
+            } else {
+                SYNC_MS
+            }
     }
 }
 
@@ -123,11 +128,21 @@
 ///
 /// # Panics
 /// Never: the text is whole.
-pub fn settings(machine: usize, zone: usize, core: bool, first_start: bool, seeds: &[usize]) -> Settings {
+pub fn settings(
+    machine: usize,
+    zone: usize,
+    core: bool,
+    first_start: bool,
+    seeds: &[usize],
+) -> Settings {
     let region = |zone: usize| ["ishikari", "kamikawa", "ishikari"][zone];
-    let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{}:8166\"", ip(*seed))).collect();
-    let zones: Vec<String> =
-        (0..ZONES).map(|zone| format!("\"{}\":\"{}\"", zone_name(zone), region(zone))).collect();
+    let seeds: Vec<String> = seeds
+        .iter()
+        .map(|seed| format!("\"{}:8166\"", ip(*seed)))
+        .collect();
+    let zones: Vec<String> = (0..ZONES)
+        .map(|zone| format!("\"{}\":\"{}\"", zone_name(zone), region(zone)))
+        .collect();
     let ip = ip(machine);
     let text = format!(
         r#"{{"node_name":"front-{machine}","role":"r","ip_address":"{ip}","zone":"{}","region":"{}","zones":{{{}}},
--- a/crates/sandtrack-simulation/src/main.rs
+++ b/crates/sandtrack-simulation/src/main.rs
@@ -37,33 +37,56 @@
 }
 
 fn range() -> impl Parser<Range> {
-    let first = long("first").help("The first seed").argument("SEED").fallback(1);
+    let first = long("first")
+        .help("The first seed")
+        .argument("SEED")
+        .fallback(1);
     let folder = long("folder").help("Where replay files go").argument("DIR");
     let folder = folder.fallback(PathBuf::from("target/worlds"));
-    let threads = long("threads").help("Worlds side by side").argument("COUNT").fallback(THREADS);
+    let threads = long("threads")
+        .help("Worlds side by side")
+        .argument("COUNT")
+        .fallback(THREADS);
     let count = positional::<u64>("COUNT");
-    construct!(Range { first, folder, threads, count })
+    construct!(Range {
+        first,
+        folder,
+        threads,
+        count
+    })
 }
 
 fn verbs() -> OptionParser<Verb> {
-    let seeds =
-        range().map(Verb::Seeds).to_options().descr("Plays the worlds of so many seeds").command("seeds");
+    let seeds = range()
+        .map(Verb::Seeds)
+        .to_options()
+        .descr("Plays the worlds of so many seeds")
+        .command("seeds");
     let long = range().map(Verb::Long).to_options();
-    let long = long.descr("Plays long worlds of about a thousand changes").command("long");
+    let long = long
+        .descr("Plays long worlds of about a thousand changes")
+        .command("long");
     let digests = range().map(Verb::Digests).to_options();
-    let digests =
-        digests.descr("Prints what each world came to, with a digest of its log").command("digests");
+    let digests = digests
+        .descr("Prints what each world came to, with a digest of its log")
+        .command("digests");
     let file = positional::<PathBuf>("FILE");
     let replay = construct!(Verb::Replay { file })
         .to_options()
         .descr("Plays the world of a replay file, with its log")
         .command("replay");
     let closing = range().map(Verb::Closing).to_options();
-    let closing = closing.descr("Plays worlds in which all machines are struck at once").command("closing");
+    let closing = closing
+        .descr("Plays worlds in which all machines are struck at once")
+        .command("closing");
     let turnover = range().map(Verb::Turnover).to_options();
-    let turnover = turnover.descr("Plays worlds whose machines are all replaced").command("turnover");
+    let turnover = turnover
+        .descr("Plays worlds whose machines are all replaced")
+        .command("turnover");
     let harsh = range().map(Verb::Harsh).to_options();
-    let harsh = harsh.descr("Plays worlds of slow nodes, lost zones and full disks").command("harsh");
+    let harsh = harsh
+        .descr("Plays worlds of slow nodes, lost zones and full disks")
+        .command("harsh");
     construct!([seeds, long, closing, turnover, harsh, digests, replay])
         .to_options()
         .descr("Seeded worlds of control plane and proxies")
@@ -93,7 +116,15 @@
 fn report(plans: &[Plan], range: &Range) -> ExitCode {
     let began = Instant::now();
     let totals = play_all_on(plans, range.threads);
-    let Totals { worlds, calls, changes, views, frames, blows, failures } = &totals;
+    let Totals {
+        worlds,
+        calls,
+        changes,
+        views,
+        frames,
+        blows,
+        failures,
+    } = &totals;
     println!(
         "{worlds} worlds, {calls} calls answered, {changes} changes acknowledged, {views} views, {frames} frames, \
          {blows} closing faults, {} rules broken, {:.1} s",
@@ -101,15 +132,25 @@
         began.elapsed().as_secs_f64()
     );
     for failure in failures {
-        println!("seed {}: {}: {}", failure.plan.seed, failure.broken.rule, failure.broken.what);
+        println!(
+            "seed {}: {}: {}",
+            failure.plan.seed, failure.broken.rule, failure.broken.what
+        );
     }
     for failure in failures.iter().take(WRITTEN_MOST) {
         let small = shrink(failure);
-        let path = range.folder.join(format!("{}-{}.json", small.broken.rule, small.plan.seed));
+        let path = range
+            .folder
+            .join(format!("{}-{}.json", small.broken.rule, small.plan.seed));
         let text = serde_json::to_string_pretty(&small.plan).unwrap_or_default();
-        let written = std::fs::create_dir_all(&range.folder).and_then(|()| std::fs::write(&path, text));
+        let written =
+            std::fs::create_dir_all(&range.folder).and_then(|()| std::fs::write(&path, text));
         match written {
-            Ok(()) => println!("{} faults left: {}", small.plan.faults.len(), path.display()),
+            Ok(()) => println!(
+                "{} faults left: {}",
+                small.plan.faults.len(),
+                path.display()
+            ),
             Err(error) => println!("{}: {error}", path.display()),
         }
     }
@@ -122,7 +163,8 @@
 
 fn replay(file: &PathBuf) -> ExitCode {
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string());
-    let plan = text.and_then(|text| serde_json::from_str::<Plan>(&text).map_err(|error| error.to_string()));
+    let plan = text
+        .and_then(|text| serde_json::from_str::<Plan>(&text).map_err(|error| error.to_string()));
     let plan = match plan {
         Ok(plan) => plan,
         Err(error) => {
@@ -136,6 +178,9 @@
         println!("no rule was broken");
         return ExitCode::SUCCESS;
     }
-    outcome.broken.iter().for_each(|broken| println!("{}: {}", broken.rule, broken.what));
+    outcome
+        .broken
+        .iter()
+        .for_each(|broken| println!("{}: {}", broken.rule, broken.what));
     ExitCode::FAILURE
 }
--- a/crates/sandtrack-simulation/src/network.rs
+++ b/crates/sandtrack-simulation/src/network.rs
@@ -156,12 +156,17 @@
         for number in numbers {
             for side in 0..2 {
                 let connection = &self.connections[&number];
-                let (from, to) = (connection.ends[side].machine, connection.ends[1 - side].machine);
+                let (from, to) = (
+                    connection.ends[side].machine,
+                    connection.ends[1 - side].machine,
+                );
                 if !self.is_open(from, to) {
                     continue;
                 }
                 let both = self.is_open(to, from);
-                let Some(connection) = self.connections.get_mut(&number) else { continue };
+                let Some(connection) = self.connections.get_mut(&number) else {
+                    continue;
+                };
                 let held = std::mem::take(&mut connection.ways[side].held);
                 if both {
                     connection.ways[side].untaken = None;
@@ -177,10 +182,29 @@
     pub fn dial(&mut self, from: (usize, Process, u64, u64), to: usize, port: Port) -> u64 {
         self.next += 1;
         let (machine, process, life, number) = from;
-        let dialer = End { machine, process, life, number: Some(number), open: true };
-        let listener = End { machine: to, process: Process::Control, life: 0, number: None, open: false };
+        let dialer = End {
+            machine,
+            process,
+            life,
+            number: Some(number),
+            open: true,
+        };
+        let listener = End {
+            machine: to,
+            process: Process::Control,
+            life: 0,
+            number: None,
+            open: false,
+        };
         let ways = [Way::default(), Way::default()];
-        self.connections.insert(self.next, Connection { port, ends: [dialer, listener], ways });
+        self.connections.insert(
+            self.next,
+            Connection {
+                port,
+                ends: [dialer, listener],
+                ways,
+            },
+        );
         self.next
     }
 
@@ -198,10 +222,14 @@
     }
 
     pub fn send(&mut self, now: Millis, connection: u64, side: usize, item: Item) {
-        let Some(known) = self.connections.get(&connection) else { return };
+        let Some(known) = self.connections.get(&connection) else {
+            return;
+        };
         let (from, to) = (known.ends[side].machine, known.ends[1 - side].machine);
         let (there, back) = (self.is_open(from, to), self.is_open(to, from));
-        let Some(known) = self.connections.get_mut(&connection) else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
         if !known.ends[side].open {
             return;
         }
@@ -217,19 +245,33 @@
     }
 
     fn travel(&mut self, now: Millis, connection: u64, side: usize, item: Item) {
-        let Some(known) = self.connections.get(&connection) else { return };
+        let Some(known) = self.connections.get(&connection) else {
+            return;
+        };
         let (from, to) = (known.ends[side].machine, known.ends[1 - side].machine);
         let delay = self.delay(from, to);
-        let size = OVERHEAD + if let Item::Frame(bytes) = &item { bytes.len() } else { 0 };
+        let size = OVERHEAD
+            + if let Item::Frame(bytes) = &item {
+                bytes.len()
+            } else {
+                0
+            };
         let (rate, busy) = self.links.entry(from).or_insert((1.0, 0.0));
         if from != to {
             *busy = busy.max(now) + size as f64 / *rate;
         }
         let leaves = if from == to { now } else { *busy };
-        let Some(known) = self.connections.get_mut(&connection) else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
         let way = &mut known.ways[side];
         way.last_arrival = way.last_arrival.max(leaves + delay);
-        self.arrivals.push(Arrival { at: way.last_arrival, connection, from: side, item });
+        self.arrivals.push(Arrival {
+            at: way.last_arrival,
+            connection,
+            from: side,
+            item,
+        });
     }
 
     /// What was sent and is still to be planned.
@@ -271,7 +313,9 @@
             if silent {
                 known.ways[side].held.clear();
             }
-            if known.ends.iter().all(|end| !end.open) && known.ways.iter().all(|way| way.held.is_empty()) {
+            if known.ends.iter().all(|end| !end.open)
+                && known.ways.iter().all(|way| way.held.is_empty())
+            {
                 self.connections.remove(&connection);
             }
         }
@@ -280,8 +324,9 @@
     /// Connections of a process, with the side that is its.
     pub fn of(&self, machine: usize, process: Process) -> Vec<(u64, usize)> {
         let mine = |end: &End| end.open && end.machine == machine && end.process == process;
-        let side =
-            |(id, connection): (&u64, &Connection)| Some((*id, connection.ends.iter().position(mine)?));
+        let side = |(id, connection): (&u64, &Connection)| {
+            Some((*id, connection.ends.iter().position(mine)?))
+        };
         self.connections.iter().filter_map(side).collect()
     }
 
@@ -290,7 +335,9 @@
         let mut given_up = Vec::new();
         for (id, connection) in &self.connections {
             for side in 0..2 {
-                let late = connection.ways[side].untaken.is_some_and(|since| now - since > UNTAKEN_MS);
+                let late = connection.ways[side]
+                    .untaken
+                    .is_some_and(|since| now - since > UNTAKEN_MS);
                 if late && connection.ends[side].open {
                     given_up.push((*id, side));
                 }
--- a/crates/sandtrack-simulation/src/operators.rs
+++ b/crates/sandtrack-simulation/src/operators.rs
@@ -24,9 +24,19 @@
 
 #[derive(Clone, Debug)]
 enum Kind {
-    Change { based_on: u64, document: Option<Document>, replaces: bool, body: String },
-    Evacuate { zone: usize, begin: bool },
-    Read { at_least: u64 },
+    Change {
+        based_on: u64,
+        document: Option<Document>,
+        replaces: bool,
+        body: String,
+    },
+    Evacuate {
+        zone: usize,
+        begin: bool,
+    },
+    Read {
+        at_least: u64,
+    },
 }
 
 impl Kind {
@@ -112,7 +122,9 @@
         let mut operators: Vec<Operator> = Vec::new();
         operators.resize_with(READER + readers, Operator::default);
         operators[1].idle_until = 2500.0;
-        operators[2..].iter_mut().for_each(|operator| operator.idle_until = 2500.0);
+        operators[2..]
+            .iter_mut()
+            .for_each(|operator| operator.idle_until = 2500.0);
         Operators {
             random: Pcg64Mcg::seed_from_u64(seed ^ 0x6f70_6572),
             orders: Vec::new(),
@@ -131,12 +143,17 @@
     }
 
     pub fn are_idle(&self) -> bool {
-        self.operators.iter().all(|operator| operator.order.is_none())
+        self.operators
+            .iter()
+            .all(|operator| operator.order.is_none())
     }
 
     /// Changes that are under way.
     fn changes_open(&self) -> usize {
-        self.operators[..2].iter().filter(|operator| operator.order.is_some()).count()
+        self.operators[..2]
+            .iter()
+            .filter(|operator| operator.order.is_some())
+            .count()
     }
 
     /// Looks at what is due; `machines` is the operators' list.
@@ -160,22 +177,32 @@
         let kind = match operator {
             0 | 1 if self.operators[operator].lost => {
                 self.operators[operator].lost = false;
-                Kind::Read { at_least: checks.newest_acknowledged() }
+                Kind::Read {
+                    at_least: checks.newest_acknowledged(),
+                }
             }
             0 | 1 => match self.begin_change(now, operator, checks) {
                 Some(kind) => kind,
                 None => return,
             },
-            READER.. => Kind::Read { at_least: checks.newest_acknowledged() },
+            READER.. => Kind::Read {
+                at_least: checks.newest_acknowledged(),
+            },
             _ => {
                 let zone = operator - 2;
                 checks.evacuation_sent(&zone_name(zone));
-                Kind::Evacuate { zone, begin: self.random.gen() }
+                Kind::Evacuate {
+                    zone,
+                    begin: self.random.gen(),
+                }
             }
         };
         let order = self.add(now, kind, None);
         self.operators[operator].order = Some(order);
-        if let Kind::Change { document, based_on, .. } = &self.orders[order].kind {
+        if let Kind::Change {
+            document, based_on, ..
+        } = &self.orders[order].kind
+        {
             let version = document.as_ref().map_or(0, |document| document.version);
             let valid = document.as_ref().filter(|document| {
                 sandtrack_protocol::configuration::Configuration::read(document).is_ok()
@@ -186,7 +213,14 @@
     }
 
     fn add(&mut self, now: Millis, kind: Kind, repeats: Option<usize>) -> usize {
-        self.orders.push(Order { kind, repeats, began: now, tries: 0, call: None, again_at: now });
+        self.orders.push(Order {
+            kind,
+            repeats,
+            began: now,
+            tries: 0,
+            call: None,
+            again_at: now,
+        });
         self.orders.len() - 1
     }
 
@@ -203,20 +237,29 @@
         }
         // While another waits to repeat or repeats one, nothing else is changed.
         let repeating = self.operators.iter().any(|other| {
-            other.repeat.is_some() || other.order.is_some_and(|order| self.orders[order].repeats.is_some())
+            other.repeat.is_some()
+                || other
+                    .order
+                    .is_some_and(|order| self.orders[order].repeats.is_some())
         });
         if repeating || operator == 1 && self.belief.version == 0 {
             return None;
         }
-        let other = self.operators[1 - operator].order.map(|order| self.orders[order].kind.clone());
+        let other = self.operators[1 - operator]
+            .order
+            .map(|order| self.orders[order].kind.clone());
         let races = matches!(&other, Some(Kind::Change { based_on, .. }) if *based_on == self.belief.version);
         let other_version = match &other {
-            Some(Kind::Change { document: Some(document), .. }) => Some(document.version),
+            Some(Kind::Change {
+                document: Some(document),
+                ..
+            }) => Some(document.version),
             _ => None,
         };
         // One of two that race picks the same number half of the time.
         let same = races && self.random.gen();
-        self.next_version = self.next_version.max(self.belief.version) + self.random.gen_range(1..4);
+        self.next_version =
+            self.next_version.max(self.belief.version) + self.random.gen_range(1..4);
         let version = other_version.filter(|_| same).unwrap_or(self.next_version);
         let _ = checks;
         // Two that race differ: one content is one change, sent twice.
@@ -237,15 +280,30 @@
         if based_on > 0 && self.random.gen_bool(0.3) {
             let body = documents::update(&mut self.random, version);
             let document = documents::update_in_force(&self.belief, &body);
-            return Kind::Change { based_on, document, replaces: false, body };
+            return Kind::Change {
+                based_on,
+                document,
+                replaces: false,
+                body,
+            };
         }
         let valid = !self.random.gen_bool(0.08);
-        let mut body = documents::whole(&mut self.random, version, self.ballast, valid || based_on == 0);
+        let mut body = documents::whole(
+            &mut self.random,
+            version,
+            self.ballast,
+            valid || based_on == 0,
+        );
         if !valid && based_on > 0 && self.random.gen() {
             body.truncate(body.len() / 2);
         }
         let document = documents::whole_in_force(&body);
-        Kind::Change { based_on, document, replaces: true, body }
+        Kind::Change {
+            based_on,
+            document,
+            replaces: true,
+            body,
+        }
     }
 
     /// Sends an order, for the first time or again.
@@ -258,7 +316,11 @@
         if order.call.is_some() || now < order.again_at || machines.is_empty() {
             return None;
         }
-        let most = if matches!(order.kind, Kind::Evacuate { .. }) { ACKNOWLEDGE_MS } else { GIVE_UP_MS };
+        let most = if matches!(order.kind, Kind::Evacuate { .. }) {
+            ACKNOWLEDGE_MS
+        } else {
+            GIVE_UP_MS
+        };
         let first_change = matches!(order.kind, Kind::Change { based_on: 0, .. });
         if now - order.began > most && !first_change {
             self.ended(now, operator, true);
@@ -275,7 +337,12 @@
         if self.busy && self.random.gen_bool(BROKEN_CHANCE) {
             order.call = None;
         }
-        Some(Outgoing { call: self.next_call, machine, message, about: format!("order {number}: {about}") })
+        Some(Outgoing {
+            call: self.next_call,
+            machine,
+            message,
+            about: format!("order {number}: {about}"),
+        })
     }
 
     /// The operator is done with its order.
@@ -284,7 +351,12 @@
         let known = &mut self.operators[operator];
         known.order = None;
         known.lost |= lost;
-        known.idle_until = now + if operator < 2 || self.busy { pause } else { pause.max(REST_MS) };
+        known.idle_until = now
+            + if operator < 2 || self.busy {
+                pause
+            } else {
+                pause.max(REST_MS)
+            };
     }
 
     /// What a call of an operator asked for.
@@ -295,7 +367,9 @@
     /// Orders under way, each with when it began.
     pub fn open(&self) -> Vec<(usize, Millis)> {
         let orders = self.operators.iter().filter_map(|operator| operator.order);
-        orders.map(|order| (order, self.orders[order].began)).collect()
+        orders
+            .map(|order| (order, self.orders[order].began))
+            .collect()
     }
 
     /// A connection broke before the answer came.
@@ -308,10 +382,20 @@
     /// An answer came; one that is late or not clear changes nothing.
     pub fn answer(&mut self, now: Millis, call: u64, status: u16, body: &str, checks: &mut Checks) {
         let waits = |operator: &Operator| {
-            operator.order.filter(|order| self.orders[*order].call.is_some_and(|(known, _)| known == call))
+            operator.order.filter(|order| {
+                self.orders[*order]
+                    .call
+                    .is_some_and(|(known, _)| known == call)
+            })
+        };
+        let found = self
+            .operators
+            .iter()
+            .enumerate()
+            .find_map(|(at, one)| Some((at, waits(one)?)));
+        let Some((operator, number)) = found else {
+            return;
         };
-        let found = self.operators.iter().enumerate().find_map(|(at, one)| Some((at, waits(one)?)));
-        let Some((operator, number)) = found else { return };
         self.orders[number].call = None;
         if status == SENT_ON {
             // It goes on elsewhere without a pause.
@@ -324,9 +408,13 @@
         self.answered += 1;
         let order = self.orders[number].clone();
         let lost = match order.kind {
-            Kind::Change { based_on, document, .. } => {
+            Kind::Change {
+                based_on, document, ..
+            } => {
                 let repeats = order.repeats;
-                self.changed(operator, number, repeats, based_on, document, status, checks)
+                self.changed(
+                    operator, number, repeats, based_on, document, status, checks,
+                )
             }
             Kind::Evacuate { zone, begin } => {
                 if status == 200 {
@@ -341,8 +429,14 @@
 
     #[allow(clippy::too_many_arguments)] // what is known of one answer
     fn changed(
-        &mut self, operator: usize, number: usize, repeats: Option<usize>, based_on: u64,
-        document: Option<Document>, status: u16, checks: &mut Checks,
+        &mut self,
+        operator: usize,
+        number: usize,
+        repeats: Option<usize>,
+        based_on: u64,
+        document: Option<Document>,
+        status: u16,
+        checks: &mut Checks,
     ) -> bool {
         if let Some(first) = repeats {
             checks.repeat_answered(first, status);
@@ -385,8 +479,16 @@
         let body = documents::whole(&mut self.random, self.next_version, self.ballast, true);
         let document = documents::whole_in_force(&body);
         let number = self.add(0.0, Kind::Read { at_least: 0 }, None);
-        checks.configuration_sent(number, self.next_version, document.as_ref().map(Document::to_json));
-        (number, based_on, documents::call("POST", "/v1/configuration/replace", based_on, &body))
+        checks.configuration_sent(
+            number,
+            self.next_version,
+            document.as_ref().map(Document::to_json),
+        );
+        (
+            number,
+            based_on,
+            documents::call("POST", "/v1/configuration/replace", based_on, &body),
+        )
     }
 
     pub fn believe(&mut self, document: Document) {
@@ -396,17 +498,28 @@
 
 fn message(kind: &Kind) -> (Message, String) {
     match kind {
-        Kind::Change { based_on, replaces, body, document } => {
+        Kind::Change {
+            based_on,
+            replaces,
+            body,
+            document,
+        } => {
             let verb = if *replaces { "replace" } else { "update" };
             let target = format!("/v1/configuration/{verb}");
             let version = document.as_ref().map(|document| document.version);
-            (documents::call("POST", &target, *based_on, body), format!("{verb} {based_on} by {version:?}"))
+            (
+                documents::call("POST", &target, *based_on, body),
+                format!("{verb} {based_on} by {version:?}"),
+            )
         }
         Kind::Evacuate { zone, begin } => {
             let verb = if *begin { "begin" } else { "finish" };
             let target = format!("/v1/evacuation/{}/{verb}", zone_name(*zone));
             (documents::call("POST", &target, 0, ""), target)
         }
-        Kind::Read { .. } => (documents::call("GET", "/v1/configuration/read", 0, ""), "read".to_owned()),
+        Kind::Read { .. } => (
+            documents::call("GET", "/v1/configuration/read", 0, ""),
+            "read".to_owned(),
+        ),
     }
 }
--- a/crates/sandtrack-simulation/src/plan.rs
+++ b/crates/sandtrack-simulation/src/plan.rs
@@ -226,7 +226,11 @@
             others: random.gen_range(2..5),
             far_zone: random.gen_bool(0.4),
             link_mbps: if slow_links { 10.0 } else { 1000.0 },
-            ballast: if random.gen_bool(0.1) { random.gen_range(20..200) } else { 0 },
+            ballast: if random.gen_bool(0.1) {
+                random.gen_range(20..200)
+            } else {
+                0
+            },
             span_ms,
             pace_ms: 1200.0,
             faults: mixed::faults(&mut random, core, span_ms, 1500.0),
@@ -241,7 +245,14 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let span_ms = 260_000.0;
         let faults = mixed::faults(&mut random, 3, span_ms, 6000.0);
-        Plan { pace_ms: 60.0, span_ms, faults, others: 2, core: 3, ..Plan::drawn(seed) }
+        Plan {
+            pace_ms: 60.0,
+            span_ms,
+            faults,
+            others: 2,
+            core: 3,
+            ..Plan::drawn(seed)
+        }
     }
 
     /// Closing faults again and again, in the middle and at the end, with others between them.
@@ -251,20 +262,41 @@
 
     /// All machines of the core are replaced at new addresses, again and again, and seed lists name the old ones.
     pub fn turnover(seed: u64) -> Plan {
-        Plan { stale_seeds: true, ..Plan::harsher(seed, 0x7475_726e, harsh::turnover) }
+        Plan {
+            stale_seeds: true,
+            ..Plan::harsher(seed, 0x7475_726e, harsh::turnover)
+        }
     }
 
     /// Slow nodes, lost zones, full disks and closing faults.
     pub fn harsh(seed: u64) -> Plan {
-        Plan { stale_seeds: seed.is_multiple_of(2), ..Plan::harsher(seed, 0x6861_7273, harsh::all_kinds) }
+        Plan {
+            stale_seeds: seed.is_multiple_of(2),
+            ..Plan::harsher(seed, 0x6861_7273, harsh::all_kinds)
+        }
     }
 
     /// A plan of 40 seconds with busy operators and clocks of their own.
-    fn harsher(seed: u64, salt: u64, faults: fn(&mut Pcg64Mcg, usize, Millis) -> Vec<Fault>) -> Plan {
+    fn harsher(
+        seed: u64,
+        salt: u64,
+        faults: fn(&mut Pcg64Mcg, usize, Millis) -> Vec<Fault>,
+    ) -> Plan {
         let span_ms = 40_000.0;
         let plan = Plan::drawn(seed);
-        let faults = faults(&mut Pcg64Mcg::seed_from_u64(seed ^ salt), plan.core, span_ms);
-        Plan { span_ms, faults, pace_ms: 500.0, own_clocks: true, busy_operators: true, ..plan }
+        let faults = faults(
+            &mut Pcg64Mcg::seed_from_u64(seed ^ salt),
+            plan.core,
+            span_ms,
+        );
+        Plan {
+            span_ms,
+            faults,
+            pace_ms: 500.0,
+            own_clocks: true,
+            busy_operators: true,
+            ..plan
+        }
     }
 }
 
--- a/crates/sandtrack-simulation/src/plan/harsh.rs
+++ b/crates/sandtrack-simulation/src/plan/harsh.rs
@@ -2,8 +2,8 @@
 //! distance within which one loss is borne.
 use super::mixed::{core_fault, extra, length, side_fault, target};
 use super::{
-    Acknowledged, Blow, DiskTrouble, Fault, Kind, Millis, Moment, ZoneBack, BACK_MOST_MS, CATCH_UP_MS,
-    FIRST_FAULT_MS, ZONES,
+    Acknowledged, Blow, DiskTrouble, Fault, Kind, Millis, Moment, ZoneBack, BACK_MOST_MS,
+    CATCH_UP_MS, FIRST_FAULT_MS, ZONES,
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -29,18 +29,33 @@
         2 => Kind::HerdPower,
         3 => Kind::Reload(target(random, core)),
         4 => closing_fault(random, core),
-        5 => Kind::ZoneLoss { zone: random.gen_range(0..ZONES), back: ZoneBack::OtherMachines },
-        _ => Kind::Replace { target: target(random, core), planned: random.gen() },
+        5 => Kind::ZoneLoss {
+            zone: random.gen_range(0..ZONES),
+            back: ZoneBack::OtherMachines,
+        },
+        _ => Kind::Replace {
+            target: target(random, core),
+            planned: random.gen(),
+        },
     })
 }
 
 pub(super) fn all_kinds(random: &mut Pcg64Mcg, core: usize, span_ms: Millis) -> Vec<Fault> {
     in_turn(random, span_ms, |random| match random.gen_range(0..12) {
         0..=2 => Kind::SlowNode(target(random, core)),
-        3 | 4 => Kind::ZoneLoss { zone: random.gen_range(0..ZONES), back: zone_back(random) },
-        5 | 6 => Kind::Disk { target: target(random, core), trouble: DiskTrouble::Full },
+        3 | 4 => Kind::ZoneLoss {
+            zone: random.gen_range(0..ZONES),
+            back: zone_back(random),
+        },
+        5 | 6 => Kind::Disk {
+            target: target(random, core),
+            trouble: DiskTrouble::Full,
+        },
         7 | 8 => closing_fault(random, core),
-        9 => Kind::Replace { target: target(random, core), planned: random.gen() },
+        9 => Kind::Replace {
+            target: target(random, core),
+            planned: random.gen(),
+        },
         10 => Kind::Reload(target(random, core)),
         _ => core_fault(random, core),
     })
@@ -48,17 +63,27 @@
 
 /// One costly fault after the other, each once the one before counts no more, with others beside them.
 fn in_turn(
-    random: &mut Pcg64Mcg, span_ms: Millis, mut kind: impl FnMut(&mut Pcg64Mcg) -> Kind,
+    random: &mut Pcg64Mcg,
+    span_ms: Millis,
+    mut kind: impl FnMut(&mut Pcg64Mcg) -> Kind,
 ) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut at: Millis = FIRST_FAULT_MS + random.gen_range(0.0..3000.0);
     while at < span_ms {
         let kind = kind(random);
-        let fault = Fault { at: at.round(), for_ms: how_long(random, kind).round(), kind };
+        let fault = Fault {
+            at: at.round(),
+            for_ms: how_long(random, kind).round(),
+            kind,
+        };
         if random.gen_bool(SIDE_CHANCE) {
             let after = random.gen_range(0.0..2000.0);
             let for_ms = random.gen_range(200.0..4000.0);
-            let side = Fault { at: (at + after).round(), for_ms, kind: side_fault(random) };
+            let side = Fault {
+                at: (at + after).round(),
+                for_ms,
+                kind: side_fault(random),
+            };
             faults.extend(Some(side).filter(|side| side.ends() < span_ms));
         }
         at = fault.ends() + until_back(kind) + CATCH_UP_MS + random.gen_range(0.0..2500.0);
@@ -83,27 +108,50 @@
 fn until_back(kind: Kind) -> Millis {
     match kind {
         Kind::Closing { .. } => BACK_MOST_MS + 500.0,
-        Kind::ZoneLoss { back: ZoneBack::OtherMachines, .. } => JOIN_MS,
+        Kind::ZoneLoss {
+            back: ZoneBack::OtherMachines,
+            ..
+        } => JOIN_MS,
         _ => extra(kind),
     }
 }
 
 fn zone_back(random: &mut Pcg64Mcg) -> ZoneBack {
-    [ZoneBack::WithDisks, ZoneBack::EmptyDisks, ZoneBack::OtherMachines][random.gen_range(0..3)]
+    [
+        ZoneBack::WithDisks,
+        ZoneBack::EmptyDisks,
+        ZoneBack::OtherMachines,
+    ][random.gen_range(0..3)]
 }
 
 fn closing_fault(random: &mut Pcg64Mcg, core: usize) -> Kind {
-    Kind::Closing { moment: moment(random), blow: blow(random, core) }
+    Kind::Closing {
+        moment: moment(random),
+        blow: blow(random, core),
+    }
 }
 
 fn moment(random: &mut Pcg64Mcg) -> Moment {
     // At the very moment, before the answer is there, or a little later.
     let most = [0.0, 5.0, 60.0][random.gen_range(0..3)];
-    let after_ms = if most > 0.0 { random.gen_range(0.0..most) } else { 0.0 };
+    let after_ms = if most > 0.0 {
+        random.gen_range(0.0..most)
+    } else {
+        0.0
+    };
     match random.gen_range(0..8) {
-        0..=3 => Moment::Acknowledged { of: Acknowledged::Change, after_ms },
-        4 | 5 => Moment::Acknowledged { of: Acknowledged::Evacuation, after_ms },
-        6 => Moment::Acknowledged { of: Acknowledged::Read, after_ms },
+        0..=3 => Moment::Acknowledged {
+            of: Acknowledged::Change,
+            after_ms,
+        },
+        4 | 5 => Moment::Acknowledged {
+            of: Acknowledged::Evacuation,
+            after_ms,
+        },
+        6 => Moment::Acknowledged {
+            of: Acknowledged::Read,
+            after_ms,
+        },
         _ => Moment::Sent { after_ms },
     }
 }
@@ -113,7 +161,13 @@
     match random.gen_range(0..6) {
         0 => Blow::Kill,
         1 | 2 => Blow::Power,
-        3 | 4 => Blow::Disk { target: target(random, core), all },
-        _ => Blow::ZoneDisks { zone: random.gen_range(0..ZONES), all },
+        3 | 4 => Blow::Disk {
+            target: target(random, core),
+            all,
+        },
+        _ => Blow::ZoneDisks {
+            zone: random.gen_range(0..ZONES),
+            all,
+        },
     }
 }
--- a/crates/sandtrack-simulation/src/plan/mixed.rs
+++ b/crates/sandtrack-simulation/src/plan/mixed.rs
@@ -4,7 +4,12 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Faults one after the other: those that cost a machine of the core keep the distance within which one is borne.
-pub(super) fn faults(random: &mut Pcg64Mcg, core: usize, span_ms: Millis, pause_ms: Millis) -> Vec<Fault> {
+pub(super) fn faults(
+    random: &mut Pcg64Mcg,
+    core: usize,
+    span_ms: Millis,
+    pause_ms: Millis,
+) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut at = FIRST_FAULT_MS;
     // When the last lost machine of the core counts again.
@@ -16,7 +21,11 @@
         } else {
             side_fault(random)
         };
-        let fault = Fault { at: at.round(), for_ms: length(kind, for_ms, random).round(), kind };
+        let fault = Fault {
+            at: at.round(),
+            for_ms: length(kind, for_ms, random).round(),
+            kind,
+        };
         if costs_a_machine(kind) {
             whole_at = fault.ends() + extra(kind) + CATCH_UP_MS;
         }
@@ -40,14 +49,21 @@
 pub(super) fn core_fault(random: &mut Pcg64Mcg, core: usize) -> Kind {
     let target = target(random, core);
     let cut = [Cut::BothWays, Cut::Outward, Cut::Inward][random.gen_range(0..3)];
-    let trouble = [DiskTrouble::Slow, DiskTrouble::Stalled, DiskTrouble::Full][random.gen_range(0..3)];
+    let trouble =
+        [DiskTrouble::Slow, DiskTrouble::Stalled, DiskTrouble::Full][random.gen_range(0..3)];
     match random.gen_range(0..16) {
         0 => Kind::Kill(target),
         1 => Kind::Power(target),
         2 | 3 => Kind::Freeze(target),
         4 => Kind::Terminate(target),
-        5 => Kind::Replace { target, planned: random.gen() },
-        6 => Kind::Wipe { target, all: random.gen_bool(0.3) },
+        5 => Kind::Replace {
+            target,
+            planned: random.gen(),
+        },
+        6 => Kind::Wipe {
+            target,
+            all: random.gen_bool(0.3),
+        },
         7 | 8 => Kind::Disk { target, trouble },
         9 | 10 => Kind::CoreCut { target, cut },
         11 => Kind::ZoneCut(random.gen_range(0..ZONES)),
@@ -70,7 +86,10 @@
 }
 
 fn costs_a_machine(kind: Kind) -> bool {
-    !matches!(kind, Kind::FrontCut(_) | Kind::FrontKill(_) | Kind::PlatformDown | Kind::AnswersLost)
+    !matches!(
+        kind,
+        Kind::FrontCut(_) | Kind::FrontKill(_) | Kind::PlatformDown | Kind::AnswersLost
+    )
 }
 
 pub(super) fn length(kind: Kind, for_ms: Millis, random: &mut Pcg64Mcg) -> Millis {
--- a/crates/sandtrack-simulation/src/search.rs
+++ b/crates/sandtrack-simulation/src/search.rs
@@ -16,8 +16,14 @@
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let what = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-        let broken = Broken { rule: "no_panic", what: what.unwrap_or_default() };
-        Outcome { broken: vec![broken], ..Outcome::default() }
+        let broken = Broken {
+            rule: "no_panic",
+            what: what.unwrap_or_default(),
+        };
+        Outcome {
+            broken: vec![broken],
+            ..Outcome::default()
+        }
     })
 }
 
@@ -35,7 +41,9 @@
 /// A number that is the same for two plays whose logs are the same, line by line.
 pub fn digest(lines: &[String]) -> u64 {
     let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
-    bytes.fold(FNV_START, |digest, byte| (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+    bytes.fold(FNV_START, |digest, byte| {
+        (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    })
 }
 
 /// A world that broke a rule.
@@ -66,7 +74,10 @@
         self.frames += outcome.frames;
         self.blows += outcome.blows;
         let failures = outcome.broken.into_iter();
-        self.failures.extend(failures.map(|broken| Failure { plan: plan.clone(), broken }));
+        self.failures.extend(failures.map(|broken| Failure {
+            plan: plan.clone(),
+            broken,
+        }));
     }
 }
 
@@ -79,7 +90,9 @@
 pub fn play_all_on(plans: &[Plan], threads: usize) -> Totals {
     let next = AtomicUsize::new(0);
     let totals = Mutex::new(Totals::default());
-    let threads = std::thread::available_parallelism().map_or(2, usize::from).min(threads.max(1));
+    let threads = std::thread::available_parallelism()
+        .map_or(2, usize::from)
+        .min(threads.max(1));
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
