--- a/crates/sandtrack-simulation/src/shrink.rs
+++ b/crates/sandtrack-simulation/src/shrink.rs
@@ -8,7 +8,10 @@
     while at < small.plan.faults.len() {
         let mut plan = small.plan.clone();
         plan.faults.remove(at);
-        let same = play(&plan).broken.into_iter().find(|broken| broken.rule == small.broken.rule);
+        let same = play(&plan)
+            .broken
+            .into_iter()
+            .find(|broken| broken.rule == small.broken.rule);
         match same {
             Some(broken) => small = Failure { plan, broken },
             None => at += 1,
--- a/crates/sandtrack-simulation/src/world/calm.rs
+++ b/crates/sandtrack-simulation/src/world/calm.rs
@@ -23,8 +23,11 @@
         }
         self.run(EVACUATION_MS);
         self.proxies_have(self.checks.newest_acknowledged(), CONFIGURATION_APPLY_MS);
-        let settled: Vec<(String, bool)> =
-            self.checks.settled_evacuations().map(|(zone, begun, _)| (zone.to_owned(), begun)).collect();
+        let settled: Vec<(String, bool)> = self
+            .checks
+            .settled_evacuations()
+            .map(|(zone, begun, _)| (zone.to_owned(), begun))
+            .collect();
         for (zone, begun) in settled {
             self.proxies_evacuated(&zone, begun);
         }
@@ -39,14 +42,21 @@
         let answer = self.ask_until(machine, &read());
         let status = answer.as_ref().map(|(status, _)| *status);
         let rule = format!("read at machine {machine}");
-        self.checks.acknowledged_in_calm(&rule, status, ACKNOWLEDGE_MS);
+        self.checks
+            .acknowledged_in_calm(&rule, status, ACKNOWLEDGE_MS);
         let Some((_, body)) = answer else { return };
-        let Some(document) = documents::whole_in_force(&body) else { return };
+        let Some(document) = documents::whole_in_force(&body) else {
+            return;
+        };
         self.checks.read_back(document.version, &body);
         self.operators.believe(document);
         let (order, based_on, message) = self.operators.last_change(&mut self.checks);
         let status = self.ask_until(machine, &message).map(|(status, _)| status);
-        self.checks.acknowledged_in_calm(&format!("change at machine {machine}"), status, ACKNOWLEDGE_MS);
+        self.checks.acknowledged_in_calm(
+            &format!("change at machine {machine}"),
+            status,
+            ACKNOWLEDGE_MS,
+        );
         if status == Some(200) {
             self.checks.acknowledged(order, based_on);
         }
@@ -60,7 +70,12 @@
             call += 1;
             self.later(
                 CLIENT_MS,
-                Event::OperatorCall { machine, call, message: message.clone(), came: None },
+                Event::OperatorCall {
+                    machine,
+                    call,
+                    message: message.clone(),
+                    came: None,
+                },
             );
             let silence = (self.now + 1000.0).min(until);
             self.direct = Some((call, None));
--- a/crates/sandtrack-simulation/src/world/closing.rs
+++ b/crates/sandtrack-simulation/src/world/closing.rs
@@ -35,14 +35,18 @@
     }
 
     pub(super) fn strike_all(&mut self, fault: usize) {
-        let Kind::Closing { blow, .. } = self.plan.faults[fault].kind else { return };
+        let Kind::Closing { blow, .. } = self.plan.faults[fault].kind else {
+            return;
+        };
         self.say(|| format!("fault {fault} strikes: {blow:?}"));
         self.troubled = self.now;
         self.blows += 1;
         let machines = self.present();
         match blow {
             Blow::Kill => machines.iter().for_each(|machine| self.killed(*machine)),
-            Blow::Power => machines.iter().for_each(|machine| self.without_power(*machine, false)),
+            Blow::Power => machines
+                .iter()
+                .for_each(|machine| self.without_power(*machine, false)),
             Blow::Disk { target, all } => {
                 let losers: Vec<usize> = self.core_machine(target).into_iter().collect();
                 self.lose_disks(&machines, &losers, all);
@@ -55,7 +59,9 @@
     }
 
     fn present(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|machine| !self.machines[*machine].removed).collect()
+        (0..self.machines.len())
+            .filter(|machine| !self.machines[*machine].removed)
+            .collect()
     }
 
     fn lose_disks(&mut self, machines: &[usize], losers: &[usize], all: bool) {
--- a/crates/sandtrack-simulation/src/world/connections.rs
+++ b/crates/sandtrack-simulation/src/world/connections.rs
@@ -28,7 +28,9 @@
     }
 
     pub(super) fn dialed(&mut self, connection: u64) {
-        let Some(known) = self.network.connections.get(&connection) else { return };
+        let Some(known) = self.network.connections.get(&connection) else {
+            return;
+        };
         let (from, to) = (known.ends[0].machine, known.ends[1].machine);
         if !self.network.is_open(from, to) || !self.network.is_open(to, from) {
             return;
@@ -38,19 +40,31 @@
         if stands {
             let life = self.machines[to].control_life;
             self.network.listen(connection, life);
-            self.later(0.0, Event::Accept { connection, machine: to, life });
+            self.later(
+                0.0,
+                Event::Accept {
+                    connection,
+                    machine: to,
+                    life,
+                },
+            );
         }
         self.later(delay, Event::Opened { connection, stands });
     }
 
     /// At the end that dialed.
     pub(super) fn opened(&mut self, connection: u64, stands: bool) {
-        let Some(known) = self.network.connections.get(&connection) else { return };
+        let Some(known) = self.network.connections.get(&connection) else {
+            return;
+        };
         let end = known.ends[0].clone();
         let Some(number) = end.number else { return };
         let machine = end.machine;
         // The kernel has it; the process hears of it when it runs again.
-        if self.waits(machine, Event::Opened { connection, stands }).is_none() {
+        if self
+            .waits(machine, Event::Opened { connection, stands })
+            .is_none()
+        {
             return;
         }
         match end.process {
@@ -59,7 +73,8 @@
                     return;
                 }
                 let control = self.machines[machine].control.as_mut();
-                let Some(control) = control.filter(|control| control.links.contains_key(&number)) else {
+                let Some(control) = control.filter(|control| control.links.contains_key(&number))
+                else {
                     return;
                 };
                 if stands {
@@ -77,7 +92,9 @@
                 if mine.proxy_life != end.life || !mine.proxy_connections.contains_key(&number) {
                     return;
                 }
-                let Some(proxy) = mine.proxy.as_mut() else { return };
+                let Some(proxy) = mine.proxy.as_mut() else {
+                    return;
+                };
                 if stands {
                     proxy.opened(now, number, &mut wishes);
                 } else {
@@ -91,11 +108,20 @@
 
     pub(super) fn accept(&mut self, connection: u64, machine: usize, life: u64) {
         let now = self.clock(machine);
-        let Some(port) = self.network.connections.get(&connection).map(|known| known.port) else { return };
+        let Some(port) = self
+            .network
+            .connections
+            .get(&connection)
+            .map(|known| known.port)
+        else {
+            return;
+        };
         if self.machines[machine].control_life != life {
             return;
         }
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         match port {
             Port::Peer => {
                 let link = control.node.link_accepted(now);
@@ -112,7 +138,9 @@
     }
 
     pub(super) fn arrive(&mut self, arrival: Arrival) {
-        let Some(end) = self.network.arrive(self.now, &arrival) else { return self.plan_arrivals() };
+        let Some(end) = self.network.arrive(self.now, &arrival) else {
+            return self.plan_arrivals();
+        };
         let side = 1 - arrival.from;
         let event = Event::Deliver {
             machine: end.machine,
@@ -126,10 +154,18 @@
     }
 
     pub(super) fn deliver(
-        &mut self, machine: usize, process: Process, life: u64, connection: u64, side: usize, item: Item,
+        &mut self,
+        machine: usize,
+        process: Process,
+        life: u64,
+        connection: u64,
+        side: usize,
+        item: Item,
     ) {
         self.frames += 1;
-        let Some(known) = self.network.connections.get(&connection) else { return };
+        let Some(known) = self.network.connections.get(&connection) else {
+            return;
+        };
         let (port, number) = (known.port, known.ends[side].number);
         let Some(number) = number else { return };
         if matches!(item, Item::End) {
@@ -146,18 +182,30 @@
         }
     }
 
-    pub(super) fn deliver_to_control(&mut self, machine: usize, port: Port, number: u64, item: Item) {
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+    pub(super) fn deliver_to_control(
+        &mut self,
+        machine: usize,
+        port: Port,
+        number: u64,
+        item: Item,
+    ) {
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         let input = match (port, item) {
             (Port::Peer, Item::Frame(bytes)) => match frames::take::<PeerFrame>(&bytes) {
-                Ok(Some((frame, _))) if control.links.contains_key(&number) => {
-                    Input::LinkFrame { link: number, frame }
-                }
+                Ok(Some((frame, _))) if control.links.contains_key(&number) => Input::LinkFrame {
+                    link: number,
+                    frame,
+                },
                 _ => return,
             },
             (Port::Session, Item::Frame(bytes)) => match frames::take::<ToControl>(&bytes) {
                 Ok(Some((frame, _))) if control.sessions.contains_key(&number) => {
-                    Input::SessionFrame { session: number, frame }
+                    Input::SessionFrame {
+                        session: number,
+                        frame,
+                    }
                 }
                 _ => return,
             },
@@ -176,7 +224,9 @@
     pub(super) fn deliver_to_proxy(&mut self, machine: usize, number: u64, item: Item) {
         let now = self.clock(machine);
         let mut wishes = Vec::new();
-        let Some(proxy) = self.machines[machine].proxy.as_mut() else { return };
+        let Some(proxy) = self.machines[machine].proxy.as_mut() else {
+            return;
+        };
         let before = proxy.version();
         match item {
             Item::Frame(bytes) => {
--- a/crates/sandtrack-simulation/src/world/control_effects.rs
+++ b/crates/sandtrack-simulation/src/world/control_effects.rs
@@ -21,7 +21,9 @@
     pub(super) fn input(&mut self, machine: usize, input: Input) {
         let now = self.clock(machine);
         log_lines::set_machine(machine);
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         let mut effects = Vec::new();
         control.node.handle(now, input, &mut effects);
         self.perform(machine, effects);
@@ -31,7 +33,9 @@
     /// Looks at what it shows now, and plans its next look.
     pub(super) fn after_input(&mut self, machine: usize) {
         let now = self.clock(machine);
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         let due = control.node.next_due();
         let plan = due < control.tick_at || control.tick_at <= now;
         if plan {
@@ -41,9 +45,16 @@
         let seen = (state.configuration_number(), state.evacuation_number());
         let before = std::mem::replace(&mut control.seen, seen);
         let configuration = (seen.0 != before.0).then(|| state.whole()).flatten();
-        let evacuated = (seen.1 != before.1).then(|| state.evacuated().map(str::to_owned).collect());
-        if let Some(ToProxy::Configuration { number, version, document }) = configuration {
-            self.checks.configuration_in_force(machine, number, version, document);
+        let evacuated =
+            (seen.1 != before.1).then(|| state.evacuated().map(str::to_owned).collect());
+        if let Some(ToProxy::Configuration {
+            number,
+            version,
+            document,
+        }) = configuration
+        {
+            self.checks
+                .configuration_in_force(machine, number, version, document);
         }
         if let Some(zones) = evacuated {
             self.say(|| format!("machine {machine}: evacuations {} are {zones:?}", seen.1));
@@ -51,7 +62,10 @@
         }
         if plan {
             let life = self.machines[machine].control_life;
-            let tick_at = self.machines[machine].control.as_ref().map_or(now, |control| control.tick_at);
+            let tick_at = self.machines[machine]
+                .control
+                .as_ref()
+                .map_or(now, |control| control.tick_at);
             self.later(tick_at - now, Event::Tick { machine, life });
         }
     }
@@ -64,10 +78,24 @@
                 Effect::Link(order) => self.link_order(machine, order),
                 Effect::Session(order) => self.session_order(machine, order),
                 Effect::Write { ticket, records } => {
-                    self.disk_order(machine, DiskOrder { ticket, records, rewrites: false });
+                    self.disk_order(
+                        machine,
+                        DiskOrder {
+                            ticket,
+                            records,
+                            rewrites: false,
+                        },
+                    );
                 }
                 Effect::Rewrite { ticket, records } => {
-                    self.disk_order(machine, DiskOrder { ticket, records, rewrites: true });
+                    self.disk_order(
+                        machine,
+                        DiskOrder {
+                            ticket,
+                            records,
+                            rewrites: true,
+                        },
+                    );
                 }
                 Effect::Fetch { .. } => self.fetch(machine, life),
                 Effect::Exit => {
@@ -83,18 +111,33 @@
 
     fn session_order(&mut self, machine: usize, order: SessionOrder) {
         let life = self.machines[machine].control_life;
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         match order {
             SessionOrder::Send { session, bytes } => {
                 if let Some((connection, side)) = control.sessions.get(&session).copied() {
-                    self.network.send(self.now, connection, side, Item::Frame(bytes));
+                    self.network
+                        .send(self.now, connection, side, Item::Frame(bytes));
                 }
             }
             SessionOrder::Close { session } => {
-                let Some((connection, side)) = control.sessions.remove(&session) else { return };
+                let Some((connection, side)) = control.sessions.remove(&session) else {
+                    return;
+                };
                 self.network.close(self.now, connection, side, false);
                 let (process, item) = (Process::Control, Item::End);
-                self.later(0.0, Event::Deliver { machine, process, life, connection, side, item });
+                self.later(
+                    0.0,
+                    Event::Deliver {
+                        machine,
+                        process,
+                        life,
+                        connection,
+                        side,
+                        item,
+                    },
+                );
             }
         }
     }
@@ -111,13 +154,25 @@
                 slots: 6,
                 ..UpstreamEntry::default()
             };
-            Call::Page(Page { entries: (1..=4).map(entry).collect(), next_token: None })
+            Call::Page(Page {
+                entries: (1..=4).map(entry).collect(),
+                next_token: None,
+            })
         };
-        self.later(PLATFORM_MS, Event::Called { machine, life, call });
+        self.later(
+            PLATFORM_MS,
+            Event::Called {
+                machine,
+                life,
+                call,
+            },
+        );
     }
 
     pub(super) fn disk_order(&mut self, machine: usize, order: DiskOrder) {
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         control.orders.push_back(order);
         if control.orders.len() == 1 {
             self.plan_disk(machine);
@@ -127,7 +182,13 @@
     /// Plans the end of what the disk is doing; a stalled one does nothing.
     pub(super) fn plan_disk(&mut self, machine: usize) {
         let mine = &self.machines[machine];
-        let Some(order) = mine.control.as_ref().and_then(|control| control.orders.front()) else { return };
+        let Some(order) = mine
+            .control
+            .as_ref()
+            .and_then(|control| control.orders.front())
+        else {
+            return;
+        };
         let slower = match mine.mode {
             Mode::Stalled => return,
             Mode::Slow(slower) => slower,
@@ -142,8 +203,12 @@
         if mine.control_life != life || mine.mode == Mode::Stalled {
             return;
         }
-        let Some(control) = mine.control.as_mut() else { return };
-        let Some(order) = control.orders.pop_front() else { return };
+        let Some(control) = mine.control.as_mut() else {
+            return;
+        };
+        let Some(order) = control.orders.pop_front() else {
+            return;
+        };
         let done = if order.rewrites {
             control.wal.rewrite(&order.records)
         } else {
@@ -165,7 +230,10 @@
     /// The disk works on while its process is frozen; what it tells waits.
     pub(super) fn disk_input(&mut self, machine: usize, life: u64, input: Input) {
         if self.machines[machine].frozen {
-            self.disk_waits.entry(machine).or_default().push((life, input));
+            self.disk_waits
+                .entry(machine)
+                .or_default()
+                .push((life, input));
             return;
         }
         self.input(machine, input);
@@ -175,22 +243,31 @@
         let life = self.machines[machine].control_life;
         match order {
             LinkOrder::Dial { link, address } => {
-                let Some(to) = machine_of(&address) else { return };
-                let connection = self.network.dial((machine, Process::Control, life, link), to, Port::Peer);
+                let Some(to) = machine_of(&address) else {
+                    return;
+                };
+                let connection =
+                    self.network
+                        .dial((machine, Process::Control, life, link), to, Port::Peer);
                 if let Some(control) = self.machines[machine].control.as_mut() {
                     control.links.insert(link, (connection, 0));
                 }
                 self.dial(connection, machine, to);
             }
             LinkOrder::Send { link, frame } => {
-                let Some(control) = self.machines[machine].control.as_ref() else { return };
+                let Some(control) = self.machines[machine].control.as_ref() else {
+                    return;
+                };
                 if let Some((connection, side)) = control.links.get(&link).copied() {
                     let bytes: Rc<[u8]> = frames::frame(&frame).into();
-                    self.network.send(self.now, connection, side, Item::Frame(bytes));
+                    self.network
+                        .send(self.now, connection, side, Item::Frame(bytes));
                 }
             }
             LinkOrder::Close { link } => {
-                let Some(control) = self.machines[machine].control.as_mut() else { return };
+                let Some(control) = self.machines[machine].control.as_mut() else {
+                    return;
+                };
                 if let Some((connection, side)) = control.links.remove(&link) {
                     self.network.close(self.now, connection, side, false);
                 }
--- a/crates/sandtrack-simulation/src/world/event_loop.rs
+++ b/crates/sandtrack-simulation/src/world/event_loop.rs
@@ -125,7 +125,10 @@
 
     pub(super) fn later(&mut self, after: Millis, event: Event) {
         self.order += 1;
-        self.events.insert((((self.now + after.max(0.0)) * 1000.0) as u64, self.order), event);
+        self.events.insert(
+            (((self.now + after.max(0.0)) * 1000.0) as u64, self.order),
+            event,
+        );
     }
 
     /// Whether it waits for a frozen machine, or for the steps of a slow one, instead.
@@ -143,7 +146,8 @@
     fn waits_for_steps(&mut self, machine: usize, event: Event) -> Option<Event> {
         let inbox = self.inboxes.entry(machine).or_default();
         let steps = &mut self.machines[machine].steps;
-        let is_next = std::mem::take(&mut steps.taken) || inbox.is_empty() && steps.busy_until <= self.now;
+        let is_next =
+            std::mem::take(&mut steps.taken) || inbox.is_empty() && steps.busy_until <= self.now;
         if is_next {
             steps.busy_until = self.now + steps.each_ms;
             return Some(event);
@@ -172,12 +176,18 @@
         if mine.frozen || mine.steps.each_ms == 0.0 {
             return;
         }
-        let Some(event) = self.inboxes.get_mut(&machine).and_then(VecDeque::pop_front) else { return };
+        let Some(event) = self.inboxes.get_mut(&machine).and_then(VecDeque::pop_front) else {
+            return;
+        };
         mine.steps.taken = true;
         self.happen(event);
         let mine = &mut self.machines[machine];
         mine.steps.taken = false;
-        if self.inboxes.get(&machine).is_some_and(|inbox| !inbox.is_empty()) {
+        if self
+            .inboxes
+            .get(&machine)
+            .is_some_and(|inbox| !inbox.is_empty())
+        {
             self.plan_step(machine);
         }
     }
@@ -193,21 +203,39 @@
         self.machines[machine].frozen = false;
         self.machines[machine].runs_since = self.now;
         self.take_what_waits(machine);
-        let (control, proxy) = (self.machines[machine].control_life, self.machines[machine].proxy_life);
+        let (control, proxy) = (
+            self.machines[machine].control_life,
+            self.machines[machine].proxy_life,
+        );
         for (life, input) in self.disk_waits.remove(&machine).unwrap_or_default() {
             if life == control {
                 self.input(machine, input);
             }
         }
-        self.later(0.0, Event::Tick { machine, life: control });
-        self.later(0.0, Event::ProxyTick { machine, life: proxy });
+        self.later(
+            0.0,
+            Event::Tick {
+                machine,
+                life: control,
+            },
+        );
+        self.later(
+            0.0,
+            Event::ProxyTick {
+                machine,
+                life: proxy,
+            },
+        );
     }
 
     pub(super) fn happen(&mut self, event: Event) {
         match event {
             Event::Tick { machine, life } => {
                 let mine = &self.machines[machine];
-                if mine.control_life == life && mine.is_running() && self.waits(machine, event).is_some() {
+                if mine.control_life == life
+                    && mine.is_running()
+                    && self.waits(machine, event).is_some()
+                {
                     self.input(machine, Input::Tick);
                 }
             }
@@ -216,39 +244,84 @@
             Event::Dialed { connection } => self.dialed(connection),
             Event::Opened { connection, stands } => self.opened(connection, stands),
             Event::DialLate { connection } => {
-                let waits =
-                    self.network.connections.get(&connection).is_some_and(|one| one.ends[1].life == 0);
+                let waits = self
+                    .network
+                    .connections
+                    .get(&connection)
+                    .is_some_and(|one| one.ends[1].life == 0);
                 if waits {
                     self.opened(connection, false);
                 }
             }
-            Event::Accept { connection, machine, life } => {
-                if let Some(Event::Accept { .. }) =
-                    self.waits(machine, Event::Accept { connection, machine, life })
-                {
+            Event::Accept {
+                connection,
+                machine,
+                life,
+            } => {
+                if let Some(Event::Accept { .. }) = self.waits(
+                    machine,
+                    Event::Accept {
+                        connection,
+                        machine,
+                        life,
+                    },
+                ) {
                     self.accept(connection, machine, life);
                 }
             }
             Event::Arrive(arrival) => self.arrive(arrival),
-            Event::Deliver { machine, process, life, connection, side, item } => {
-                let event = Event::Deliver { machine, process, life, connection, side, item };
+            Event::Deliver {
+                machine,
+                process,
+                life,
+                connection,
+                side,
+                item,
+            } => {
+                let event = Event::Deliver {
+                    machine,
+                    process,
+                    life,
+                    connection,
+                    side,
+                    item,
+                };
                 if let Some(Event::Deliver { item, .. }) = self.waits(machine, event) {
                     self.deliver(machine, process, life, connection, side, item);
                 }
             }
             Event::DiskDone { machine, life } => self.disk_done(machine, life),
-            Event::Called { machine, life, call } => {
-                if let Some(Event::Called { call, .. }) =
-                    self.waits(machine, Event::Called { machine, life, call })
-                {
+            Event::Called {
+                machine,
+                life,
+                call,
+            } => {
+                if let Some(Event::Called { call, .. }) = self.waits(
+                    machine,
+                    Event::Called {
+                        machine,
+                        life,
+                        call,
+                    },
+                ) {
                     if self.machines[machine].control_life == life {
                         self.input(machine, Input::Called(call));
                     }
                 }
             }
-            Event::OperatorCall { machine, call, message, came } => {
+            Event::OperatorCall {
+                machine,
+                call,
+                message,
+                came,
+            } => {
                 let came = came.unwrap_or(self.now);
-                let event = Event::OperatorCall { machine, call, message, came: Some(came) };
+                let event = Event::OperatorCall {
+                    machine,
+                    call,
+                    message,
+                    came: Some(came),
+                };
                 if let Some(Event::OperatorCall { message, .. }) = self.waits(machine, event) {
                     self.operator_call(machine, call, message, came);
                 }
@@ -268,9 +341,16 @@
                     self.proxies_have(version, CONFIGURATION_APPLY_MS);
                 }
             }
-            Event::Evacuated { zone, begun, number, since } => {
-                let settled =
-                    self.checks.settled_evacuations().any(|one| one == (zone.as_str(), begun, number));
+            Event::Evacuated {
+                zone,
+                begun,
+                number,
+                since,
+            } => {
+                let settled = self
+                    .checks
+                    .settled_evacuations()
+                    .any(|one| one == (zone.as_str(), begun, number));
                 if settled && self.troubled < since - IN_TOUCH_MS {
                     self.proxies_evacuated(&zone, begun);
                 }
--- a/crates/sandtrack-simulation/src/world/faults.rs
+++ b/crates/sandtrack-simulation/src/world/faults.rs
@@ -32,7 +32,9 @@
         self.troubled = self.now;
         self.active_faults.remove(&fault);
         self.armed.remove(&fault);
-        let Some(struck) = self.struck.remove(&fault) else { return };
+        let Some(struck) = self.struck.remove(&fault) else {
+            return;
+        };
         self.say(|| format!("fault {fault} ends: {kind:?}"));
         self.undo(kind, struck);
     }
@@ -41,7 +43,10 @@
     pub(super) fn core_machine(&mut self, target: Target) -> Option<usize> {
         let running = self.running_core();
         let chain = match target {
-            Target::Head | Target::Tail => self.newest_view().map(|(_, chain)| chain).unwrap_or_default(),
+            Target::Head | Target::Tail => self
+                .newest_view()
+                .map(|(_, chain)| chain)
+                .unwrap_or_default(),
             _ => Vec::new(),
         };
         let found = match target {
@@ -50,12 +55,16 @@
             Target::Acknowledged => self.last_acknowledged,
             Target::Number(number) => running.get(number % running.len().max(1)).copied(),
         };
-        found.filter(|machine| running.contains(machine)).or(running.first().copied())
+        found
+            .filter(|machine| running.contains(machine))
+            .or(running.first().copied())
     }
 
     pub(super) fn zone(&self, zone: usize) -> Vec<usize> {
         (0..self.machines.len())
-            .filter(|machine| self.machines[*machine].zone == zone && !self.machines[*machine].removed)
+            .filter(|machine| {
+                self.machines[*machine].zone == zone && !self.machines[*machine].removed
+            })
             .collect()
     }
 
@@ -81,7 +90,9 @@
 
     fn only_core(&self, ways: Vec<(usize, usize)>) -> Vec<(usize, usize)> {
         let is_core = |machine: usize| self.machines[machine].core;
-        ways.into_iter().filter(|(from, to)| is_core(*from) && is_core(*to)).collect()
+        ways.into_iter()
+            .filter(|(from, to)| is_core(*from) && is_core(*to))
+            .collect()
     }
 
     fn cut(&mut self, ways: Vec<(usize, usize)>) -> Struck {
@@ -289,7 +300,9 @@
         use crate::network::{Item, Process};
         for (connection, side) in self.network.of(machine, Process::Control) {
             if self.random.gen() {
-                let Some(known) = self.network.connections.get(&connection) else { continue };
+                let Some(known) = self.network.connections.get(&connection) else {
+                    continue;
+                };
                 let ends = known.ends.clone();
                 for end in [side, 1 - side] {
                     let one = ends[end].clone();
@@ -315,7 +328,9 @@
             }
             (_, Struck::Joins(machine)) => self.restart(machine, 0.0),
             (_, Struck::AllJoin(machines)) => {
-                machines.into_iter().for_each(|machine| self.restart(machine, 0.0));
+                machines
+                    .into_iter()
+                    .for_each(|machine| self.restart(machine, 0.0));
             }
             (Kind::Replace { planned: true, .. }, Struck::Machines(machines)) => {
                 for machine in machines {
@@ -326,7 +341,9 @@
             (Kind::AnswersLost, _) => self.answers_lost -= 1,
             (Kind::Closing { .. }, _) => {}
             (kind, Struck::Machines(machines)) => {
-                machines.into_iter().for_each(|machine| self.back(kind, machine));
+                machines
+                    .into_iter()
+                    .for_each(|machine| self.back(kind, machine));
             }
             (_, Struck::Nothing) => {}
         }
--- a/crates/sandtrack-simulation/src/world/operator_calls.rs
+++ b/crates/sandtrack-simulation/src/world/operator_calls.rs
@@ -15,7 +15,13 @@
 pub(super) const CLIENT_MS: Millis = 3.0;
 
 impl World {
-    pub(super) fn operator_call(&mut self, machine: usize, call: u64, message: Message, came: Millis) {
+    pub(super) fn operator_call(
+        &mut self,
+        machine: usize,
+        call: u64,
+        message: Message,
+        came: Millis,
+    ) {
         if self.network.is_dark(machine) {
             return;
         }
@@ -28,22 +34,42 @@
         };
         let number = control.node.call_begun(arrival);
         control.calls.insert(number, call);
-        self.input(machine, Input::Call { call: number, message });
+        self.input(
+            machine,
+            Input::Call {
+                call: number,
+                message,
+            },
+        );
     }
 
     pub(super) fn reply(&mut self, machine: usize, number: u64, reply: Reply) {
-        let Reply { status, body, location, .. } = reply;
-        let Some(control) = self.machines[machine].control.as_mut() else { return };
+        let Reply {
+            status,
+            body,
+            location,
+            ..
+        } = reply;
+        let Some(control) = self.machines[machine].control.as_mut() else {
+            return;
+        };
         let Some(call) = control.calls.remove(&number) else {
             self.status = Some(body);
             return;
         };
-        let alone_ms = self.machines[machine].alone_since.map_or(0.0, |since| self.now - since);
-        self.checks.definite_answer(machine, status, alone_ms, ALONE_MOST_MS);
-        let is_zone_order = matches!(self.operators.asked_by(call), Some(Acknowledged::Evacuation));
+        let alone_ms = self.machines[machine]
+            .alone_since
+            .map_or(0.0, |since| self.now - since);
+        self.checks
+            .definite_answer(machine, status, alone_ms, ALONE_MOST_MS);
+        let is_zone_order = matches!(
+            self.operators.asked_by(call),
+            Some(Acknowledged::Evacuation)
+        );
         let own = format!("http://{}:", ip(machine));
         let names_another = location.is_some_and(|location| !location.starts_with(&own));
-        self.checks.redirect(machine, status, is_zone_order, names_another);
+        self.checks
+            .redirect(machine, status, is_zone_order, names_another);
         if status == 200 {
             self.last_acknowledged = Some(machine);
             if let Some(what) = self.operators.asked_by(call) {
@@ -67,7 +93,8 @@
             let text: String = body.chars().take(80).collect();
             format!("operators: call {call} answered {status} {text}")
         });
-        self.operators.answer(self.now, call, status, body, &mut self.checks);
+        self.operators
+            .answer(self.now, call, status, body, &mut self.checks);
         self.plan_applied();
     }
 
@@ -79,16 +106,25 @@
     pub(super) fn plan_applied(&mut self) {
         let version = self.checks.newest_acknowledged();
         if version > std::mem::replace(&mut self.acknowledged_seen, version) {
-            let event = Event::Applied { version, since: self.now };
+            let event = Event::Applied {
+                version,
+                since: self.now,
+            };
             self.later(CONFIGURATION_APPLY_MS, event);
         }
         let settled = self.checks.settled_evacuations();
-        let settled: BTreeMap<String, (bool, u64)> =
-            settled.map(|(zone, begun, number)| (zone.to_owned(), (begun, number))).collect();
+        let settled: BTreeMap<String, (bool, u64)> = settled
+            .map(|(zone, begun, number)| (zone.to_owned(), (begun, number)))
+            .collect();
         for (zone, (begun, number)) in &settled {
             if self.settled_seen.get(zone) != Some(&(*begun, *number)) {
                 let (begun, number) = (*begun, *number);
-                let event = Event::Evacuated { zone: zone.clone(), begun, number, since: self.now };
+                let event = Event::Evacuated {
+                    zone: zone.clone(),
+                    begun,
+                    number,
+                    since: self.now,
+                };
                 self.later(EVACUATION_MS, event);
             }
         }
--- a/crates/sandtrack-simulation/src/world/processes.rs
+++ b/crates/sandtrack-simulation/src/world/processes.rs
@@ -28,7 +28,8 @@
     }
 
     pub(super) fn core(&self) -> Vec<usize> {
-        let there = |machine: &usize| self.machines[*machine].core && !self.machines[*machine].removed;
+        let there =
+            |machine: &usize| self.machines[*machine].core && !self.machines[*machine].removed;
         (0..self.machines.len()).filter(there).collect()
     }
 
@@ -63,7 +64,9 @@
         if self.random.gen_bool(0.3) {
             return NOBODY;
         }
-        let known: Vec<usize> = (0..self.machines.len()).filter(|known| self.machines[*known].core).collect();
+        let known: Vec<usize> = (0..self.machines.len())
+            .filter(|known| self.machines[*known].core)
+            .collect();
         known[self.random.gen_range(0..known.len())]
     }
 
@@ -83,7 +86,11 @@
         let (zone, first_start) = (mine.zone, std::mem::replace(&mut mine.first, false));
         let settings = settings(machine, zone, true, first_start, &self.seeds(machine));
         self.incarnations += 1;
-        let start = Start { incarnation: self.incarnations, recovered, disk: true };
+        let start = Start {
+            incarnation: self.incarnations,
+            recovered,
+            disk: true,
+        };
         log_lines::set_machine(machine);
         let (node, effects) = ControlNode::new(settings, start, self.clock(machine));
         self.say(|| format!("machine {machine}: control starts"));
@@ -120,7 +127,9 @@
 
     /// A process ends at once. With `dark` nobody is told.
     pub(super) fn kill_control(&mut self, machine: usize, dark: bool) {
-        let Some(mut control) = self.machines[machine].control.take() else { return };
+        let Some(mut control) = self.machines[machine].control.take() else {
+            return;
+        };
         self.machines[machine].control_life += 1;
         if let Some(order) = control.orders.pop_front() {
             // What the disk was doing is done up to some point.
--- a/crates/sandtrack-simulation/src/world/set_up.rs
+++ b/crates/sandtrack-simulation/src/world/set_up.rs
@@ -66,7 +66,8 @@
         let number = self.machines.len();
         self.machines.push(Machine::new(zone, core, first));
         let far = self.plan.far_zone && zone == 1;
-        self.network.add_machine(number, zone, far, self.plan.link_mbps);
+        self.network
+            .add_machine(number, zone, far, self.plan.link_mbps);
         self.set_clock(number);
         number
     }
--- a/crates/sandtrack-simulation/src/world/watch.rs
+++ b/crates/sandtrack-simulation/src/world/watch.rs
@@ -34,12 +34,25 @@
 
     fn give_up_connections(&mut self) {
         for (connection, side) in self.network.give_up(self.now) {
-            let Some(known) = self.network.connections.get(&connection) else { continue };
+            let Some(known) = self.network.connections.get(&connection) else {
+                continue;
+            };
             let end = known.ends[side].clone();
             self.network.close(self.now, connection, side, false);
             if end.number.is_some() {
-                let (machine, process, life, item) = (end.machine, end.process, end.life, Item::End);
-                self.later(0.0, Event::Deliver { machine, process, life, connection, side, item });
+                let (machine, process, life, item) =
+                    (end.machine, end.process, end.life, Item::End);
+                self.later(
+                    0.0,
+                    Event::Deliver {
+                        machine,
+                        process,
+                        life,
+                        connection,
+                        side,
+                        item,
+                    },
+                );
             }
         }
         self.plan_arrivals();
@@ -49,21 +62,41 @@
     fn machines_listed(&mut self) -> Vec<usize> {
         let core = self.core();
         self.listed.push_back((self.now, core));
-        while self.listed.front().is_some_and(|(at, _)| self.now - at > LIST_LAG_MS) && self.listed.len() > 1
+        while self
+            .listed
+            .front()
+            .is_some_and(|(at, _)| self.now - at > LIST_LAG_MS)
+            && self.listed.len() > 1
         {
             self.listed.pop_front();
         }
-        self.listed.front().map(|(_, machines)| machines.clone()).unwrap_or_default()
+        self.listed
+            .front()
+            .map(|(_, machines)| machines.clone())
+            .unwrap_or_default()
     }
 
     fn call_leaves(&mut self, outgoing: Outgoing) {
-        let Outgoing { call, machine, message, about } = outgoing;
+        let Outgoing {
+            call,
+            machine,
+            message,
+            about,
+        } = outgoing;
         self.say(|| format!("operators: call {call} to machine {machine}, {about}"));
         if self.operators.asked_by(call) == Some(Acknowledged::Change) {
             self.change_leaves();
         }
         let bytes = message.body.len() as f64 / (self.plan.link_mbps * 125.0);
-        self.later(CLIENT_MS + bytes, Event::OperatorCall { machine, call, message, came: None });
+        self.later(
+            CLIENT_MS + bytes,
+            Event::OperatorCall {
+                machine,
+                call,
+                message,
+                came: None,
+            },
+        );
     }
 
     /// An order is acknowledged within its time, from when the core was stable.
@@ -71,21 +104,28 @@
         let stable = self.troubled + STABLE_MS;
         for (order, began) in self.operators.open() {
             let waits_ms = self.now - began.max(stable);
-            self.checks.answered_when_stable(order, waits_ms, ACKNOWLEDGE_MS);
+            self.checks
+                .answered_when_stable(order, waits_ms, ACKNOWLEDGE_MS);
         }
     }
 
     /// Takes note of trouble, and of machines that have no way to a majority.
     pub(super) fn watch(&mut self) {
         let core = self.core();
-        let runs = |machine: &usize| self.machines[*machine].is_running() && !self.network.is_dark(*machine);
+        let runs = |machine: &usize| {
+            self.machines[*machine].is_running() && !self.network.is_dark(*machine)
+        };
         if !self.active_faults.is_empty() || !core.iter().all(runs) {
             self.troubled = self.now;
         }
         for machine in core.iter().copied() {
             let is_alone = self.is_alone(machine, &core);
             let since = &mut self.machines[machine].alone_since;
-            *since = if is_alone { since.or(Some(self.now)) } else { None };
+            *since = if is_alone {
+                since.or(Some(self.now))
+            } else {
+                None
+            };
         }
     }
 
@@ -98,7 +138,10 @@
         };
         let reached: Vec<usize> = core.iter().filter(reaches).copied().collect();
         let zone = self.machines[machine].zone;
-        2 * reached.len() <= core.len() && reached.iter().all(|other| self.machines[*other].zone == zone)
+        2 * reached.len() <= core.len()
+            && reached
+                .iter()
+                .all(|other| self.machines[*other].zone == zone)
     }
 
     /// Epoch and chain of the newest view that a running machine knows.
@@ -112,9 +155,17 @@
                 None => continue,
             };
             let message = documents::call("GET", "/v1/status", 0, "");
-            self.input(machine, Input::Call { call: number, message });
+            self.input(
+                machine,
+                Input::Call {
+                    call: number,
+                    message,
+                },
+            );
             let view = self.status.take().and_then(|body| view_of(&body));
-            if let Some(view) = view.filter(|view| newest.as_ref().is_none_or(|known| known.0 < view.0)) {
+            if let Some(view) =
+                view.filter(|view| newest.as_ref().is_none_or(|known| known.0 < view.0))
+            {
                 newest = Some(view);
             }
         }
@@ -127,6 +178,9 @@
     let value: serde_json::Value = serde_json::from_str(body).ok()?;
     let view = value.get("view")?;
     let chain = view.get("chain")?.as_array()?;
-    let chain = chain.iter().filter_map(|address| machine_of(address.as_str()?)).collect();
+    let chain = chain
+        .iter()
+        .filter_map(|address| machine_of(address.as_str()?))
+        .collect();
     Some((view.get("epoch")?.as_u64()?, chain))
 }
--- a/crates/sandtrack-simulation/tests/harsher_worlds.rs
+++ b/crates/sandtrack-simulation/tests/harsher_worlds.rs
@@ -13,10 +13,18 @@
         .failures
         .iter()
         .map(|failure| {
-            format!("seed {}: {}: {}", failure.plan.seed, failure.broken.rule, failure.broken.what)
+            format!(
+                "seed {}: {}: {}",
+                failure.plan.seed, failure.broken.rule, failure.broken.what
+            )
         })
         .collect();
-    assert!(failed.is_empty(), "{} rules broken:\n{}", failed.len(), failed.join("\n"));
+    assert!(
+        failed.is_empty(),
+        "{} rules broken:\n{}",
+        failed.len(),
+        failed.join("\n")
+    );
     assert!(totals.changes > 50 * USUAL, "{} changes", totals.changes);
     totals
 }
@@ -60,7 +68,10 @@
 
 /// Kinds of the plans of CI.
 fn kinds(plan: fn(u64) -> Plan) -> Vec<Kind> {
-    (1..=USUAL).flat_map(|seed| plan(seed).faults).map(|fault| fault.kind).collect()
+    (1..=USUAL)
+        .flat_map(|seed| plan(seed).faults)
+        .map(|fault| fault.kind)
+        .collect()
 }
 
 #[test]
@@ -69,15 +80,60 @@
     let closing = kinds(Plan::closing);
     let has = |kinds: &[Kind], is: fn(&Kind) -> bool| kinds.iter().any(is);
     assert!(has(&harsh, |kind| matches!(kind, Kind::SlowNode(_))));
-    assert!(has(&harsh, |kind| matches!(kind, Kind::Disk { trouble: DiskTrouble::Full, .. })));
-    assert!(has(&harsh, |kind| matches!(kind, Kind::ZoneLoss { back: ZoneBack::EmptyDisks, .. })));
-    assert!(has(&harsh, |kind| matches!(kind, Kind::ZoneLoss { back: ZoneBack::OtherMachines, .. })));
-    assert!(has(&closing, |kind| matches!(kind, Kind::Closing { blow: Blow::Kill, .. })));
-    assert!(has(&closing, |kind| matches!(kind, Kind::Closing { blow: Blow::Power, .. })));
-    assert!(has(&closing, |kind| matches!(kind, Kind::Closing { blow: Blow::Disk { all: true, .. }, .. })));
-    assert!(has(&closing, |kind| matches!(kind, Kind::Closing { blow: Blow::ZoneDisks { .. }, .. })));
+    assert!(has(&harsh, |kind| matches!(
+        kind,
+        Kind::Disk {
+            trouble: DiskTrouble::Full,
+            ..
+        }
+    )));
+    assert!(has(&harsh, |kind| matches!(
+        kind,
+        Kind::ZoneLoss {
+            back: ZoneBack::EmptyDisks,
+            ..
+        }
+    )));
+    assert!(has(&harsh, |kind| matches!(
+        kind,
+        Kind::ZoneLoss {
+            back: ZoneBack::OtherMachines,
+            ..
+        }
+    )));
+    assert!(has(&closing, |kind| matches!(
+        kind,
+        Kind::Closing {
+            blow: Blow::Kill,
+            ..
+        }
+    )));
+    assert!(has(&closing, |kind| matches!(
+        kind,
+        Kind::Closing {
+            blow: Blow::Power,
+            ..
+        }
+    )));
+    assert!(has(&closing, |kind| matches!(
+        kind,
+        Kind::Closing {
+            blow: Blow::Disk { all: true, .. },
+            ..
+        }
+    )));
+    assert!(has(&closing, |kind| matches!(
+        kind,
+        Kind::Closing {
+            blow: Blow::ZoneDisks { .. },
+            ..
+        }
+    )));
     let replaced = kinds(Plan::turnover);
-    let replaced = replaced.iter().filter(|kind| matches!(kind, Kind::Replace { .. })).count();
+    let replaced = replaced
+        .iter()
+        .filter(|kind| matches!(kind, Kind::Replace { .. }))
+        .count();
     assert!(replaced as u64 > USUAL, "{replaced} machines replaced");
 }
 
--- a/crates/sandtrack-simulation/tests/judge.rs
+++ b/crates/sandtrack-simulation/tests/judge.rs
@@ -39,7 +39,9 @@
 #[test]
 fn a_change_that_came_after_another_than_it_was_based_on_is_found() {
     let mut checks = Checks::default();
-    for (order, based_on, version, document) in [(0, 0, 1, "one"), (1, 1, 2, "two"), (2, 1, 3, "three")] {
+    for (order, based_on, version, document) in
+        [(0, 0, 1, "one"), (1, 1, 2, "two"), (2, 1, 3, "three")]
+    {
         checks.configuration_sent(order, version, Some(document.to_owned()));
         checks.configuration_in_force(0, version, version, document.to_owned());
         if order != 1 {
@@ -116,7 +118,8 @@
     checks.redirect(0, 200, false, false);
     checks.redirect(0, 307, true, true);
     assert!(checks.broken.is_empty());
-    for (status, is_zone_order, names_another) in [(307, false, true), (307, true, false), (302, true, true)]
+    for (status, is_zone_order, names_another) in
+        [(307, false, true), (307, true, false), (302, true, true)]
     {
         let mut checks = Checks::default();
         checks.redirect(0, status, is_zone_order, names_another);
--- a/crates/sandtrack-simulation/tests/time_of_day.rs
+++ b/crates/sandtrack-simulation/tests/time_of_day.rs
@@ -4,7 +4,16 @@
 use std::path::{Path, PathBuf};
 
 /// What control nodes and proxies are built from.
-const PARTS: [&str; 8] = ["control", "core", "net", "protocol", "proxy", "replication", "settings", "wal"];
+const PARTS: [&str; 8] = [
+    "control",
+    "core",
+    "net",
+    "protocol",
+    "proxy",
+    "replication",
+    "settings",
+    "wal",
+];
 /// Ways to the time of day, in the standard library and in others.
 const WAYS: [&str; 9] = [
     "SystemTime::now",
@@ -33,13 +42,18 @@
 
 /// Path and text of all sources.
 fn texts() -> Vec<(String, String)> {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the folder of crates");
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .parent()
+        .expect("the folder of crates");
     let mut found = Vec::new();
     for part in PARTS {
         sources(&crates.join(format!("sandtrack-{part}/src")), &mut found);
     }
     let text = |path: &PathBuf| fs::read_to_string(path).expect("a text");
-    found.iter().map(|path| (path.display().to_string(), text(path))).collect()
+    found
+        .iter()
+        .map(|path| (path.display().to_string(), text(path)))
+        .collect()
 }
 
 #[test]
@@ -56,10 +70,25 @@
 #[test]
 fn system_time_is_only_the_age_of_the_settings_file() {
     let texts = texts();
-    let named: Vec<&(String, String)> =
-        texts.iter().filter(|(_, text)| text.contains("SystemTime")).collect();
-    let [(path, text)] = named.as_slice() else { panic!("{} sources name it", named.len()) };
+    let named: Vec<&(String, String)> = texts
+        .iter()
+        .filter(|(_, text)| text.contains("SystemTime"))
+        .collect();
+    let [(path, text)] = named.as_slice() else {
+        panic!("{} sources name it", named.len())
+    };
     assert!(path.ends_with(WATCHES_SETTINGS), "{path}");
-    let uses: Vec<&str> = text.lines().map(str::trim).filter(|line| line.contains("SystemTime")).collect();
-    assert_eq!(uses, ["use std::time::SystemTime;", "type Stamp = (SystemTime, u64);"], "{path}");
+    let uses: Vec<&str> = text
+        .lines()
+        .map(str::trim)
+        .filter(|line| line.contains("SystemTime"))
+        .collect();
+    assert_eq!(
+        uses,
+        [
+            "use std::time::SystemTime;",
+            "type Stamp = (SystemTime, u64);"
+        ],
+        "{path}"
+    );
 }
--- a/crates/sandtrack-simulation/tests/worlds.rs
+++ b/crates/sandtrack-simulation/tests/worlds.rs
@@ -12,7 +12,9 @@
 fn worlds() -> &'static Totals {
     static WORLDS: OnceLock<Totals> = OnceLock::new();
     WORLDS.get_or_init(|| {
-        let count = std::env::var("SANDTRACK_WORLDS").ok().and_then(|count| count.parse().ok());
+        let count = std::env::var("SANDTRACK_WORLDS")
+            .ok()
+            .and_then(|count| count.parse().ok());
         let plans: Vec<Plan> = (1..=count.unwrap_or(USUAL)).map(Plan::drawn).collect();
         play_all(&plans)
     })
@@ -25,7 +27,15 @@
 }
 
 fn hold(totals: &Totals, is_meant: impl Fn(&str) -> bool) {
-    let Totals { worlds, calls, changes, views, frames, blows, failures } = totals;
+    let Totals {
+        worlds,
+        calls,
+        changes,
+        views,
+        frames,
+        blows,
+        failures,
+    } = totals;
     println!(
         "{worlds} worlds, {calls} calls, {changes} changes, {views} views, {frames} frames, {blows} closing faults"
     );
@@ -33,10 +43,18 @@
         .iter()
         .filter(|failure| is_meant(failure.broken.rule))
         .map(|failure| {
-            format!("seed {}: {}: {}", failure.plan.seed, failure.broken.rule, failure.broken.what)
+            format!(
+                "seed {}: {}: {}",
+                failure.plan.seed, failure.broken.rule, failure.broken.what
+            )
         })
         .collect();
-    assert!(failed.is_empty(), "{} of {worlds} worlds failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(
+        failed.is_empty(),
+        "{} of {worlds} worlds failed:\n{}",
+        failed.len(),
+        failed.join("\n")
+    );
 }
 
 #[test]
@@ -62,7 +80,11 @@
 #[test]
 fn a_world_plays_the_same_again() {
     for seed in [3, 4, 7] {
-        assert_eq!(play(&Plan::drawn(seed)), play(&Plan::drawn(seed)), "seed {seed}");
+        assert_eq!(
+            play(&Plan::drawn(seed)),
+            play(&Plan::drawn(seed)),
+            "seed {seed}"
+        );
     }
 }
 
--- a/crates/sandtrack-simulator-adapter/src/host.rs
+++ b/crates/sandtrack-simulator-adapter/src/host.rs
@@ -44,14 +44,19 @@
 
 impl Host {
     pub fn new(fleet: bool) -> Self {
-        Host { fleet, ..Host::default() }
+        Host {
+            fleet,
+            ..Host::default()
+        }
     }
 
     /// Takes one line and gives its reply; an error says what is wrong with the line.
     pub fn batch(&mut self, line: &[u8]) -> Result<wire::Reply, String> {
         // serde would take an array for the object's fields in order.
         if line.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'[') {
-            return Err("not a batch: an array in place of an object with wall and events".to_owned());
+            return Err(
+                "not a batch: an array in place of an object with wall and events".to_owned(),
+            );
         }
         let batch: wire::Batch = serde_json::from_slice(line).map_err(|e| e.to_string())?;
         let mut reply = wire::Reply::default();
@@ -61,12 +66,26 @@
         Ok(reply)
     }
 
-    fn event(&mut self, now: Millis, event: wire::Event, reply: &mut wire::Reply) -> Result<(), String> {
+    fn event(
+        &mut self,
+        now: Millis,
+        event: wire::Event,
+        reply: &mut wire::Reply,
+    ) -> Result<(), String> {
         let (sidecar, event) = match event {
-            wire::Event::PowerOn { sidecar, prng, config } => {
-                let checked = config.checked().map_err(|fault| format!("config.{fault}"))?;
+            wire::Event::PowerOn {
+                sidecar,
+                prng,
+                config,
+            } => {
+                let checked = config
+                    .checked()
+                    .map_err(|fault| format!("config.{fault}"))?;
                 let zone = checked.zones.name(checked.settings.zone.0);
-                let talk = self.fleet.then(|| Talk::new(&checked.settings, zone, prng, now)).flatten();
+                let talk = self
+                    .fleet
+                    .then(|| Talk::new(&checked.settings, zone, prng, now))
+                    .flatten();
                 let instance = Instance::new(sidecar.clone(), prng, checked, talk);
                 self.instances.insert(sidecar.clone(), instance);
                 self.deliver(now, &sidecar, Event::Start, reply)?;
@@ -88,17 +107,28 @@
                 }
                 return Ok(());
             }
-            wire::Event::DirectoryUpdate { sidecar, scope, list } => {
+            wire::Event::DirectoryUpdate {
+                sidecar,
+                scope,
+                list,
+            } => {
                 let kind = match scope {
-                    wire::Scope::Broken => return self.deliver(now, &sidecar, Event::ListBroken, reply),
+                    wire::Scope::Broken => {
+                        return self.deliver(now, &sidecar, Event::ListBroken, reply)
+                    }
                     wire::Scope::Patch => ListKind::Patch,
                     wire::Scope::Whole => ListKind::Whole,
                     wire::Scope::StaleCopy => ListKind::Stale,
                 };
-                let Some(instance) = self.instances.get_mut(&sidecar) else { return Ok(()) };
+                let Some(instance) = self.instances.get_mut(&sidecar) else {
+                    return Ok(());
+                };
                 let members = self.pools.get(&list).cloned();
                 let members = members.ok_or_else(|| format!("list: no Pool numbered {list}"))?;
-                let entries = members.iter().map(|member| instance.entry(member)).collect();
+                let entries = members
+                    .iter()
+                    .map(|member| instance.entry(member))
+                    .collect();
                 (sidecar, Event::List { kind, entries })
             }
             wire::Event::JobIn {
@@ -111,11 +141,16 @@
                 partition_key,
                 cost_guess,
             } => {
-                let Some(instance) = self.instances.get(&sidecar) else { return Ok(()) };
+                let Some(instance) = self.instances.get(&sidecar) else {
+                    return Ok(());
+                };
                 let number = instance.classes.iter().position(|name| *name == class);
-                let class = number.ok_or_else(|| format!("class: {class:?} is not in the settings"))?;
+                let class =
+                    number.ok_or_else(|| format!("class: {class:?} is not in the settings"))?;
                 let tenant = match project {
-                    Some(wire::Tenant::Name(name)) => instance.tenants.iter().position(|t| *t == name),
+                    Some(wire::Tenant::Name(name)) => {
+                        instance.tenants.iter().position(|t| *t == name)
+                    }
                     _ => None,
                 };
                 let arrival = Arrival {
@@ -129,17 +164,51 @@
                 };
                 (sidecar, Event::Request(arrival))
             }
-            wire::Event::Sampled { sidecar, elapsed, code, upstream, telemetry } => {
-                let Some(instance) = self.instances.get(&sidecar) else { return Ok(()) };
-                let Some(number) = instance.upstreams.number(&upstream) else { return Ok(()) };
+            wire::Event::Sampled {
+                sidecar,
+                elapsed,
+                code,
+                upstream,
+                telemetry,
+            } => {
+                let Some(instance) = self.instances.get(&sidecar) else {
+                    return Ok(());
+                };
+                let Some(number) = instance.upstreams.number(&upstream) else {
+                    return Ok(());
+                };
                 let ok = matches!(code, wire::Code::Ok);
                 let report = telemetry.map(report);
-                (sidecar, Event::Probed { upstream: UpstreamId(number), elapsed, ok, report })
+                (
+                    sidecar,
+                    Event::Probed {
+                        upstream: UpstreamId(number),
+                        elapsed,
+                        ok,
+                        report,
+                    },
+                )
             }
-            wire::Event::Opened { sidecar, call, round_no } => {
-                (sidecar, Event::Opened { request: RequestId(call.0), attempt: round_no })
-            }
-            wire::Event::Done { sidecar, call, round_no, code, elapsed, closed, telemetry } => {
+            wire::Event::Opened {
+                sidecar,
+                call,
+                round_no,
+            } => (
+                sidecar,
+                Event::Opened {
+                    request: RequestId(call.0),
+                    attempt: round_no,
+                },
+            ),
+            wire::Event::Done {
+                sidecar,
+                call,
+                round_no,
+                code,
+                elapsed,
+                closed,
+                telemetry,
+            } => {
                 let event = Event::Finished(Finished {
                     request: RequestId(call.0),
                     attempt: round_no,
@@ -150,19 +219,37 @@
                 });
                 (sidecar, event)
             }
-            wire::Event::ClientGone { sidecar, call } => (sidecar, Event::ClientGone(RequestId(call.0))),
-            wire::Event::Memo { sidecar, origin_peer, content } => {
+            wire::Event::ClientGone { sidecar, call } => {
+                (sidecar, Event::ClientGone(RequestId(call.0)))
+            }
+            wire::Event::Memo {
+                sidecar,
+                origin_peer,
+                content,
+            } => {
                 let content = bytes(&content).ok_or("content: not hex digits")?;
                 let instance = self.instances.get_mut(&sidecar);
                 if let Some(talk) = instance.and_then(|instance| instance.talk.as_mut()) {
                     talk.payload(origin_peer, &content, now);
                     return self.converse(now, &sidecar, reply);
                 }
-                (sidecar, Event::Message { from: origin_peer, content })
+                (
+                    sidecar,
+                    Event::Message {
+                        from: origin_peer,
+                        content,
+                    },
+                )
             }
             wire::Event::Due { sidecar, nonce } => {
-                let Some(instance) = self.instances.get_mut(&sidecar) else { return Ok(()) };
-                if instance.talk.as_mut().is_some_and(|talk| talk.woken(nonce, now)) {
+                let Some(instance) = self.instances.get_mut(&sidecar) else {
+                    return Ok(());
+                };
+                if instance
+                    .talk
+                    .as_mut()
+                    .is_some_and(|talk| talk.woken(nonce, now))
+                {
                     return self.converse(now, &sidecar, reply);
                 }
                 if !instance.wakes.remove(&nonce) {
@@ -175,32 +262,60 @@
     }
 
     /// Carries on what its part in the fleet wants.
-    fn converse(&mut self, now: Millis, sidecar: &str, reply: &mut wire::Reply) -> Result<(), String> {
-        let Some(instance) = self.instances.get_mut(sidecar) else { return Ok(()) };
-        let Some(talk) = &mut instance.talk else { return Ok(()) };
+    fn converse(
+        &mut self,
+        now: Millis,
+        sidecar: &str,
+        reply: &mut wire::Reply,
+    ) -> Result<(), String> {
+        let Some(instance) = self.instances.get_mut(sidecar) else {
+            return Ok(());
+        };
+        let Some(talk) = &mut instance.talk else {
+            return Ok(());
+        };
         let turn = talk.turn(now, &mut instance.next_wake);
         for (dest, bytes) in turn.payloads {
             let content = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-            reply.decisions.push(wire::Decision::WritePeer { sidecar: sidecar.to_owned(), dest, content });
+            reply.decisions.push(wire::Decision::WritePeer {
+                sidecar: sidecar.to_owned(),
+                dest,
+                content,
+            });
         }
         if let Some((nonce, at)) = turn.wake {
             let (sidecar, instant) = (sidecar.to_owned(), at as Millis);
-            reply.decisions.push(wire::Decision::Schedule { sidecar, instant, nonce });
+            reply.decisions.push(wire::Decision::Schedule {
+                sidecar,
+                instant,
+                nonce,
+            });
         }
         match turn.settings {
-            Some(settings) => self.deliver(now, sidecar, Event::Settings(Box::new(settings)), reply),
+            Some(settings) => {
+                self.deliver(now, sidecar, Event::Settings(Box::new(settings)), reply)
+            }
             None => Ok(()),
         }
     }
 
     fn deliver(
-        &mut self, now: Millis, sidecar: &str, event: Event, reply: &mut wire::Reply,
+        &mut self,
+        now: Millis,
+        sidecar: &str,
+        event: Event,
+        reply: &mut wire::Reply,
     ) -> Result<(), String> {
-        let Some(instance) = self.instances.get_mut(sidecar) else { return Ok(()) };
+        let Some(instance) = self.instances.get_mut(sidecar) else {
+            return Ok(());
+        };
         let actions = &mut self.scratch;
         actions.clear();
         if let Err(message) = guarded(|| instance.balancer.handle(now, event, actions)) {
-            reply.decisions.push(wire::Decision::GiveIn { sidecar: sidecar.to_owned(), message });
+            reply.decisions.push(wire::Decision::GiveIn {
+                sidecar: sidecar.to_owned(),
+                message,
+            });
             self.instances.remove(sidecar);
             return Ok(());
         }
@@ -248,22 +363,47 @@
         let sidecar = self.name.clone();
         let upstream = |id: UpstreamId| self.upstreams.name(id.0).to_owned();
         match action {
-            Action::Send { request, upstream: to } => {
-                wire::Decision::Issue { sidecar, call: wire::Call(request.0), upstream: upstream(to) }
-            }
-            Action::Refuse { request, retry_after } => {
-                wire::Decision::Refuse { sidecar, call: wire::Call(request.0), retry_after }
-            }
-            Action::Fail { request } => wire::Decision::GiveUp { sidecar, call: wire::Call(request.0) },
-            Action::Cancel { request, attempt } => {
-                wire::Decision::Recall { sidecar, call: wire::Call(request.0), round_no: attempt }
-            }
-            Action::Probe { upstream: to } => wire::Decision::Check { sidecar, upstream: upstream(to) },
-            Action::Subscribe => wire::Decision::Tail { sidecar, enable: true },
+            Action::Send {
+                request,
+                upstream: to,
+            } => wire::Decision::Issue {
+                sidecar,
+                call: wire::Call(request.0),
+                upstream: upstream(to),
+            },
+            Action::Refuse {
+                request,
+                retry_after,
+            } => wire::Decision::Refuse {
+                sidecar,
+                call: wire::Call(request.0),
+                retry_after,
+            },
+            Action::Fail { request } => wire::Decision::GiveUp {
+                sidecar,
+                call: wire::Call(request.0),
+            },
+            Action::Cancel { request, attempt } => wire::Decision::Recall {
+                sidecar,
+                call: wire::Call(request.0),
+                round_no: attempt,
+            },
+            Action::Probe { upstream: to } => wire::Decision::Check {
+                sidecar,
+                upstream: upstream(to),
+            },
+            Action::Subscribe => wire::Decision::Tail {
+                sidecar,
+                enable: true,
+            },
             Action::Wake { at } => {
                 self.next_wake += 1;
                 self.wakes.insert(self.next_wake);
-                wire::Decision::Schedule { sidecar, instant: at, nonce: self.next_wake }
+                wire::Decision::Schedule {
+                    sidecar,
+                    instant: at,
+                    nonce: self.next_wake,
+                }
             }
             Action::Log(message) => wire::Decision::Remark { sidecar, message },
         }
@@ -274,7 +414,10 @@
     if !hex.is_ascii() || !hex.len().is_multiple_of(2) {
         return None;
     }
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).ok()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).ok())
+        .collect()
 }
 
 fn report(telemetry: wire::Telemetry) -> Report {
@@ -307,7 +450,10 @@
     fn a_panic_becomes_its_message_and_ends_nothing_else() {
         assert_eq!(guarded(|| panic!("plain")), Err("plain".to_owned()));
         assert_eq!(guarded(|| panic!("with {}", 7)), Err("with 7".to_owned()));
-        assert_eq!(guarded(|| std::panic::panic_any(7)), Err("panic".to_owned()));
+        assert_eq!(
+            guarded(|| std::panic::panic_any(7)),
+            Err("panic".to_owned())
+        );
         assert_eq!(guarded(|| ()), Ok(()));
     }
 }
--- a/crates/sandtrack-simulator-adapter/src/talk.rs
+++ b/crates/sandtrack-simulator-adapter/src/talk.rs
@@ -61,7 +61,12 @@
         let mut fleet = Fleet::new(identity, seed, now);
         fleet.start(now);
         let budget = Budget::new(settings.siblings, now);
-        Some(Talk { fleet, budget, settings: settings.clone(), wake: None })
+        Some(Talk {
+            fleet,
+            budget,
+            settings: settings.clone(),
+            wake: None,
+        })
     }
 
     pub fn payload(&mut self, from: u32, content: &[u8], wall: f64) {
@@ -88,12 +93,19 @@
         let counted = siblings != self.settings.siblings;
         self.settings.siblings = siblings;
         // A wake for later than it is due would be late; one that is early is asked for anew.
-        let due = self.fleet.next_due().filter(|due| self.wake.is_none_or(|(_, at)| *due < at));
+        let due = self
+            .fleet
+            .next_due()
+            .filter(|due| self.wake.is_none_or(|(_, at)| *due < at));
         let wake = due.map(|due| {
             *last_wake += 1;
             (*last_wake, due.max(now + 1))
         });
         self.wake = wake.or(self.wake);
-        Turn { payloads, settings: counted.then(|| self.settings.clone()), wake }
+        Turn {
+            payloads,
+            settings: counted.then(|| self.settings.clone()),
+            wake,
+        }
     }
 }
--- a/crates/sandtrack-simulator-adapter/tests/wire.rs
+++ b/crates/sandtrack-simulator-adapter/tests/wire.rs
@@ -25,8 +25,15 @@
     drop(input);
     let output = child.wait_with_output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
-    let replies = text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-    (output.status.code().unwrap(), replies, String::from_utf8(output.stderr).unwrap())
+    let replies = text
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
+    (
+        output.status.code().unwrap(),
+        replies,
+        String::from_utf8(output.stderr).unwrap(),
+    )
 }
 
 fn batch(wall: f64, events: Value) -> String {
@@ -67,7 +74,12 @@
 }
 
 fn commands(reply: &Value) -> Vec<&str> {
-    reply["decisions"].as_array().unwrap().iter().map(|d| d["cmd"].as_str().unwrap()).collect()
+    reply["decisions"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|d| d["cmd"].as_str().unwrap())
+        .collect()
 }
 
 #[test]
@@ -85,7 +97,10 @@
         ),
         batch(1002.0, json!([job("sidecar/1", call, "read")])),
         batch(1014.0, json!([done.clone()])),
-        batch(1015.0, json!([done, {"cmd": "Due", "sidecar": "sidecar/1", "nonce": 987654}])),
+        batch(
+            1015.0,
+            json!([done, {"cmd": "Due", "sidecar": "sidecar/1", "nonce": 987654}]),
+        ),
     ]);
     assert_eq!((status, errors.as_str()), (0, ""));
     assert_eq!(replies.len(), 6);
@@ -94,7 +109,10 @@
     assert!(first.contains(&"Tail") && first.contains(&"Check") && first.contains(&"Schedule"));
     let issue = &replies[3]["decisions"][0];
     assert_eq!(issue["cmd"], "Issue");
-    assert_eq!((&issue["call"], &issue["upstream"]), (&json!(call), &json!("192.0.2.1:80")));
+    assert_eq!(
+        (&issue["call"], &issue["upstream"]),
+        (&json!(call), &json!("192.0.2.1:80"))
+    );
     // An outcome for a closed request and a timer nobody set: no action.
     assert_eq!(replies[5], json!({"decisions": []}));
 }
@@ -120,13 +138,22 @@
 fn instances_share_nothing() {
     let alone = run(&[
         batch(1000.0, start("sidecar/1")),
-        batch(1002.0, json!([job("sidecar/1", "00000000000000aa", "read")])),
+        batch(
+            1002.0,
+            json!([job("sidecar/1", "00000000000000aa", "read")]),
+        ),
     ]);
     let beside = run(&[
         batch(1000.0, start("sidecar/0")),
-        batch(1001.0, json!([job("sidecar/0", "00000000000000bb", "read")])),
+        batch(
+            1001.0,
+            json!([job("sidecar/0", "00000000000000bb", "read")]),
+        ),
         batch(1000.0, start("sidecar/1")),
-        batch(1002.0, json!([job("sidecar/1", "00000000000000aa", "read")])),
+        batch(
+            1002.0,
+            json!([job("sidecar/1", "00000000000000aa", "read")]),
+        ),
     ]);
     assert_eq!(alone.1[..], beside.1[2..]);
 }
@@ -152,8 +179,10 @@
                 "WritePeer" => {
                     assert_eq!(decision["dest"], 1 - me);
                     let content = decision["content"].as_str().unwrap().to_owned();
-                    events.push(json!({"cmd": "Memo", "sidecar": format!("sidecar/{}", 1 - me),
-                                       "origin-peer": me, "content": content}));
+                    events.push(
+                        json!({"cmd": "Memo", "sidecar": format!("sidecar/{}", 1 - me),
+                                       "origin-peer": me, "content": content}),
+                    );
                     said.push((me, content));
                 }
                 "Schedule" => due.push((
@@ -166,14 +195,18 @@
         }
         let wall = due.iter().map(|due| due.0).fold(f64::MAX, f64::min);
         if events.is_empty() {
-            let (now, later) = due.into_iter().partition(|due: &(f64, String, Value)| due.0 <= wall);
+            let (now, later) = due
+                .into_iter()
+                .partition(|due: &(f64, String, Value)| due.0 <= wall);
             due = later;
-            events.extend(
-                now.into_iter()
-                    .map(|(_, sidecar, nonce)| json!({"cmd": "Due", "sidecar": sidecar, "nonce": nonce})),
-            );
+            events.extend(now.into_iter().map(
+                |(_, sidecar, nonce)| json!({"cmd": "Due", "sidecar": sidecar, "nonce": nonce}),
+            ));
         }
-        lines.push(batch(if wall < f64::MAX { wall } else { 1000.0 }, events.into()));
+        lines.push(batch(
+            if wall < f64::MAX { wall } else { 1000.0 },
+            events.into(),
+        ));
     }
     said
 }
@@ -182,9 +215,15 @@
 fn instances_talk_where_the_word_and_the_settings_both_say_so() {
     let said = talk(&["--fleet"], true);
     for me in [0, 1] {
-        assert!(said.iter().filter(|said| said.0 == me).count() > 5, "{me}: {said:?}");
+        assert!(
+            said.iter().filter(|said| said.0 == me).count() > 5,
+            "{me}: {said:?}"
+        );
     }
-    assert!(said.iter().all(|(_, content)| content.len() <= 512), "256 bytes at most");
+    assert!(
+        said.iter().all(|(_, content)| content.len() <= 512),
+        "256 bytes at most"
+    );
     assert!(talk(&["--fleet"], false).is_empty() && talk(&[], true).is_empty());
     assert_eq!(run_with(&["--fleets"], &[]).0, 2);
 }
@@ -223,9 +262,16 @@
         ),
     ];
     for (line, named) in lacking {
-        let (status, replies, errors) =
-            run(&[empty.clone(), started.clone(), line.to_owned(), empty.clone()]);
+        let (status, replies, errors) = run(&[
+            empty.clone(),
+            started.clone(),
+            line.to_owned(),
+            empty.clone(),
+        ]);
         assert_eq!((status, replies.len()), (2, 2), "{line}");
-        assert!(errors.contains("line 3") && errors.contains(named), "{line}: {errors}");
+        assert!(
+            errors.contains("line 3") && errors.contains(named),
+            "{line}: {errors}"
+        );
     }
 }
--- a/crates/sandtrack-tiers/src/probe.rs
+++ b/crates/sandtrack-tiers/src/probe.rs
@@ -74,6 +74,11 @@
 
 /// When an upstream is probed, ms: at once if it never was, else `interval` ms or a little less after `last`,
 /// never over [`GAP_MOST`]. Takes one draw, none for the first.
-pub fn next_probe(rng: &mut impl Rng, now: Millis, last: Option<Millis>, interval: Millis) -> Millis {
+pub fn next_probe(
+    rng: &mut impl Rng,
+    now: Millis,
+    last: Option<Millis>,
+    interval: Millis,
+) -> Millis {
     last.map_or(now, |last| last + interval.min(GAP_MOST) / jitter(rng))
 }
--- a/crates/sandtrack-tiers/src/tiers.rs
+++ b/crates/sandtrack-tiers/src/tiers.rs
@@ -51,10 +51,17 @@
             // vanishes above moves nobody.
             let mut votes: HashMap<u32, usize> = HashMap::new();
             for &(_, place) in rest.iter().take_while(|(average, _)| *average <= limit) {
-                let group = upstreams[place].membership().group.filter(|group| !claimed.contains(group));
-                group.into_iter().for_each(|group| *votes.entry(group).or_default() += 1);
+                let group = upstreams[place]
+                    .membership()
+                    .group
+                    .filter(|group| !claimed.contains(group));
+                group
+                    .into_iter()
+                    .for_each(|group| *votes.entry(group).or_default() += 1);
             }
-            let group = votes.into_iter().max_by_key(|(group, count)| (*count, Reverse(*group)));
+            let group = votes
+                .into_iter()
+                .max_by_key(|(group, count)| (*count, Reverse(*group)));
             let group = group.map_or(self.next_group, |(group, _)| group);
             self.next_group = self.next_group.max(group + 1);
             claimed.push(group);
@@ -62,7 +69,10 @@
                 let membership = upstreams[place].membership();
                 let stays = membership.group == Some(group) && average <= limit * TIER_MARGIN;
                 if average <= limit || stays {
-                    *membership = Membership { tier, group: Some(group) };
+                    *membership = Membership {
+                        tier,
+                        group: Some(group),
+                    };
                     return false;
                 }
                 true
--- a/crates/sandtrack-tiers/tests/pick.rs
+++ b/crates/sandtrack-tiers/tests/pick.rs
@@ -5,13 +5,17 @@
 
 /// How often each is picked in 4,000 picks.
 fn shares<S: Ord + Copy>(
-    candidates: &[usize], may_take: impl Fn(usize) -> bool, rank: impl Fn(usize) -> (S, Option<usize>),
+    candidates: &[usize],
+    may_take: impl Fn(usize) -> bool,
+    rank: impl Fn(usize) -> (S, Option<usize>),
     own: impl Fn(usize) -> usize,
 ) -> BTreeMap<usize, usize> {
     let (mut rng, mut counts) = (Pcg32::seed_from_u64(5), BTreeMap::new());
     for _ in 0..4000 {
         let place = pick(&mut rng, candidates, &may_take, &rank, &own);
-        place.into_iter().for_each(|place| *counts.entry(place).or_default() += 1);
+        place
+            .into_iter()
+            .for_each(|place| *counts.entry(place).or_default() += 1);
     }
     counts
 }
@@ -19,7 +23,10 @@
 fn even(counts: &BTreeMap<usize, usize>, places: &[usize]) {
     assert!(counts.keys().eq(places), "{counts:?} instead of {places:?}");
     let share = 4000 / places.len();
-    assert!(counts.values().all(|n| n.abs_diff(share) < share / 8), "{counts:?}");
+    assert!(
+        counts.values().all(|n| n.abs_diff(share) < share / 8),
+        "{counts:?}"
+    );
 }
 
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
@@ -82,6 +89,9 @@
     let place = pick(&mut rng, &ALL, |_| true, two_tiers, |_| 0);
     let tiers = ladder(ALL.into_iter(), two_tiers);
     assert_eq!(tiers, [[0, 1, 2], [3, 4, 5]]);
-    assert_eq!(lowest(&mut by_parts, &tiers, |members| members.to_vec()), place);
+    assert_eq!(
+        lowest(&mut by_parts, &tiers, |members| members.to_vec()),
+        place
+    );
     assert_eq!(rng, by_parts);
 }
--- a/crates/sandtrack-tiers/tests/probe.rs
+++ b/crates/sandtrack-tiers/tests/probe.rs
@@ -41,7 +41,10 @@
     assert!(!run.failed());
     assert!(run.is_healthy() && !run.is_empty());
     run.succeeded();
-    assert!(!run.failed() && run.is_healthy(), "a success between them ends the run");
+    assert!(
+        !run.failed() && run.is_healthy(),
+        "a success between them ends the run"
+    );
     assert!(run.failed() && !run.is_healthy(), "the second in a row");
     assert!(!run.failed() && !run.is_healthy(), "told only once");
     run.succeeded();
@@ -68,11 +71,25 @@
 #[test]
 fn further_probes_come_after_the_interval_or_a_little_sooner_and_never_over_5_s_apart() {
     let mut rng = Pcg32::seed_from_u64(8);
-    for (interval, most) in [(400.0, 400.0), (5000.0, 5000.0), (60_000.0, 5000.0), (f64::INFINITY, 5000.0)] {
-        let gaps: Vec<Millis> =
-            (0..1000).map(|_| next_probe(&mut rng, 250.0, Some(100.0), interval) - 100.0).collect();
-        assert!(gaps.iter().all(|gap| (most / 1.25..=most).contains(gap)), "{interval}");
-        let (least, longest) = gaps.iter().fold((most, 0.0f64), |(a, b), gap| (a.min(*gap), b.max(*gap)));
-        assert!(longest - least > most * 0.19, "balancers would probe in step: {least} to {longest}");
+    for (interval, most) in [
+        (400.0, 400.0),
+        (5000.0, 5000.0),
+        (60_000.0, 5000.0),
+        (f64::INFINITY, 5000.0),
+    ] {
+        let gaps: Vec<Millis> = (0..1000)
+            .map(|_| next_probe(&mut rng, 250.0, Some(100.0), interval) - 100.0)
+            .collect();
+        assert!(
+            gaps.iter().all(|gap| (most / 1.25..=most).contains(gap)),
+            "{interval}"
+        );
+        let (least, longest) = gaps
+            .iter()
+            .fold((most, 0.0f64), |(a, b), gap| (a.min(*gap), b.max(*gap)));
+        assert!(
+            longest - least > most * 0.19,
+            "balancers would probe in step: {least} to {longest}"
+        );
     }
 }
--- a/crates/sandtrack-tiers/tests/tiers.rs
+++ b/crates/sandtrack-tiers/tests/tiers.rs
@@ -31,13 +31,19 @@
 
     /// The tiers that these averages give after what was before.
     fn at(&mut self, averages: &[Millis]) -> Vec<usize> {
-        self.upstreams.iter_mut().zip(averages).for_each(|(one, average)| one.average = Some(*average));
+        self.upstreams
+            .iter_mut()
+            .zip(averages)
+            .for_each(|(one, average)| one.average = Some(*average));
         self.regroup(0..averages.len())
     }
 
     fn regroup(&mut self, places: impl IntoIterator<Item = usize>) -> Vec<usize> {
         self.tiers.regroup(&mut self.upstreams[..], places);
-        self.upstreams.iter().map(|one| one.membership.tier).collect()
+        self.upstreams
+            .iter()
+            .map(|one| one.membership.tier)
+            .collect()
     }
 }
 
@@ -53,7 +59,10 @@
 
 #[test]
 fn the_order_of_the_upstreams_says_nothing() {
-    assert_eq!(All::new(&[300.0, 10.0, 90.0, 11.0]).at(&[300.0, 10.0, 90.0, 11.0]), [2, 0, 1, 0]);
+    assert_eq!(
+        All::new(&[300.0, 10.0, 90.0, 11.0]).at(&[300.0, 10.0, 90.0, 11.0]),
+        [2, 0, 1, 0]
+    );
 }
 
 #[test]
@@ -62,7 +71,11 @@
     assert_eq!(all.at(&[10.0, 25.0]), [0, 0], "25% past the limit of 20");
     assert_eq!(all.at(&[10.0, 25.1]), [0, 1]);
     assert_eq!(all.at(&[10.0, 25.0]), [0, 1], "the margin is for members");
-    assert_eq!(all.at(&[10.0, 20.0]), [0, 0], "it comes back within the limit itself");
+    assert_eq!(
+        all.at(&[10.0, 20.0]),
+        [0, 0],
+        "it comes back within the limit itself"
+    );
 }
 
 #[test]
@@ -78,7 +91,11 @@
 #[test]
 fn the_number_of_a_group_is_not_used_twice() {
     let mut all = All::new(&[10.0, 100.0]);
-    let before: Vec<_> = all.upstreams.iter().map(|one| one.membership.group).collect();
+    let before: Vec<_> = all
+        .upstreams
+        .iter()
+        .map(|one| one.membership.group)
+        .collect();
     assert_ne!(before[0], before[1]);
     all.upstreams.push(One::default());
     all.at(&[10.0, 100.0, 1000.0]);
--- a/crates/sandtrack-wal/src/format.rs
+++ b/crates/sandtrack-wal/src/format.rs
@@ -74,7 +74,11 @@
 /// behind one that isn't whole tells that synced bytes were lost.
 pub(crate) fn read(bytes: &[u8]) -> Content {
     if bytes.len() < HEAD {
-        return if head().starts_with(bytes) { Content::Unbegun } else { Content::Foreign };
+        return if head().starts_with(bytes) {
+            Content::Unbegun
+        } else {
+            Content::Foreign
+        };
     }
     match format_of(bytes) {
         Some(FORMAT) => {}
@@ -101,11 +105,14 @@
 
 /// Whether a whole frame that holds something stands anywhere in the bytes.
 fn holds_a_frame(bytes: &[u8]) -> bool {
-    (0..bytes.len()).any(|at| read_frame(&bytes[at..]).is_some_and(|(records, _)| !records.is_empty()))
+    (0..bytes.len())
+        .any(|at| read_frame(&bytes[at..]).is_some_and(|(records, _)| !records.is_empty()))
 }
 
 fn number(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_le_bytes(bytes.get(at..at.checked_add(4)?)?.try_into().ok()?))
+    Some(u32::from_le_bytes(
+        bytes.get(at..at.checked_add(4)?)?.try_into().ok()?,
+    ))
 }
 
 /// The records of the frame that `bytes` begins with, and its whole length.
--- a/crates/sandtrack-wal/src/store.rs
+++ b/crates/sandtrack-wal/src/store.rs
@@ -31,13 +31,21 @@
 
 impl Disk {
     pub fn new(folder: &Path) -> Self {
-        Self { folder: folder.to_path_buf(), open: None }
+        Self {
+            folder: folder.to_path_buf(),
+            open: None,
+        }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if self.open.as_ref().is_none_or(|(open, _)| open != name) {
             let path = self.folder.join(name);
-            let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+            let file = OpenOptions::new()
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .open(path)?;
             self.open = Some((name.to_string(), file));
         }
         match &mut self.open {
--- a/crates/sandtrack-wal/src/wal.rs
+++ b/crates/sandtrack-wal/src/wal.rs
@@ -64,7 +64,13 @@
         let found = bytes.as_ref().map_or(0, |bytes| bytes.len() as u64);
         let mut report = Report::default();
         let length = HEAD as u64;
-        let mut wal = Self { store, name: name.to_string(), length, trailing: false, unknown: false };
+        let mut wal = Self {
+            store,
+            name: name.to_string(),
+            length,
+            trailing: false,
+            unknown: false,
+        };
         match format::read(&bytes.unwrap_or_default()) {
             Content::Records { records, end } => {
                 wal.length = end as u64;
@@ -136,7 +142,9 @@
 
     fn refuse_if_unknown(&self) -> Result<(), WalError> {
         match self.unknown {
-            true => Err(WalError::Unknown(io::Error::other("an earlier write left it unknown"))),
+            true => Err(WalError::Unknown(io::Error::other(
+                "an earlier write left it unknown",
+            ))),
             false => Ok(()),
         }
     }
@@ -163,7 +171,10 @@
 
     /// After a write that failed: a part of a frame is never read as one, but a whole one has to go.
     fn undo(&mut self, error: io::Error, frame: u64) -> WalError {
-        let whole = !self.store.length(&self.name).is_ok_and(|length| length < self.length + frame);
+        let whole = !self
+            .store
+            .length(&self.name)
+            .is_ok_and(|length| length < self.length + frame);
         match self.cut() {
             Err(_) if whole => WalError::Unknown(error),
             _ => WalError::NotWritten(error),
--- a/crates/sandtrack-wal/tests/folder/mod.rs
+++ b/crates/sandtrack-wal/tests/folder/mod.rs
@@ -28,7 +28,10 @@
     fn do_it(bytes: &mut Vec<u8>, pending: &Pending) {
         match pending {
             Pending::Length(length) => bytes.resize(*length, 0),
-            Pending::Write { offset, bytes: written } => {
+            Pending::Write {
+                offset,
+                bytes: written,
+            } => {
                 bytes.resize(bytes.len().max(offset + written.len()), 0);
                 bytes[*offset..offset + written.len()].copy_from_slice(written);
             }
@@ -61,12 +64,18 @@
     let Pending::Write { offset, bytes } = pending else {
         return vec![pending.clone()];
     };
-    let part =
-        |from: usize, to: usize| Pending::Write { offset: offset + from, bytes: bytes[from..to].to_vec() };
+    let part = |from: usize, to: usize| Pending::Write {
+        offset: offset + from,
+        bytes: bytes[from..to].to_vec(),
+    };
     let half = bytes.len() / 2;
     let mut parts = vec![pending.clone()];
-    parts.extend([1, 8, half, bytes.len().saturating_sub(1)].map(|to| part(0, to.min(bytes.len()))));
-    parts.extend([part(half, bytes.len()), part(half, bytes.len().saturating_sub(1).max(half))]);
+    parts
+        .extend([1, 8, half, bytes.len().saturating_sub(1)].map(|to| part(0, to.min(bytes.len()))));
+    parts.extend([
+        part(half, bytes.len()),
+        part(half, bytes.len().saturating_sub(1).max(half)),
+    ]);
     parts
 }
 
@@ -136,7 +145,8 @@
         let names: BTreeSet<&String> = self.seen.keys().chain(self.synced.keys()).collect();
         let mut folders = vec![BTreeMap::new()];
         for name in names {
-            let choices: BTreeSet<Option<&usize>> = [self.seen.get(name), self.synced.get(name)].into();
+            let choices: BTreeSet<Option<&usize>> =
+                [self.seen.get(name), self.synced.get(name)].into();
             folders = folders
                 .iter()
                 .flat_map(|folder: &BTreeMap<String, usize>| {
@@ -148,7 +158,10 @@
                 })
                 .collect();
         }
-        folders.into_iter().flat_map(|names| self.with_contents(names)).collect()
+        folders
+            .into_iter()
+            .flat_map(|names| self.with_contents(names))
+            .collect()
     }
 
     fn with_contents(&self, names: BTreeMap<String, usize>) -> Vec<Self> {
@@ -161,22 +174,33 @@
                 .flat_map(|files| {
                     contents.iter().map(|bytes| {
                         let mut files = files.clone();
-                        files[number] =
-                            File { seen: bytes.clone(), synced: bytes.clone(), pending: Vec::new() };
+                        files[number] = File {
+                            seen: bytes.clone(),
+                            synced: bytes.clone(),
+                            pending: Vec::new(),
+                        };
                         files
                     })
                 })
                 .collect();
         }
         all.into_iter()
-            .map(|files| Self { files, seen: names.clone(), synced: names.clone(), ..Self::default() })
+            .map(|files| Self {
+                files,
+                seen: names.clone(),
+                synced: names.clone(),
+                ..Self::default()
+            })
             .collect()
     }
 }
 
 impl Store for Folder {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>> {
-        Ok(self.seen.get(name).map(|number| self.files[*number].seen.clone()))
+        Ok(self
+            .seen
+            .get(name)
+            .map(|number| self.files[*number].seen.clone()))
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()> {
@@ -191,7 +215,10 @@
         if let Some(room) = &mut self.room {
             *room -= taken;
         }
-        let pending = Pending::Write { offset: offset as usize, bytes: bytes[..taken].to_vec() };
+        let pending = Pending::Write {
+            offset: offset as usize,
+            bytes: bytes[..taken].to_vec(),
+        };
         let file = self.file(name);
         File::do_it(&mut file.seen, &pending);
         file.pending.push(pending);
--- a/crates/sandtrack-wal/tests/trouble.rs
+++ b/crates/sandtrack-wal/tests/trouble.rs
@@ -38,13 +38,25 @@
                 folder.room = Some(room);
                 folder.no_cut = no_cut;
             });
-            assert_matches!(wal.append(&record(2)), Err(WalError::NotWritten(_)), "room {room}");
-            assert_eq!(found(wal.into_store().after_kill()), record(1), "room {room}");
+            assert_matches!(
+                wal.append(&record(2)),
+                Err(WalError::NotWritten(_)),
+                "room {room}"
+            );
+            assert_eq!(
+                found(wal.into_store().after_kill()),
+                record(1),
+                "room {room}"
+            );
             let mut wal = with(begun(), |folder| folder.room = Some(room));
             assert_matches!(wal.append(&record(2)), Err(WalError::NotWritten(_)));
             let mut wal = with(wal, |folder| folder.room = None);
             wal.append(&record(3)).unwrap();
-            assert_eq!(found(wal.into_store()), [record(1), record(3)].concat(), "room {room}");
+            assert_eq!(
+                found(wal.into_store()),
+                [record(1), record(3)].concat(),
+                "room {room}"
+            );
         }
     }
 }
@@ -53,7 +65,11 @@
 fn a_full_disk_in_the_middle_of_a_rewrite_leaves_the_former_content() {
     for room in 0..45 {
         let mut wal = with(begun(), |folder| folder.room = Some(room));
-        assert_matches!(wal.rewrite(&record(2)), Err(WalError::NotWritten(_)), "room {room}");
+        assert_matches!(
+            wal.rewrite(&record(2)),
+            Err(WalError::NotWritten(_)),
+            "room {room}"
+        );
         let folder = wal.into_store();
         assert_eq!(found(folder.clone()), record(1), "room {room}");
         for left in folder.after_power_loss() {
@@ -71,7 +87,11 @@
         folder.no_cut = true;
     });
     assert_matches!(wal.append(&record(2)), Err(WalError::Unknown(_)));
-    assert_matches!(wal.append(&record(3)), Err(WalError::Unknown(_)), "and nothing is written any more");
+    assert_matches!(
+        wal.append(&record(3)),
+        Err(WalError::Unknown(_)),
+        "and nothing is written any more"
+    );
     assert_matches!(wal.rewrite(&record(4)), Err(WalError::Unknown(_)));
 }
 
@@ -79,7 +99,10 @@
 fn what_was_found_is_not_relied_on_before_it_is_synced() {
     let mut folder = begun().into_store();
     folder.no_sync = true;
-    assert_matches!(Wal::open_in(folder, "a").err(), Some(WalError::NotOpened(_)));
+    assert_matches!(
+        Wal::open_in(folder, "a").err(),
+        Some(WalError::NotOpened(_))
+    );
 }
 
 /// What a WAL may hold: what was told as written, or that with the change that was under way.
@@ -90,7 +113,10 @@
 
 impl Told {
     fn check(&self, found: &[Vec<u8>], case: &str) {
-        assert!(found == self.surely || found == self.perhaps, "{case}: found {found:?}");
+        assert!(
+            found == self.surely || found == self.perhaps,
+            "{case}: found {found:?}"
+        );
     }
 }
 
@@ -99,32 +125,59 @@
     let mut surely = before;
     for number in 2..7 {
         let rewritten = number % 2 == 1;
-        let next = if rewritten { record(number) } else { [surely.clone(), record(number)].concat() };
-        let result = if rewritten { wal.rewrite(&record(number)) } else { wal.append(&record(number)) };
+        let next = if rewritten {
+            record(number)
+        } else {
+            [surely.clone(), record(number)].concat()
+        };
+        let result = if rewritten {
+            wal.rewrite(&record(number))
+        } else {
+            wal.append(&record(number))
+        };
         match result {
             Ok(()) => surely = next,
             Err(WalError::NotWritten(_)) if !ends_there => {}
-            Err(_) => return Told { surely, perhaps: next },
+            Err(_) => {
+                return Told {
+                    surely,
+                    perhaps: next,
+                }
+            }
         }
     }
-    Told { perhaps: surely.clone(), surely }
+    Told {
+        perhaps: surely.clone(),
+        surely,
+    }
 }
 
 /// What a process finds lasts from then on, and so does what it appends.
 fn is_lasting(folder: Folder, told: &Told, case: &str) {
     let (mut wal, found, report) = Wal::open_in(folder, "a").unwrap();
     told.check(&found, case);
-    assert_eq!(report.set_aside, None, "{case}: a loss of power is no damage");
+    assert_eq!(
+        report.set_aside, None,
+        "{case}: a loss of power is no damage"
+    );
     // Relied on, and the power goes before anything else is written.
     let folder = wal.into_store();
     for left in folder.after_power_loss() {
-        assert_eq!(self::found(left), found, "{case}: found before, and the power went");
+        assert_eq!(
+            self::found(left),
+            found,
+            "{case}: found before, and the power went"
+        );
     }
     wal = Wal::open_in(folder, "a").unwrap().0;
     wal.append(&record(9)).unwrap();
     let expected = [found, record(9)].concat();
     for left in wal.into_store().after_power_loss() {
-        assert_eq!(self::found(left), expected, "{case}: appended after it, and the power went");
+        assert_eq!(
+            self::found(left),
+            expected,
+            "{case}: appended after it, and the power went"
+        );
     }
 }
 
@@ -140,7 +193,9 @@
         for fault in [Fault::Refused, Fault::Half, Fault::DoneAndNotTold] {
             let mut folder = begun().into_store();
             (folder.calls, folder.fault, folder.ends_there) = (0, Some((call, fault)), ends_there);
-            let Ok((mut wal, _, _)) = Wal::open_in(folder, "a") else { continue };
+            let Ok((mut wal, _, _)) = Wal::open_in(folder, "a") else {
+                continue;
+            };
             let told = work(&mut wal, record(1), ends_there);
             check(wal.into_store(), told, format!("call {call}, {fault:?}"));
         }
@@ -149,7 +204,9 @@
 
 #[test]
 fn a_process_killed_at_each_step_leaves_what_was_told_and_the_next_one_makes_it_last() {
-    at_each_step(true, |folder, told, case| is_lasting(folder.after_kill(), &told, &case));
+    at_each_step(true, |folder, told, case| {
+        is_lasting(folder.after_kill(), &told, &case)
+    });
 }
 
 #[test]
@@ -218,12 +275,17 @@
     for first in 1..frame.len() - 1 {
         let mut parts = folder.clone();
         for (from, to) in [(0, first), (first, frame.len())] {
-            parts.write("a", end + from as u64, &frame[from..to]).unwrap();
+            parts
+                .write("a", end + from as u64, &frame[from..to])
+                .unwrap();
         }
         for left in parts.after_power_loss() {
             let (_, found, report) = Wal::open_in(left, "a").unwrap();
             assert_eq!(report.set_aside, None, "in parts at {first}");
-            assert!(found == record(1) || found == [record(1), long.clone()].concat(), "in parts at {first}");
+            assert!(
+                found == record(1) || found == [record(1), long.clone()].concat(),
+                "in parts at {first}"
+            );
         }
     }
 }
@@ -252,13 +314,19 @@
     for from in 16..last {
         for to in from + 1..=last {
             let length = (to - from) as usize;
-            if bytes[from as usize..to as usize].iter().all(|byte| *byte == 0) {
+            if bytes[from as usize..to as usize]
+                .iter()
+                .all(|byte| *byte == 0)
+            {
                 continue;
             }
             let mut damaged = folder.clone();
             damaged.write("a", from, &vec![0; length]).unwrap();
             let (_, found, report) = Wal::open_in(damaged, "a").unwrap();
-            assert!(found.is_empty() && report.set_aside.is_some(), "{from} to {to}");
+            assert!(
+                found.is_empty() && report.set_aside.is_some(),
+                "{from} to {to}"
+            );
         }
     }
 }
--- a/crates/sandtrack-wal/tests/wal.rs
+++ b/crates/sandtrack-wal/tests/wal.rs
@@ -13,7 +13,9 @@
 }
 
 fn records(count: u8) -> Vec<Vec<u8>> {
-    (0..count).map(|number| vec![number; usize::from(number) * 3]).collect()
+    (0..count)
+        .map(|number| vec![number; usize::from(number) * 3])
+        .collect()
 }
 
 /// Three appends of two records each, and the ends of the frames.
@@ -61,8 +63,15 @@
         let (mut wal, found, report) = Wal::open(&folder, "a").unwrap();
         let whole = ends.iter().filter(|end| **end <= length as u64).count();
         let kept = if whole == 0 { 0 } else { ends[whole - 1] };
-        assert_eq!(found, records(6)[..whole.saturating_sub(1) * 2], "cut at {length}");
-        let expected = Report { dropped_bytes: length as u64 - kept, set_aside: None };
+        assert_eq!(
+            found,
+            records(6)[..whole.saturating_sub(1) * 2],
+            "cut at {length}"
+        );
+        let expected = Report {
+            dropped_bytes: length as u64 - kept,
+            set_aside: None,
+        };
         assert_eq!(report, expected, "cut at {length}");
         wal.append(&[b"next".to_vec()]).unwrap();
         drop(wal);
@@ -89,7 +98,11 @@
             assert_eq!(found, expected, "bit {bit} of {at}");
             assert_eq!(report.set_aside.is_some(), at < last, "bit {bit} of {at}");
             if let Some(aside) = report.set_aside {
-                assert_eq!(std::fs::read(&aside).unwrap(), flipped, "moved, not deleted");
+                assert_eq!(
+                    std::fs::read(&aside).unwrap(),
+                    flipped,
+                    "moved, not deleted"
+                );
                 std::fs::remove_file(aside).unwrap();
             }
         }
@@ -119,12 +132,20 @@
         let (_, found, report) = Wal::open(&folder, "a").unwrap();
         assert!(found.is_empty() && report.set_aside.is_some());
     }
-    assert_eq!(std::fs::read_to_string(folder.join("a.aside.1")).unwrap(), "first".repeat(9));
-    assert_eq!(std::fs::read_to_string(folder.join("a.aside.2")).unwrap(), "second".repeat(9));
+    assert_eq!(
+        std::fs::read_to_string(folder.join("a.aside.1")).unwrap(),
+        "first".repeat(9)
+    );
+    assert_eq!(
+        std::fs::read_to_string(folder.join("a.aside.2")).unwrap(),
+        "second".repeat(9)
+    );
 }
 
 #[test]
 fn a_folder_that_is_not_there_is_an_error_with_its_code() {
-    let error = Wal::open(&folder("none").join("no/such"), "a").err().unwrap();
+    let error = Wal::open(&folder("none").join("no/such"), "a")
+        .err()
+        .unwrap();
     assert!(error.to_string().starts_with("L3 "), "{error}");
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -24,14 +24,26 @@
 /// Reads one request with its body; `None` at the end of the connection or at anything odd.
 fn read(reader: &mut BufReader<TcpStream>) -> Option<Asked> {
     let mut line = String::new();
-    reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
+    reader
+        .read_line(&mut line)
+        .ok()
+        .filter(|count| *count > 0)?;
     let target = line.split(' ').nth(1)?.to_owned();
-    let mut asked = Asked { target, call: None, keep_alive: true };
+    let mut asked = Asked {
+        target,
+        call: None,
+        keep_alive: true,
+    };
     let mut length = 0;
     loop {
         line.clear();
-        reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
-        let Some((name, value)) = line.trim_end().split_once(':') else { break };
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|count| *count > 0)?;
+        let Some((name, value)) = line.trim_end().split_once(':') else {
+            break;
+        };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.trim().parse().ok()?,
             "connection" => asked.keep_alive = !value.trim().eq_ignore_ascii_case("close"),
@@ -46,7 +58,9 @@
 
 fn answer(stream: &mut TcpStream, status: u16, body: &str) -> std::io::Result<()> {
     let length = body.len();
-    stream.write_all(format!("HTTP/1.1 {status} Toy\r\nContent-Length: {length}\r\n\r\n{body}").as_bytes())
+    stream.write_all(
+        format!("HTTP/1.1 {status} Toy\r\nContent-Length: {length}\r\n\r\n{body}").as_bytes(),
+    )
 }
 
 /// Serves each connection on a thread of its own.
@@ -62,7 +76,10 @@
 
 /// One upstream: requests, and probes with a load report. `served` counts what it answered, probes aside.
 pub fn upstream(listener: TcpListener, served: Arc<AtomicUsize>) {
-    let name = listener.local_addr().map(|address| address.to_string()).unwrap_or_default();
+    let name = listener
+        .local_addr()
+        .map(|address| address.to_string())
+        .unwrap_or_default();
     let held = AtomicUsize::new(0);
     listen(listener, move |mut stream| {
         let Ok(copy) = stream.try_clone() else { return };
@@ -84,7 +101,15 @@
                     held.fetch_sub(1, Ordering::Relaxed);
                     let status = if target.contains("fail") { 500 } else { 200 };
                     let large = target.contains("large");
-                    answer(&mut stream, status, &if large { "x".repeat(LARGE) } else { name.clone() })
+                    answer(
+                        &mut stream,
+                        status,
+                        &if large {
+                            "x".repeat(LARGE)
+                        } else {
+                            name.clone()
+                        },
+                    )
                 }
             };
             if done.is_err() || !asked.keep_alive {
@@ -102,10 +127,15 @@
         )
     });
     let instances: Vec<String> = instances.collect();
-    let list = format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, instances.join(","));
+    let list = format!(
+        r#"{{"generation":1,"reset":true,"instances":[{}]}}"#,
+        instances.join(",")
+    );
     listen(listener, move |mut stream| {
         let Ok(copy) = stream.try_clone() else { return };
-        let Some(asked) = read(&mut BufReader::new(copy)) else { return };
+        let Some(asked) = read(&mut BufReader::new(copy)) else {
+            return;
+        };
         if !asked.target.contains("watch=1") {
             // The connection ends after it: a toy has few callers.
             let _ = answer(&mut stream, 200, &list);
