--- a/crates/sandtrack-control/src/membership.rs
+++ b/crates/sandtrack-control/src/membership.rs
@@ -10,7 +10,7 @@
 
 /// The members of a control node that fell silent, and proxies that did, are counted for this long, in ms: they come back
 /// elsewhere, or are cut off or frozen and go on with their shares of what holds over all. A proxy gives its share up sooner
-/// (`SHARE_LEASE` of `sandtrack_proxy::balancer`).
+/// (`SHARE_LEASE` of `sandtrack_proxy::placement::balancer`).
 pub const KEPT_MS: Millis = 30_000.0;
 /// A proxy whose session broke is counted for this long, in ms: it opens another one, or was killed.
 const BROKEN_KEPT_MS: Millis = 2500.0;
--- a/crates/sandtrack-fault-tests/src/system/operator.rs
+++ b/crates/sandtrack-fault-tests/src/system/operator.rs
@@ -86,7 +86,7 @@
                     retry.came(self.now(), came);
                 }
                 Step::Pause(time) => {
-                    drop(Timer::after(Duration::from_secs_f64(time / 1000.0)).await)
+                    Timer::after(Duration::from_secs_f64(time / 1000.0)).await;
                 }
                 Step::Answered(answer) => return Some(answer),
                 Step::GivenUp { .. } => return None,
--- a/crates/sandtrack-proxy/src/attempt.rs
+++ b/crates/sandtrack-proxy/src/attempt.rs
@@ -1,14 +1,14 @@
 //! One send of a request to one upstream: opens or takes a connection, writes the request and reads the answer, a step at a
 //! time. What a step's outcome means is decided in `exchange_state`.
-use crate::balancer::Ended;
 use crate::exchange::{ask, next, written_head, Asked, Waited};
 use crate::exchange_state::{AnswerId, Broke, HeadFacts, SendEvent, Terms};
+use crate::placement::balancer::Ended;
+use crate::placement::prefill::Estimate;
+use crate::placement::upstreams::Load;
 use crate::policy::Policy;
 use crate::pool::{connect, kept_for, Connection};
-use crate::prefill::Estimate;
 use crate::request::ProxyRequest;
 use crate::shared::Shared;
-use crate::upstreams::Load;
 use sandtrack_net::byte_budget::Held;
 use sandtrack_net::http::Part;
 use sandtrack_sidecar_core::message::Head;
--- a/crates/sandtrack-proxy/src/carry.rs
+++ b/crates/sandtrack-proxy/src/carry.rs
@@ -1,14 +1,14 @@
 //! Carries one request: does what [`Exchange`] decides, and tells it what happened. It owns the sends that are under way.
 use crate::answers::{come_back_after, Client};
 use crate::attempt::{head_facts, Attempt, Body};
-use crate::balancer::Ended;
 use crate::events::GivenIds;
 use crate::exchange_state::{
     is_promise, Action, AnswerId, Exchange, Final, Input, Phase, SendEvent, SendId, Terms, Watched,
     SENDS,
 };
 use crate::outcomes::Outcome;
-use crate::placement::Placed;
+use crate::placement::balancer::Ended;
+use crate::placement::choice::Placed;
 use crate::request::ProxyRequest;
 use crate::request_log::RequestLog;
 use crate::shared::Shared;
--- a/crates/sandtrack-proxy/src/exchange_state.rs
+++ b/crates/sandtrack-proxy/src/exchange_state.rs
@@ -6,8 +6,8 @@
 //! `docs/system/exchange.md` names the test that falls for each guard here.
 mod messages;
 
-use crate::balancer::Ended;
 use crate::events::{Scanned, Scanner};
+use crate::placement::balancer::Ended;
 pub use messages::{
     is_promise, may_use_idle, Action, AnswerId, Broke, Final, HeadFacts, Input, SendEvent, SendId,
     Terms, SENDS,
--- a/crates/sandtrack-proxy/src/exchange_state/messages.rs
+++ b/crates/sandtrack-proxy/src/exchange_state/messages.rs
@@ -1,5 +1,5 @@
 //! What an exchange is told and what it asks for: plain data, and what is read off it alone. Pure.
-use crate::balancer::Ended;
+use crate::placement::balancer::Ended;
 use sandtrack_protocol::codes::Code;
 
 /// Which of the two sends that may be under way.
--- a/crates/sandtrack-proxy/src/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -2,15 +2,15 @@
 //! in `placement`. Pure: time comes in, nothing is read or written here.
 mod probes;
 
-use crate::budget::{share, RetryBudget};
-use crate::pace::Pace;
+use crate::placement::budget::{share, RetryBudget};
+use crate::placement::pace::Pace;
+use crate::placement::prefill::{Estimate, Prefill};
+use crate::placement::prompt_mix::PromptMix;
+use crate::placement::region_trips::RegionTrips;
+use crate::placement::upstreams::{Load, Table};
+use crate::placement::zone_outlook::ZoneOutlook;
 use crate::policy::Policy;
-use crate::prefill::{Estimate, Prefill};
-use crate::prompt_mix::PromptMix;
-use crate::region_trips::RegionTrips;
 use crate::request::{hash, mix, ProxyRequest};
-use crate::upstreams::{Load, Table};
-use crate::zone_outlook::ZoneOutlook;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use sandtrack_invariants::{check, Invariant};
--- a/crates/sandtrack-proxy/src/placement/keepers.rs
+++ b/crates/sandtrack-proxy/src/placement/choice/keepers.rs
@@ -1,6 +1,6 @@
 //! Where long prompts go: to the upstream that has read their shared prefix while it can begin in time. Pure.
-use crate::balancer::Balancer;
-use crate::prompt_mix::{Prior, PromptMix};
+use crate::placement::balancer::Balancer;
+use crate::placement::prompt_mix::{Prior, PromptMix};
 use crate::request::{mix, ProxyRequest};
 use sandtrack_tiers::Millis;
 use std::collections::BTreeMap;
--- a/crates/sandtrack-proxy/src/prefill.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill.rs
@@ -3,9 +3,9 @@
 //!
 //! A queue counted in requests says little where one prompt has a hundred times the tokens of another; here it is counted in tokens,
 //! as time at a rate that is learned from first parts of answers.
+use crate::placement::upstreams::Upstream;
 use crate::policy::Policy;
 use crate::request::ProxyRequest;
-use crate::upstreams::Upstream;
 use sandtrack_protocol::frames::PromptSent;
 use sandtrack_tiers::Millis;
 use std::collections::HashMap;
--- a/crates/sandtrack-proxy/src/upstreams.rs
+++ b/crates/sandtrack-proxy/src/placement/upstreams.rs
@@ -1,6 +1,6 @@
 //! What a proxy knows of each upstream: what the list says, what its own probes and sends taught. Pure; folded from what
 //! came, owned by the balancer.
-use crate::budget::Window;
+use crate::placement::budget::Window;
 use crate::request::hash;
 use sandtrack_protocol::frames::UpstreamEntry;
 use sandtrack_tiers::{FailureRun, Member, Membership, Millis, Smoothed};
--- a/crates/sandtrack-proxy/src/probing.rs
+++ b/crates/sandtrack-proxy/src/probing.rs
@@ -1,7 +1,7 @@
 //! Health probes: asks upstreams that are due, each in a task of its own.
+use crate::placement::upstreams::Load;
 use crate::pool::connect;
 use crate::shared::Shared;
-use crate::upstreams::Load;
 use async_io::Timer;
 use futures_lite::future;
 use sandtrack_net::http::Part;
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -1,5 +1,5 @@
 //! The proxy's process: settings, listeners, signals, and the tasks that share one thread.
-use crate::balancer::Balancer;
+use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
 use crate::shared::Shared;
 use crate::{figures, front, probing, session};
--- a/crates/sandtrack-proxy/src/request_log.rs
+++ b/crates/sandtrack-proxy/src/request_log.rs
@@ -1,8 +1,8 @@
 //! One request in the log: told where its client did not get an upstream's good answer, with every upstream that it was at.
 //! Lines are bounded, so that an overload is not made worse by its log.
-use crate::balancer::Ended;
 use crate::lateness::Timeline;
 use crate::outcomes::Outcome;
+use crate::placement::balancer::Ended;
 use crate::request::ProxyRequest;
 use crate::shared::Shared;
 use sandtrack_protocol::codes::Code;
--- a/crates/sandtrack-proxy/src/session.rs
+++ b/crates/sandtrack-proxy/src/session.rs
@@ -1,7 +1,7 @@
 //! The session with the control plane: this proxy is a member while it stands. Opened with the nearest control node that
 //! answers and hears a majority of its kind; opened anew elsewhere when that falls silent. What is decided is in
 //! `session_policy`; here are the sockets.
-use crate::balancer::Folded;
+use crate::placement::balancer::Folded;
 use crate::session_policy::{candidates, connect_timeout, judge_welcome, Accepted, Standing};
 use crate::shared::Shared;
 use async_io::{Async, Timer};
--- a/crates/sandtrack-proxy/src/shared.rs
+++ b/crates/sandtrack-proxy/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the tasks of a proxy share.
-use crate::balancer::Balancer;
 use crate::outcomes::Outcomes;
+use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
 use crate::pool::Pool;
 use async_executor::LocalExecutor;
--- a/crates/sandtrack-proxy/tests/budget.rs
+++ b/crates/sandtrack-proxy/tests/budget.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::{balancer, entry, request, CONFIGURATION};
 use sandtrack_protocol::frames::ToProxy;
-use sandtrack_proxy::budget::{share, RetryBudget};
+use sandtrack_proxy::placement::budget::{share, RetryBudget};
 
 #[test]
 fn shares_of_all_proxies_never_pass_the_bound() {
--- a/crates/sandtrack-proxy/tests/common/mod.rs
+++ b/crates/sandtrack-proxy/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::balancer::Balancer;
+use sandtrack_proxy::placement::balancer::Balancer;
 use sandtrack_proxy::request::ProxyRequest;
 use sandtrack_sidecar_core::message::{Head, Headers};
 
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/drawn_fleets.rs
@@ -4,8 +4,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
-use sandtrack_proxy::balancer::{Balancer, Ended};
-use sandtrack_proxy::placement::Placed;
+use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::choice::Placed;
 use sandtrack_proxy::request::ProxyRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -1,11 +1,11 @@
 //! Every order of what may happen to one exchange, enumerated: upstreams that run or don't, races, breaks at each step, foreign
 //! and surplus answers, streams cut and taken up, clients that leave, time that runs out. A rule is one function; each holds in
 //! every script. What an upstream did is known here and not to the exchange: whether it has run is judged by the worst case.
-use sandtrack_proxy::balancer::Ended;
 use sandtrack_proxy::exchange_state::{
     is_promise, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, Phase, SendEvent,
     SendId, Terms, SENDS,
 };
+use sandtrack_proxy::placement::balancer::Ended;
 use std::collections::HashSet;
 
 /// Scripts are enumerated one by one up to this many inputs, for each kind and number of attempts.
--- a/crates/sandtrack-proxy/tests/incident_long_prompts.rs
+++ b/crates/sandtrack-proxy/tests/incident_long_prompts.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
-use sandtrack_proxy::balancer::Balancer;
-use sandtrack_proxy::placement::Placed;
+use sandtrack_proxy::placement::balancer::Balancer;
+use sandtrack_proxy::placement::choice::Placed;
 use std::collections::BTreeSet;
 
 fn fleet() -> Vec<UpstreamEntry> {
--- a/crates/sandtrack-proxy/tests/kept_connections.rs
+++ b/crates/sandtrack-proxy/tests/kept_connections.rs
@@ -1,9 +1,9 @@
 //! Two exchanges one after the other on one connection: what is left of the first never gets to the second's client.
 use sandtrack_proxy::attempt::head_facts;
-use sandtrack_proxy::balancer::Ended;
 use sandtrack_proxy::exchange_state::{
     may_use_idle, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, SendEvent, Terms,
 };
+use sandtrack_proxy::placement::balancer::Ended;
 use sandtrack_proxy::policy::Policy;
 use sandtrack_proxy::pool::kept_for;
 use sandtrack_sidecar_core::message::{Head, Headers};
--- a/crates/sandtrack-proxy/tests/placement.rs
+++ b/crates/sandtrack-proxy/tests/placement.rs
@@ -2,8 +2,8 @@
 mod common;
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::ToProxy;
-use sandtrack_proxy::balancer::Ended;
-use sandtrack_proxy::placement::Placed;
+use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::choice::Placed;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn fleet() -> Vec<sandtrack_protocol::frames::UpstreamEntry> {
@@ -16,7 +16,7 @@
 
 /// How often each upstream is drawn for requests that end at once.
 fn draws(
-    balancer: &mut sandtrack_proxy::balancer::Balancer,
+    balancer: &mut sandtrack_proxy::placement::balancer::Balancer,
     target: &str,
     count: usize,
 ) -> BTreeMap<String, usize> {
@@ -33,7 +33,7 @@
 }
 
 /// Places of the upstreams in the own region.
-fn places_in_north(balancer: &sandtrack_proxy::balancer::Balancer) -> Vec<usize> {
+fn places_in_north(balancer: &sandtrack_proxy::placement::balancer::Balancer) -> Vec<usize> {
     let upstreams = &balancer.upstreams;
     upstreams
         .listed()
@@ -208,11 +208,9 @@
         let prefix = format!("{key:x}:13300,ff{key:x}:3720");
         // Their own parts differ, the shared one counts.
         let letter = request(&first, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-        let name = |balancer: &mut sandtrack_proxy::balancer::Balancer| match balancer.place(
-            1.0,
-            &letter,
-            &[],
-        ) {
+        let name = |balancer: &mut sandtrack_proxy::placement::balancer::Balancer| match balancer
+            .place(1.0, &letter, &[])
+        {
             Placed::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
             other => panic!("{other:?}"),
         };
@@ -301,7 +299,7 @@
     };
     assert_eq!(
         balancer.fold(1.0, changes),
-        sandtrack_proxy::balancer::Folded::WantConfiguration
+        sandtrack_proxy::placement::balancer::Folded::WantConfiguration
     );
     let changes = ToProxy::Changes {
         from_number: 3,
@@ -312,7 +310,7 @@
     };
     assert_eq!(
         balancer.fold(1.0, changes),
-        sandtrack_proxy::balancer::Folded::Taken
+        sandtrack_proxy::placement::balancer::Folded::Taken
     );
     assert_eq!(
         balancer.configuration.as_ref().map(|all| all.version),
@@ -322,7 +320,7 @@
 
 #[test]
 fn until_the_proxies_are_counted_connections_suffice_to_serve_and_cold_ones_are_spared() {
-    let mut balancer = sandtrack_proxy::balancer::Balancer::new(&common::settings(), 1);
+    let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&common::settings(), 1);
     let document = common::CONFIGURATION.to_owned();
     balancer.fold(
         0.0,
@@ -342,7 +340,7 @@
             gone: Vec::new(),
         },
     );
-    let place = |balancer: &sandtrack_proxy::balancer::Balancer, name| {
+    let place = |balancer: &sandtrack_proxy::placement::balancer::Balancer, name| {
         balancer.upstreams.place(name).expect("it is listed")
     };
     assert_eq!(balancer.connection_share(place(&balancer, "a0")), 21);
@@ -369,7 +367,7 @@
         let settings = common::SETTINGS.replace("front-a-1", &format!("front-a-{proxy}"));
         let settings = sandtrack_protocol::settings::Settings::parse(settings.into_bytes())
             .expect("good settings");
-        let mut balancer = sandtrack_proxy::balancer::Balancer::new(&settings, proxy);
+        let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&settings, proxy);
         let document = common::CONFIGURATION.to_owned();
         balancer.fold(
             0.0,
@@ -457,7 +455,7 @@
 #[test]
 fn another_region_is_probed_only_while_requests_go_there() {
     let mut balancer = balancer(fleet());
-    let far = |balancer: &mut sandtrack_proxy::balancer::Balancer, now: f64| {
+    let far = |balancer: &mut sandtrack_proxy::placement::balancer::Balancer, now: f64| {
         let due = balancer.probes_due(now);
         due.iter()
             .filter(|(place, ..)| balancer.upstreams.get(*place).region == "south")
--- a/crates/sandtrack-proxy/tests/prefill.rs
+++ b/crates/sandtrack-proxy/tests/prefill.rs
@@ -2,10 +2,10 @@
 mod common;
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::{PromptSent, ToProxy, UpstreamEntry};
-use sandtrack_proxy::balancer::Balancer;
-use sandtrack_proxy::placement::Placed;
+use sandtrack_proxy::placement::balancer::Balancer;
+use sandtrack_proxy::placement::choice::Placed;
+use sandtrack_proxy::placement::prefill::{prefix_key, upstream_key, Estimate, Prefill};
 use sandtrack_proxy::policy::Policy;
-use sandtrack_proxy::prefill::{prefix_key, upstream_key, Estimate, Prefill};
 use sandtrack_proxy::request::ProxyRequest;
 
 fn fleet() -> Vec<UpstreamEntry> {
--- a/crates/sandtrack-proxy/tests/prompt_mix.rs
+++ b/crates/sandtrack-proxy/tests/prompt_mix.rs
@@ -1,5 +1,5 @@
 //! Weights of regions as keepers of long prompts, by what there is to read.
-use sandtrack_proxy::prompt_mix::{Prior, PromptMix};
+use sandtrack_proxy::placement::prompt_mix::{Prior, PromptMix};
 use std::collections::BTreeMap;
 
 /// Nothing but what was seen counts.
--- a/crates/sandtrack-proxy/tests/proven_connections.rs
+++ b/crates/sandtrack-proxy/tests/proven_connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections for what may run only once.
 mod common;
 use common::{balancer, entry};
-use sandtrack_proxy::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::balancer::{Balancer, Ended};
 
 /// Two upstreams of one service and one of another.
 fn known() -> Balancer {
--- a/crates/sandtrack-proxy/tests/zone_outlook.rs
+++ b/crates/sandtrack-proxy/tests/zone_outlook.rs
@@ -1,9 +1,9 @@
 //! Zones that look lost as a whole.
 mod common;
 use common::{balancer, entry, probe_all, request};
-use sandtrack_proxy::balancer::{Balancer, Ended};
-use sandtrack_proxy::placement::Placed;
-use sandtrack_proxy::zone_outlook::ZoneOutlook;
+use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::choice::Placed;
+use sandtrack_proxy::placement::zone_outlook::ZoneOutlook;
 use std::collections::BTreeSet;
 
 /// Three upstreams in each of two zones of the own region, all probed.
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -5,7 +5,7 @@
     self, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
 };
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::balancer::{Balancer, Folded};
+use sandtrack_proxy::placement::balancer::{Balancer, Folded};
 use sandtrack_proxy::session_policy::{candidates, judge_welcome, Accepted, Standing};
 use std::collections::VecDeque;
 use std::rc::Rc;
