--- a/crates/sandtrack-replication/tests/world/mod.rs
+++ b/crates/sandtrack-replication/tests/world/mod.rs
@@ -5,6 +5,7 @@
 pub mod faults;
 pub mod losses;
 pub mod register;
+pub mod samples;
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -15,6 +16,7 @@
 use bandwidth::Bandwidth;
 use checks::Checks;
 use register::Register;
+use samples::Samples;
 
 /// Milliseconds.
 pub type Time = f64;
@@ -151,6 +153,8 @@
     pub checks: Checks,
     /// One line for each message and effect, when wanted.
     pub log: Option<Vec<String>>,
+    /// A sample of each kind of message and record, when wanted.
+    pub samples: Option<Samples>,
     events: BinaryHeap<Timed>,
     order: u64,
     next_call: u64,
@@ -193,6 +197,7 @@
             calls: BTreeMap::new(),
             checks: Checks::default(),
             log: None,
+            samples: None,
             events: BinaryHeap::new(),
             order: 0,
             next_call: 0,
@@ -552,6 +557,9 @@
 
     fn write(&mut self, index: usize, ticket: u64, records: Vec<Vec<u8>>, replaces: bool) {
         let size: usize = records.iter().map(Vec::len).sum();
+        if let Some(samples) = &mut self.samples {
+            records.iter().for_each(|record| samples.record(record));
+        }
         let by_size = self.disk_speed.map_or(0.0, |speed| size as f64 / speed);
         let node = &mut self.nodes[index];
         assert!(node.write.is_none(), "one write at a time");
@@ -569,6 +577,9 @@
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
+        if let Some(samples) = &mut self.samples {
+            samples.message(&message);
+        }
         if self.network.cut.contains(&(from, to)) || self.random.gen_bool(self.network.loss) {
             return;
         }
