--- /dev/null
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -0,0 +1,125 @@
+//! Frames between control nodes, and commands and answers of the control state, keep their bytes: they go to processes of
+//! other builds and stand on disks. Logs and snapshots of format 1 are in `formats.rs`.
+#[path = "../../sandtrack-protocol/tests/common/fixtures.rs"]
+mod fixtures;
+
+use borsh::{BorshDeserialize, BorshSerialize};
+use sandtrack_control::control_state::{Answer, Command, Form, Outcome, Question};
+use sandtrack_control::peer_frames::{Claim, Digest, Excerpt, Heartbeat, Hello, Member, PeerFrame, FORMAT};
+use sandtrack_protocol::frames::{frame, take, PromptSent, ProxyInfo, ProxyState, UpstreamEntry};
+use sandtrack_replication::Message;
+use std::fmt::Debug;
+
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+/// A message of a replica, from the fixtures of its package.
+const REPLICATION: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../sandtrack-replication");
+
+/// Each value as it is encoded equals the fixture, and the fixture as it is decoded equals the value.
+fn compare<T: BorshSerialize + BorshDeserialize + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
+    let encoded: Vec<_> = values.iter().map(|(name, value)| ((*name).to_owned(), frame(value))).collect();
+    fixtures::compare(PACKAGE, file, &encoded);
+    for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
+        let (decoded, length) = take::<T>(bytes).expect("a frame").expect("a whole frame");
+        assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
+        assert_eq!(&frame(&decoded), bytes, "{name}");
+    }
+}
+
+fn hello() -> Hello {
+    Hello {
+        format: FORMAT,
+        address: "10.1.0.1:7720".to_owned(),
+        incarnation: 0x0102_0304_0506_0708,
+        node_name: "front-odori-hall-1".to_owned(),
+        zone: "odori-hall".to_owned(),
+        region: "ishikari".to_owned(),
+        control: "10.1.0.1:8166".to_owned(),
+        directory: "10.1.0.1:8164".to_owned(),
+        session: "10.1.0.1:7721".to_owned(),
+    }
+}
+
+fn member() -> Member {
+    let info = ProxyInfo {
+        node_name: "front-kita-hall-2".to_owned(),
+        incarnation: 9,
+        zone: "kita-hall".to_owned(),
+        region: "ishikari".to_owned(),
+        front: "10.3.0.9:8161".to_owned(),
+    };
+    Member { info, state: ProxyState { ready: true, leaving: false, version: 7, open: 3 } }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        claim: Claim { term: 7, holder: "10.1.0.1:7720".to_owned() },
+        silent: true,
+        sessions: Digest { count: 3, sum: 0x1122_3344_5566_7788 },
+        list_round: 9,
+        list: Digest { count: 4, sum: 5 },
+        leaving: false,
+        settled: true,
+    }
+}
+
+fn excerpt() -> Excerpt {
+    let entry = UpstreamEntry {
+        identifier: "i-7f3a91c2".to_owned(),
+        service: "lm".to_owned(),
+        address: "10.1.2.3:8080".to_owned(),
+        zone: "kita-hall".to_owned(),
+        slots: 64,
+        draining: true,
+        cold_remaining_ms: 1500,
+        time_left_ms: Some(2500),
+        models: vec!["m-1".to_owned()],
+    };
+    Excerpt { whole: false, round: 2, entries: vec![entry], gone: vec!["i-1".to_owned()] }
+}
+
+#[test]
+fn frames_between_control_nodes_keep_their_bytes() {
+    let message = fixtures::read(REPLICATION, "messages.hex").remove(0).1;
+    let message: Message = borsh::from_slice(&message).expect("a message");
+    let gone = vec!["front-asahi-hall-1".to_owned()];
+    let values = [
+        ("hello", PeerFrame::Hello(hello())),
+        ("replication", PeerFrame::Replication(message)),
+        ("sessions", PeerFrame::Sessions { whole: true, present: vec![member()], gone }),
+        ("want_sessions", PeerFrame::WantSessions),
+        ("list", PeerFrame::List(excerpt())),
+        ("want_list", PeerFrame::WantList),
+        ("heartbeat", PeerFrame::Heartbeat(heartbeat())),
+        ("prompts_sent", PeerFrame::PromptsSent(vec![PromptSent { upstream: 1, prefix: 2, tokens: 3 }])),
+    ];
+    compare("peer-frames.hex", &values);
+}
+
+#[test]
+fn commands_keep_their_bytes() {
+    let (zone, body) = ("kita-hall".to_owned(), b"{}".to_vec());
+    let configure = |form| Command::Configure { form, based_on: 7, body: b"{}".to_vec() };
+    let values = [
+        ("replace", Command::Replace { based_on: 7, body: body.clone() }),
+        ("update", Command::Update { based_on: 8, body }),
+        ("evacuate", Command::Evacuate { zone: zone.clone(), begin: true }),
+        ("configure_replace", configure(Form::Replace)),
+        ("configure_update", configure(Form::Update)),
+        ("set_evacuation", Command::SetEvacuation { zone, begin: false, seen: 9 }),
+    ];
+    compare("commands.hex", &values);
+}
+
+#[test]
+fn outcomes_questions_and_answers_keep_their_bytes() {
+    let outcomes = [
+        ("taken", Outcome::Taken { version: 7 }),
+        ("other", Outcome::Other { current: 8 }),
+        ("invalid", Outcome::Invalid { code: 205, place: "routes".to_owned(), what: "what".to_owned() }),
+        ("superseded", Outcome::Superseded { number: 9 }),
+        ("forgotten", Outcome::Forgotten),
+    ];
+    compare("outcomes.hex", &outcomes);
+    compare("questions.hex", &[("configuration", Question::Configuration), ("contact", Question::Contact)]);
+    compare::<Answer>("answers.hex", &[("none", None), ("some", Some("{}".to_owned()))]);
+}
