--- a/crates/sandtrack-control/tests/common/cluster.rs
+++ b/crates/sandtrack-control/tests/common/cluster.rs
@@ -182,6 +182,11 @@
         }
     }
 
+    /// The records on the disk of a machine.
+    pub fn wal(&self, number: usize) -> &[Vec<u8>] {
+        self.houses.get(&number).map_or(&[], |house| &house.wal)
+    }
+
     /// Stops or goes on running a process; what comes meanwhile waits.
     pub fn freeze(&mut self, number: usize, frozen: bool) {
         if let Some(house) = self.houses.get_mut(&number) {
