--- a/crates/sandtrack-proxy/tests/exchange/main.rs
+++ b/crates/sandtrack-proxy/tests/exchange/main.rs
@@ -5,6 +5,7 @@
 mod held;
 mod limits;
 mod memory;
+mod metrics;
 mod mixed;
 mod once;
 mod placing;
--- a/crates/sandtrack-proxy/tests/exchange/stage.rs
+++ b/crates/sandtrack-proxy/tests/exchange/stage.rs
@@ -277,7 +277,8 @@
         }
     }
 
-    fn figures(&self) -> String {
+    /// The answer of the proxy to a call for its metrics.
+    pub fn figures(&self) -> String {
         let mut stream = TcpStream::connect((self.ip.as_str(), PROXY_PORT)).expect("it serves its figures");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
         let call = format!("GET {PATH} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
