--- a/crates/sandtrack-sidecar/tests/reducer.rs
+++ b/crates/sandtrack-sidecar/tests/reducer.rs
@@ -2267,3 +2267,17 @@
     world.told(1, "DELETED", 0.0);
     assert!(!world.chosen(conn, 60).contains(&address(1)));
 }
+
+/// Staff's programs read them by name.
+#[test]
+fn the_metrics_and_their_order_are_those_of_the_fixture() {
+    let (mut world, conn) = World::warm();
+    world.sent(conn, "read", 900);
+    let (status, text) = world.staff("GET", "/-/metrics");
+    assert_eq!(status, 200);
+    let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/metrics.txt");
+    if std::env::var_os("SANDTRACK_WRITE_FIXTURES").is_some() {
+        std::fs::write(fixture, &text).expect("a fixture can be written");
+    }
+    assert_eq!(text, std::fs::read_to_string(fixture).expect("the fixture"));
+}
