--- a/crates/sandtrack-proxy/tests/exchange/stage.rs
+++ b/crates/sandtrack-proxy/tests/exchange/stage.rs
@@ -322,7 +322,8 @@
         }
     }
 
-    fn figures(&self) -> String {
+    /// The answer of the proxy to a call for its metrics.
+    pub fn figures(&self) -> String {
         let mut stream =
             TcpStream::connect((self.ip.as_str(), PROXY_PORT)).expect("it serves its figures");
         stream
