--- a/crates/sandtrack-replication/src/transfer.rs
+++ b/crates/sandtrack-replication/src/snapshot_transfer.rs
@@ -7,21 +7,21 @@
 
 use borsh::BorshSerialize;
 
-use crate::message::{Body, Position, Snapshot, SnapshotId};
+use crate::message::{Body, LogPosition, Snapshot, SnapshotId};
 use crate::{Address, Effect, Member, Replica, StateMachine};
 
 /// Bytes of a piece: 13 ms on a link of 10 Mbit/s.
-const PIECE: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes that may be asked for and not received.
-const WINDOW: u64 = 4 * PIECE as u64;
+const MAX_REQUESTED_BYTES: u64 = 4 * CHUNK_BYTES as u64;
 /// Bytes of the longest snapshot that is fetched.
-const LONGEST: u64 = 64 << 20;
+const MAX_SNAPSHOT_BYTES: u64 = 64 << 20;
 /// Milliseconds after which pieces that did not come are asked for again.
-const ASK_AGAIN: f64 = 500.0;
+const CHUNK_RETRY_TIMEOUT_MS: f64 = 500.0;
 /// Milliseconds after which another snapshot is fetched in place of one of which nothing came.
-const GIVEN_UP: f64 = 1000.0;
+const SOURCE_TIMEOUT_MS: f64 = 1000.0;
 /// Milliseconds after which a receiver that asked for nothing more is forgotten.
-const FORGOTTEN: f64 = 10_000.0;
+const IDLE_TRANSFER_TIMEOUT_MS: f64 = 10_000.0;
 
 /// A snapshot that is being sent.
 #[derive(Clone, Debug, BorshSerialize)]
@@ -40,7 +40,7 @@
     /// The state up to the first piece that lacks.
     state: Vec<u8>,
     /// Pieces that came before one in front of them.
-    early: BTreeMap<u64, Vec<u8>>,
+    out_of_order: BTreeMap<u64, Vec<u8>>,
     /// Up to which byte pieces were asked for.
     asked: u64,
     /// When a piece last came, or was last asked for anew.
@@ -55,7 +55,7 @@
             id,
             from,
             state: Vec::new(),
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             asked: 0,
             moved: now,
             progress: now,
@@ -69,18 +69,18 @@
     /// The offsets to ask for now.
     fn next_offsets(&mut self) -> Vec<u64> {
         let mut offsets = Vec::new();
-        while self.asked < self.id.length.min(self.received() + WINDOW) {
+        while self.asked < self.id.length.min(self.received() + MAX_REQUESTED_BYTES) {
             offsets.push(self.asked);
-            self.asked += PIECE as u64;
+            self.asked += CHUNK_BYTES as u64;
         }
         offsets
     }
 
     fn take(&mut self, offset: u64, bytes: Vec<u8>) {
-        if offset >= self.received() && offset < self.received() + WINDOW {
-            self.early.insert(offset, bytes);
+        if offset >= self.received() && offset < self.received() + MAX_REQUESTED_BYTES {
+            self.out_of_order.insert(offset, bytes);
         }
-        while let Some(bytes) = self.early.remove(&self.received()) {
+        while let Some(bytes) = self.out_of_order.remove(&self.received()) {
             self.state.extend(bytes);
         }
     }
@@ -90,9 +90,9 @@
     }
 
     /// The snapshot, when it is the one that was offered.
-    fn into_snapshot(self) -> Option<Snapshot> {
-        (self.id == identify(self.id.at, &self.state)).then_some(Snapshot {
-            at: self.id.at,
+    fn verified_snapshot(self) -> Option<Snapshot> {
+        (self.id == identify(self.id.position, &self.state)).then_some(Snapshot {
+            position: self.id.position,
             state: self.state,
         })
     }
@@ -100,13 +100,13 @@
 
 /// What is being sent and fetched.
 #[derive(Clone, Debug, Default, BorshSerialize)]
-pub(crate) struct Transfers {
+pub(crate) struct SnapshotTransfers {
     outgoing: Option<Outgoing>,
     incoming: Option<Incoming>,
     refused: u64,
 }
 
-impl Transfers {
+impl SnapshotTransfers {
     /// Whether some process fetches a snapshot from here, and will want the log after it.
     pub(crate) fn is_sending(&self) -> bool {
         self.outgoing.is_some()
@@ -122,9 +122,9 @@
     }
 }
 
-fn identify(at: Position, state: &[u8]) -> SnapshotId {
+fn identify(position: LogPosition, state: &[u8]) -> SnapshotId {
     SnapshotId {
-        at,
+        position,
         length: state.len() as u64,
         digest: crc32fast::hash(state),
     }
@@ -132,20 +132,20 @@
 
 impl<M: StateMachine> Replica<M> {
     /// Snapshots that did not match their digest, or could not be read, since the start of the process (code E503).
-    pub fn snapshots_refused(&self) -> u64 {
-        self.transfers.refused
+    pub fn snapshots_rejected(&self) -> u64 {
+        self.snapshot_transfers.refused
     }
 
     /// Bytes of the snapshots that are kept for transfers.
-    pub fn transfer_bytes(&self) -> usize {
+    pub fn snapshot_transfer_bytes(&self) -> usize {
         let outgoing = self
-            .transfers
+            .snapshot_transfers
             .outgoing
             .as_ref()
             .map_or(0, |outgoing| outgoing.state.len());
         outgoing
             + self
-                .transfers
+                .snapshot_transfers
                 .incoming
                 .as_ref()
                 .map_or(0, |incoming| incoming.state.len())
@@ -154,64 +154,65 @@
     /// Offers a snapshot to a process that lacks more than the log holds: the one that is being sent already, where
     /// the log still goes on from it.
     pub(crate) fn offer_snapshot(&mut self, to: &Address, effects: &mut Vec<Effect>) {
-        let follows = |at: Position| at == self.applied.at || self.holds(at);
+        let follows = |at: LogPosition| at == self.applied.position || self.log_contains(at);
         if !self
-            .transfers
+            .snapshot_transfers
             .outgoing
             .as_ref()
-            .is_some_and(|outgoing| follows(outgoing.id.at))
+            .is_some_and(|outgoing| follows(outgoing.id.position))
         {
-            let Snapshot { at, state } = self.applied.snapshot();
-            let id = identify(at, &state);
-            self.transfers.outgoing = Some(Outgoing {
+            let Snapshot { position, state } = self.applied.snapshot();
+            let id = identify(position, &state);
+            self.snapshot_transfers.outgoing = Some(Outgoing {
                 id,
                 state,
                 receivers: BTreeMap::new(),
             });
         }
-        if let Some(outgoing) = &mut self.transfers.outgoing {
+        if let Some(outgoing) = &mut self.snapshot_transfers.outgoing {
             outgoing.receivers.insert(to.clone(), self.now);
             let id = outgoing.id;
-            self.send(to, Body::Offer(id), effects);
+            self.send(to, Body::SnapshotOffer(id), effects);
         }
     }
 
-    pub(crate) fn take_offer(
+    pub(crate) fn handle_snapshot_offer(
         &mut self,
         sender: &Member,
         id: SnapshotId,
         effects: &mut Vec<Effect>,
     ) {
-        if id.at.number <= self.applied.at.number || id.length > LONGEST {
+        if id.position.number <= self.applied.position.number || id.length > MAX_SNAPSHOT_BYTES {
             return;
         }
         let now = self.now;
-        match &mut self.transfers.incoming {
+        match &mut self.snapshot_transfers.incoming {
             Some(incoming) if incoming.id == id => {
-                if now - incoming.progress > GIVEN_UP {
+                if now - incoming.progress > SOURCE_TIMEOUT_MS {
                     incoming.from = sender.address.clone();
                 }
             }
             // The sender of the one that is being fetched has it no more, or is not there.
             Some(incoming)
-                if incoming.from != sender.address && now - incoming.progress <= GIVEN_UP => {}
+                if incoming.from != sender.address
+                    && now - incoming.progress <= SOURCE_TIMEOUT_MS => {}
             incoming => *incoming = Some(Incoming::new(id, sender.address.clone(), now)),
         }
-        self.fetch(effects);
+        self.request_chunks(effects);
     }
 
     /// Asks for the pieces that may be under way.
-    fn fetch(&mut self, effects: &mut Vec<Effect>) {
-        let Some(incoming) = &mut self.transfers.incoming else {
+    fn request_chunks(&mut self, effects: &mut Vec<Effect>) {
+        let Some(incoming) = &mut self.snapshot_transfers.incoming else {
             return;
         };
         let (id, from) = (incoming.id, incoming.from.clone());
         for offset in incoming.next_offsets() {
-            self.send(&from, Body::Fetch { id, offset }, effects);
+            self.send(&from, Body::SnapshotFetch { id, offset }, effects);
         }
     }
 
-    pub(crate) fn take_fetch(
+    pub(crate) fn handle_snapshot_fetch(
         &mut self,
         sender: &Member,
         id: SnapshotId,
@@ -220,7 +221,7 @@
     ) {
         let now = self.now;
         let Some(outgoing) = self
-            .transfers
+            .snapshot_transfers
             .outgoing
             .as_mut()
             .filter(|outgoing| outgoing.id == id)
@@ -230,17 +231,21 @@
         if offset >= id.length {
             outgoing.receivers.remove(&sender.address);
             if outgoing.receivers.is_empty() {
-                self.transfers.outgoing = None;
+                self.snapshot_transfers.outgoing = None;
             }
             return;
         }
         outgoing.receivers.insert(sender.address.clone(), now);
         let start = offset as usize;
-        let bytes = outgoing.state[start..(start + PIECE).min(outgoing.state.len())].to_vec();
-        self.send(&sender.address, Body::Piece { id, offset, bytes }, effects);
+        let bytes = outgoing.state[start..(start + CHUNK_BYTES).min(outgoing.state.len())].to_vec();
+        self.send(
+            &sender.address,
+            Body::SnapshotChunk { id, offset, bytes },
+            effects,
+        );
     }
 
-    pub(crate) fn take_piece(
+    pub(crate) fn handle_snapshot_chunk(
         &mut self,
         sender: &Member,
         id: SnapshotId,
@@ -250,7 +255,7 @@
     ) {
         let now = self.now;
         let Some(incoming) = self
-            .transfers
+            .snapshot_transfers
             .incoming
             .as_mut()
             .filter(|incoming| incoming.id == id)
@@ -260,68 +265,70 @@
         incoming.take(offset, bytes);
         (incoming.moved, incoming.progress) = (now, now);
         if !incoming.is_complete() {
-            return self.fetch(effects);
+            return self.request_chunks(effects);
         }
         let snapshot = self
-            .transfers
+            .snapshot_transfers
             .incoming
             .take()
-            .and_then(Incoming::into_snapshot);
+            .and_then(Incoming::verified_snapshot);
         let is_restored = snapshot.is_some_and(|snapshot| self.restore(&snapshot, effects));
         if is_restored {
             // All are told before the sender hears that it is through: they keep the log that follows the snapshot.
-            let mut told = self.latest.addresses();
-            told.push(sender.address.clone());
-            told.dedup();
-            told.into_iter()
+            let mut notified = self.latest_view.addresses();
+            notified.push(sender.address.clone());
+            notified.dedup();
+            notified
+                .into_iter()
                 .for_each(|address| self.send_status(&address, effects));
         }
         self.send(
             &sender.address,
-            Body::Fetch {
+            Body::SnapshotFetch {
                 id,
                 offset: id.length,
             },
             effects,
         );
         if is_restored {
-            self.align_at_once(effects);
+            self.request_log_sync_now(effects);
         } else {
-            self.transfers.refused += 1;
+            self.snapshot_transfers.refused += 1;
         }
     }
 
     /// Takes the committed state of a snapshot; false when it can't be read.
     fn restore(&mut self, snapshot: &Snapshot, effects: &mut Vec<Effect>) -> bool {
-        if snapshot.at.number <= self.applied.at.number {
+        if snapshot.position.number <= self.applied.position.number {
             return true;
         }
         let restored = self.applied.restore(snapshot);
         if restored {
             effects.push(Effect::Restored {
-                number: snapshot.at.number,
+                number: snapshot.position.number,
             });
         }
         restored
     }
 
     /// Asks again for what did not come, and forgets what nobody wants any more.
-    pub(crate) fn transfers_tick(&mut self, effects: &mut Vec<Effect>) {
-        let (now, applied) = (self.now, self.applied.at.number);
-        self.transfers.incoming.take_if(|incoming| {
-            incoming.id.at.number <= applied || now - incoming.progress > FORGOTTEN
+    pub(crate) fn retry_snapshot_transfers(&mut self, effects: &mut Vec<Effect>) {
+        let (now, applied) = (self.now, self.applied.position.number);
+        self.snapshot_transfers.incoming.take_if(|incoming| {
+            incoming.id.position.number <= applied
+                || now - incoming.progress > IDLE_TRANSFER_TIMEOUT_MS
         });
-        if let Some(incoming) = &mut self.transfers.incoming {
-            if now - incoming.moved > ASK_AGAIN {
+        if let Some(incoming) = &mut self.snapshot_transfers.incoming {
+            if now - incoming.moved > CHUNK_RETRY_TIMEOUT_MS {
                 incoming.moved = now;
                 incoming.asked = incoming.received();
-                self.fetch(effects);
+                self.request_chunks(effects);
             }
         }
-        self.transfers.outgoing.take_if(|outgoing| {
+        self.snapshot_transfers.outgoing.take_if(|outgoing| {
             outgoing
                 .receivers
-                .retain(|_, asked| now - *asked <= FORGOTTEN);
+                .retain(|_, asked| now - *asked <= IDLE_TRANSFER_TIMEOUT_MS);
             outgoing.receivers.is_empty()
         });
     }
--- a/crates/sandtrack-replication/src/view.rs
+++ b/crates/sandtrack-replication/src/view.rs
@@ -85,15 +85,20 @@
 
     /// Whether what is on all of the chain's disks outlasts the losses that are to be borne. Members whose
     /// zone isn't known count as in zones of their own.
-    pub(crate) fn may_commit(&self, machines_borne: usize, zones_borne: usize) -> bool {
-        self.chain.len() > machines_borne && crowds(&self.zones).len() > zones_borne
+    pub(crate) fn may_commit(
+        &self,
+        tolerated_machine_losses: usize,
+        tolerated_zone_losses: usize,
+    ) -> bool {
+        self.chain.len() > tolerated_machine_losses
+            && members_per_zone(&self.zones).len() > tolerated_zone_losses
     }
 
     /// Whether a majority of the voters is left when the most crowded zones that may be lost are.
-    pub(crate) fn voters_outlast(&self, zones_borne: usize) -> bool {
-        let lost: usize = crowds(&self.voter_zones)
+    pub(crate) fn voters_survive_zone_loss(&self, tolerated_zone_losses: usize) -> bool {
+        let lost: usize = members_per_zone(&self.voter_zones)
             .into_iter()
-            .take(zones_borne)
+            .take(tolerated_zone_losses)
             .sum();
         self.voters.len() - lost >= self.majority()
     }
@@ -111,13 +116,13 @@
 }
 
 /// How many are in each zone, most first; who isn't known to be in one is in a zone of its own.
-fn crowds(zones: &[String]) -> Vec<usize> {
+fn members_per_zone(zones: &[String]) -> Vec<usize> {
     let mut known: BTreeMap<&String, usize> = BTreeMap::new();
     for zone in zones.iter().filter(|zone| !zone.is_empty()) {
         *known.entry(zone).or_default() += 1;
     }
-    let mut crowds: Vec<usize> = known.into_values().collect();
-    crowds.extend(zones.iter().filter(|zone| zone.is_empty()).map(|_| 1));
-    crowds.sort_unstable_by(|one, other| other.cmp(one));
-    crowds
+    let mut members_per_zone: Vec<usize> = known.into_values().collect();
+    members_per_zone.extend(zones.iter().filter(|zone| zone.is_empty()).map(|_| 1));
+    members_per_zone.sort_unstable_by(|one, other| other.cmp(one));
+    members_per_zone
 }
--- a/crates/sandtrack-replication/src/testimony.rs
+++ b/crates/sandtrack-replication/src/view_attestation.rs
@@ -6,14 +6,14 @@
 
 /// What a process says of itself as a voter: whether it may speak for a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Testimony {
+pub struct ViewAttestation {
     /// Of its disk. With another disk it is another member, which knows nothing of what the one before accepted.
     pub incarnation: u64,
     /// The latest epoch whose view it knows, or accepted on its disk.
-    pub bound: u64,
+    pub highest_epoch: u64,
 }
 
-impl Testimony {
+impl ViewAttestation {
     /// Whether it is a voter of the view, under this address, and neither knows nor accepted a later one.
     ///
     /// The view after it is decided by a majority of acceptances, so a majority that confirms the view shows that no later
@@ -21,84 +21,88 @@
     pub fn confirms(&self, address: &str, view: &View) -> bool {
         let is_it =
             |voter: &Member| voter.address == address && voter.incarnation == self.incarnation;
-        self.bound <= view.epoch && view.voters.iter().any(is_it)
+        self.highest_epoch <= view.epoch && view.voters.iter().any(is_it)
     }
 }
 
 impl<M: StateMachine> Replica<M> {
     /// What this process says of itself as a voter.
-    pub fn testimony(&self) -> Testimony {
-        Testimony {
+    pub fn view_attestation(&self) -> ViewAttestation {
+        ViewAttestation {
             incarnation: self.me.incarnation,
-            bound: self.bound(),
+            highest_epoch: self.highest_epoch(),
         }
     }
 
     /// What another process said of itself as a voter, since it started.
-    pub fn testimony_of(&self, address: &str) -> Option<Testimony> {
+    pub fn view_attestation_of(&self, address: &str) -> Option<ViewAttestation> {
         let peer = self.peers.all.get(address)?;
-        Some(Testimony {
+        Some(ViewAttestation {
             incarnation: peer.incarnation,
-            bound: peer.bound,
+            highest_epoch: peer.highest_epoch,
         })
     }
 
     /// The latest epoch whose view is known here, or was accepted on the disk. A promise binds to no view: what was only
     /// promised can't have been decided.
-    pub(crate) fn bound(&self) -> u64 {
+    pub(crate) fn highest_epoch(&self) -> u64 {
         let accepted = self
-            .image
+            .durable
             .accepted
             .as_ref()
             .map_or(0, |(_, view)| view.epoch);
-        self.latest.epoch.max(accepted)
+        self.latest_view.epoch.max(accepted)
     }
 
-    /// The epoch in which this process, as a member of the chain in line, holds all that was acknowledged; none while it
+    /// The epoch in which this process, as a member of the chain in sync, holds all that was acknowledged; none while it
     /// does not.
-    pub fn holds_all_in(&self) -> Option<u64> {
-        let holds_all = self.in_line() && self.chain.confirmed >= self.chain.floor;
-        holds_all.then_some(self.image.view.epoch)
+    pub fn fully_applied_epoch(&self) -> Option<u64> {
+        let is_up_to_date = self.is_in_sync() && self.chain.confirmed >= self.chain.floor;
+        is_up_to_date.then_some(self.durable.view.epoch)
     }
 
     /// Whether `machine()` holds all that was acknowledged up to and in the latest view known here. `held` is the last
-    /// epoch that [`Self::holds_all_in`] gave since this process started.
+    /// epoch that [`Self::fully_applied_epoch`] gave since this process started.
     ///
     /// A member of the chain without a break since then does: each order that was acknowledged since was applied here
     /// before the head answered. Any other process rests on the last status of the member that it learns from.
-    pub fn holds_all(&self, held: Option<u64>) -> bool {
-        match self.latest.position(&self.me) {
-            Some(position) => held >= Some(self.latest.since[position]),
-            None => self.source_holds_no_more(),
+    pub fn is_up_to_date(&self, held: Option<u64>) -> bool {
+        match self.latest_view.position(&self.me) {
+            Some(position) => held >= Some(self.latest_view.since[position]),
+            None => self.is_level_with_source(),
         }
     }
 
-    fn source_holds_no_more(&self) -> bool {
+    fn is_level_with_source(&self) -> bool {
         let Some(source) = &self.source else {
             return false;
         };
-        let is_near = |peer: &&Peer| self.now - peer.heard <= self.settings.timings.silence;
+        let is_near =
+            |peer: &&Peer| self.now - peer.last_heard <= self.settings.timings.failure_timeout;
         let peer = self.peers.all.get(source).filter(is_near);
-        let in_chain = |peer: &&Peer| {
+        let is_in_chain = |peer: &&Peer| {
             let member = Member {
                 address: source.clone(),
                 incarnation: peer.incarnation,
             };
-            self.latest.position(&member).is_some() && peer.epoch == self.latest.epoch
+            self.latest_view.position(&member).is_some() && peer.epoch == self.latest_view.epoch
         };
-        let status = peer.filter(in_chain).and_then(|peer| peer.status.as_ref());
-        let holds_all = |status: &&Status| status.holds_all_in(self.latest.epoch);
+        let status = peer
+            .filter(is_in_chain)
+            .and_then(|peer| peer.status.as_ref());
+        let is_up_to_date = |status: &&Status| status.fully_applied_epoch(self.latest_view.epoch);
         status
-            .filter(holds_all)
-            .is_some_and(|status| status.applied <= self.applied.at.number)
+            .filter(is_up_to_date)
+            .is_some_and(|status| status.applied <= self.applied.position.number)
     }
 }
 
 impl Status {
-    /// Whether its sender, in the chain of this epoch, has applied all that was acknowledged: it is in line, and what it
+    /// Whether its sender, in the chain of this epoch, has applied all that was acknowledged: it is in sync, and what it
     /// applied was confirmed in this epoch, not only read from its log after a start.
-    fn holds_all_in(&self, epoch: u64) -> bool {
-        let confirmed = self.confirmed >= self.applied && (self.confirmed > 0 || self.synced == 0);
-        self.aligned == epoch && confirmed
+    fn fully_applied_epoch(&self, epoch: u64) -> bool {
+        let confirmed =
+            self.confirmed >= self.applied && (self.confirmed > 0 || self.durable_end == 0);
+        self.in_sync_epoch == epoch && confirmed
     }
 }
--- a/crates/sandtrack-replication/tests/catching_up.rs
+++ b/crates/sandtrack-replication/tests/catching_up.rs
@@ -130,7 +130,7 @@
             .replica
             .as_ref()
             .unwrap()
-            .transfer_bytes()
+            .snapshot_transfer_bytes()
     };
     let mut most = 0;
     let end = world.now + 2.0 * ON_THE_WAY;
@@ -155,7 +155,7 @@
             .replica
             .as_ref()
             .unwrap()
-            .snapshots_refused()
+            .snapshots_rejected()
     };
     assert!(world.run_until(2.0 * ON_THE_WAY, |world| refused(world) == 1));
     assert!(!is_in_line(&world, AWAY));
--- a/crates/sandtrack-replication/tests/guards.rs
+++ b/crates/sandtrack-replication/tests/guards.rs
@@ -1,7 +1,7 @@
 //! Guards of the replica that no world runs into by itself: each test falls when its guard is taken out (`.ci/mutations.list`).
 mod world;
 
-use sandtrack_replication::{Member, Refusal, View};
+use sandtrack_replication::{CallError, Member, View};
 use world::{DiskMode, World};
 
 fn calm(seeds: usize, observers: usize, borne: usize) -> World {
@@ -19,7 +19,7 @@
     world.run(6000.0);
     assert_eq!(
         world.outcome(call),
-        Some(Err(Refusal::NoMajority)),
+        Some(Err(CallError::NoMajority)),
         "surely not in force"
     );
     let joiner = world.add(true);
@@ -56,7 +56,7 @@
     world.cut(&[0], &[2]);
     let call = world.submit(0, 0);
     world.run(4300.0);
-    assert_eq!(world.outcome(call), Some(Err(Refusal::NoMajority)));
+    assert_eq!(world.outcome(call), Some(Err(CallError::NoMajority)));
     world.set_disk(0, DiskMode::Well);
     world.run(50.0);
     assert_eq!(
@@ -73,7 +73,7 @@
     world.run(5.0);
     world.cut(&[0], &[2]);
     world.run(5000.0);
-    assert_eq!(world.outcome(call), Some(Err(Refusal::TimedOut)));
+    assert_eq!(world.outcome(call), Some(Err(CallError::TimedOut)));
     world.set_disk(0, DiskMode::Well);
     world.run(50.0);
     assert_eq!(
@@ -125,7 +125,7 @@
     world.run(5.0);
     assert!(world.release("m3 -> m1: e2 submit"));
     world.run(5000.0);
-    assert_eq!(world.outcome(call), Some(Err(Refusal::Full)));
+    assert_eq!(world.outcome(call), Some(Err(CallError::Full)));
     world.set_disk(0, DiskMode::Well);
     world.run(1000.0);
     assert!(world.release("m3 -> m1: e2 submit"));
@@ -139,7 +139,7 @@
     world.set_disk(0, DiskMode::Full);
     let call = world.submit(3, 0);
     world.run(5000.0);
-    assert_eq!(world.outcome(call), Some(Err(Refusal::TimedOut)));
+    assert_eq!(world.outcome(call), Some(Err(CallError::TimedOut)));
 }
 
 /// One head refused it, the next one has it still under way.
@@ -157,7 +157,7 @@
         world.said("held back: m1 -> m2: e1 submit"),
         "the next head is given it"
     );
-    assert_eq!(world.outcome(call), Some(Err(Refusal::TimedOut)));
+    assert_eq!(world.outcome(call), Some(Err(CallError::TimedOut)));
 }
 
 /// The new head has it from the former chain. Were its answer given before the others of its own chain have it, one more
--- a/crates/sandtrack-replication/tests/recovery.rs
+++ b/crates/sandtrack-replication/tests/recovery.rs
@@ -26,7 +26,7 @@
 fn settings(me: &str, first_start: bool, incarnation: u64) -> Settings {
     let mut settings = Settings::new(me, &["a", "b", "c"]);
     settings.first_start = first_start;
-    settings.incarnation_if_new = incarnation;
+    settings.new_incarnation = incarnation;
     settings
 }
 
--- a/crates/sandtrack-replication/tests/returns.rs
+++ b/crates/sandtrack-replication/tests/returns.rs
@@ -224,15 +224,16 @@
 /// Voters that confirm the view that a process knows, as far as it has heard of late.
 fn confirming(replica: &Replica<Register>) -> usize {
     let me = replica.member();
-    let testimony = |address: &str| {
+    let attestation = |address: &str| {
         if address == me.address {
-            return Some(replica.testimony());
+            return Some(replica.view_attestation());
         }
-        replica.testimony_of(address)
+        replica.view_attestation_of(address)
     };
     let view = replica.view();
     let confirms = |voter: &&Member| {
-        testimony(&voter.address).is_some_and(|testimony| testimony.confirms(&voter.address, view))
+        attestation(&voter.address)
+            .is_some_and(|attestation| attestation.confirms(&voter.address, view))
     };
     view.voters.iter().filter(confirms).count()
 }
--- a/crates/sandtrack-replication/tests/transcripts.rs
+++ b/crates/sandtrack-replication/tests/transcripts.rs
@@ -238,7 +238,7 @@
     world.run(4500.0);
     assert_eq!(
         world.outcome(call),
-        Some(Err(sandtrack_replication::Refusal::Full))
+        Some(Err(sandtrack_replication::CallError::Full))
     );
     let read = world.read(0);
     world.run(50.0);
--- a/crates/sandtrack-replication/tests/world/mod.rs
+++ b/crates/sandtrack-replication/tests/world/mod.rs
@@ -10,7 +10,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sandtrack_replication::{Effect, Input, Member, Message, Refusal, Replica, Settings};
+use sandtrack_replication::{CallError, Effect, Input, Member, Message, Replica, Settings};
 
 use bandwidth::Bandwidth;
 use checks::Checks;
@@ -145,7 +145,7 @@
     pub began: Time,
     /// The position that a read that began then may not be older than.
     pub floor: u64,
-    pub ended: Option<(Time, Result<Vec<u8>, Refusal>)>,
+    pub ended: Option<(Time, Result<Vec<u8>, CallError>)>,
 }
 
 pub struct World {
@@ -306,11 +306,11 @@
         let mut settings = Settings::new(&node.address, &seeds);
         settings.zone = node.zone.clone();
         settings.first_start = first_start;
-        settings.disk = node.has_disk;
-        settings.machines_borne = self.borne;
-        settings.zones_borne = self.zones_borne;
-        settings.seed = index as u64 * 1000 + node.generation;
-        settings.incarnation_if_new = index as u64 * 1000 + 100 + node.wipes * 10 + node.generation;
+        settings.has_disk = node.has_disk;
+        settings.tolerated_machine_losses = self.borne;
+        settings.tolerated_zone_losses = self.zones_borne;
+        settings.random_seed = index as u64 * 1000 + node.generation;
+        settings.new_incarnation = index as u64 * 1000 + 100 + node.wipes * 10 + node.generation;
         let machine = Register {
             ballast: self.ballast,
             ..Register::default()
@@ -607,7 +607,7 @@
                 Effect::Restored { number } => {
                     self.say(|world| format!("{} restored {number}", world.nodes[index].address));
                 }
-                Effect::ViewIs(view) => {
+                Effect::ViewChanged(view) => {
                     self.say(|world| format!("{} knows {view}", world.nodes[index].address));
                     self.checks.view(&view);
                 }
@@ -718,7 +718,7 @@
             node,
             Input::Read {
                 call,
-                question: b"get".to_vec(),
+                query: b"get".to_vec(),
             },
         );
         call
@@ -738,7 +738,7 @@
         self.next_call
     }
 
-    fn answered(&mut self, index: usize, number: u64, result: Result<Vec<u8>, Refusal>) {
+    fn answered(&mut self, index: usize, number: u64, result: Result<Vec<u8>, CallError>) {
         self.say(|world| {
             let text = match &result {
                 Ok(outcome) => String::from_utf8_lossy(outcome).to_string(),
@@ -755,7 +755,7 @@
     }
 
     /// The outcome of a call in words.
-    pub fn outcome(&self, call: u64) -> Option<Result<String, Refusal>> {
+    pub fn outcome(&self, call: u64) -> Option<Result<String, CallError>> {
         let (_, result) = self.calls[&call].ended.clone()?;
         Some(result.map(|bytes| String::from_utf8(bytes).unwrap()))
     }
