--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use rand::Rng;
 use rand_pcg::Pcg32;
-use sandtrack_tiers::{FailureRun, Member, Membership, Smoothed, Tiers};
+use sandtrack_tiers::{ConsecutiveFailures, Member, Membership, Smoothed, Tiers};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 
@@ -143,7 +143,7 @@
     /// Smoothed probe time and the group of upstreams (tier) it belongs to.
     pub average: Smoothed,
     pub membership: Membership,
-    pub failures: FailureRun,
+    pub failures: ConsecutiveFailures,
     /// The list has it as gone, or not at all, and it may still serve.
     pub doubted: bool,
     pub probe_sent: Option<Millis>,
@@ -369,7 +369,7 @@
             timed: false,
             average: Smoothed::default(),
             membership: Membership::default(),
-            failures: FailureRun::default(),
+            failures: ConsecutiveFailures::default(),
             doubted: false,
             probe_sent: None,
             out: Vec::new(),
--- a/crates/sandtrack-proxy/src/attempt.rs
+++ b/crates/sandtrack-proxy/src/attempt.rs
@@ -2,9 +2,9 @@
 //! time. What a step's outcome means is decided in `exchange_state`.
 use crate::exchange::{ask, next, written_head, Asked, Waited};
 use crate::exchange_state::{AnswerId, Broke, HeadFacts, SendEvent, Terms};
-use crate::placement::balancer::Ended;
-use crate::placement::prefill::Estimate;
-use crate::placement::upstreams::Load;
+use crate::placement::balancer::SendOutcome;
+use crate::placement::prefill_queue::PrefillEstimate;
+use crate::placement::upstreams::ServerLoad;
 use crate::policy::Policy;
 use crate::pool::{connect, kept_for, Connection};
 use crate::request::ProxyRequest;
@@ -21,7 +21,7 @@
 struct Reported<'a> {
     shared: &'a Shared,
     place: usize,
-    ended: Ended,
+    ended: SendOutcome,
 }
 
 impl Drop for Reported<'_> {
@@ -30,7 +30,7 @@
         self.shared
             .balancer
             .borrow_mut()
-            .ended(now, self.place, self.ended);
+            .send_finished(now, self.place, self.ended);
     }
 }
 
@@ -39,7 +39,7 @@
     identifier: String,
     address: String,
     /// Connections that this proxy may hold to it.
-    connection_share: usize,
+    connection_quota: usize,
 }
 
 pub struct Attempt<'a> {
@@ -54,7 +54,7 @@
     connection: Option<Connection>,
     reported: Reported<'a>,
     /// How long its prompt was to take there, where it is long.
-    estimate: Option<Estimate>,
+    estimate: Option<PrefillEstimate>,
     /// When the request was begun to be written.
     asked: Option<Millis>,
     written: bool,
@@ -101,9 +101,9 @@
         resume: Option<u64>,
     ) -> Attempt<'a> {
         let mut balancer = shared.balancer.borrow_mut();
-        balancer.sent(place);
-        let estimate = balancer.prompt_sent(shared.clock.now(), request, place);
-        let connection_share = balancer.connection_share(place);
+        balancer.send_started(place);
+        let estimate = balancer.long_prompt_sent(shared.clock.now(), request, place);
+        let connection_quota = balancer.connection_quota(place);
         if estimate.is_some() {
             shared.tell_news();
         }
@@ -111,7 +111,7 @@
         let upstream = Upstream {
             identifier: known.entry.identifier.clone(),
             address: known.entry.address.clone(),
-            connection_share,
+            connection_quota,
         };
         Attempt {
             shared,
@@ -124,7 +124,7 @@
             reported: Reported {
                 shared,
                 place,
-                ended: Ended::GivenUp,
+                ended: SendOutcome::Cancelled,
             },
             estimate,
             asked: None,
@@ -181,22 +181,24 @@
     /// The upstream's load and its coldness, as the head tells them.
     pub fn heed(&self) {
         let Some(head) = &self.head else { return };
-        let load = head.headers.get("server-load").and_then(Load::parse);
+        let load = head.headers.get("server-load").and_then(ServerLoad::parse);
         let cold = head
             .headers
             .get("cold-remaining")
             .and_then(|value| value.trim().parse().ok());
-        self.shared
-            .balancer
-            .borrow_mut()
-            .told(self.shared.clock.now(), self.place(), load, cold);
+        self.shared.balancer.borrow_mut().load_reported(
+            self.shared.clock.now(),
+            self.place(),
+            load,
+            cold,
+        );
     }
 
     /// How long the first part of the answer took.
     pub fn note_pace(&self) {
         if let Some(asked) = self.asked {
             let elapsed = self.shared.clock.now() - asked;
-            self.shared.balancer.borrow_mut().paced(
+            self.shared.balancer.borrow_mut().first_byte_received(
                 self.request,
                 self.place(),
                 elapsed,
@@ -206,12 +208,12 @@
     }
 
     /// Ends it, and closes its connection.
-    pub fn close(mut self, ended: Ended) {
+    pub fn close(mut self, ended: SendOutcome) {
         self.reported.ended = ended;
     }
 
     /// Ends it, and leaves its connection to the next request.
-    pub fn pool(&mut self, ended: Ended) {
+    pub fn pool(&mut self, ended: SendOutcome) {
         self.reported.ended = ended;
         if let (Some(connection), Some(head)) = (self.connection.take(), &self.head) {
             let now = self.shared.clock.now();
@@ -230,7 +232,7 @@
             || shared
                 .balancer
                 .borrow()
-                .is_proven_alive(now, self.reported.place);
+                .trusts_idle_connections(now, self.reported.place);
         let idle = reuse
             .then(|| shared.pool.borrow_mut().take(identifier, now))
             .flatten();
@@ -239,7 +241,7 @@
             self.connection = Some(connection);
             return SendEvent::Connected { reused };
         }
-        let full = shared.pool.borrow().open(identifier) >= self.upstream.connection_share;
+        let full = shared.pool.borrow().open(identifier) >= self.upstream.connection_quota;
         if full && !shared.pool.borrow_mut().drop_idle(identifier) {
             return SendEvent::NoConnection { share_full: true };
         }
@@ -248,7 +250,7 @@
             .balancer
             .borrow()
             .connect_timeout(self.request, place);
-        let patience = patience.min(self.request.left(now));
+        let patience = patience.min(self.request.time_left(now));
         match connect(&shared.pool, identifier, &self.upstream.address, patience).await {
             Ok(connection) => {
                 self.connection = Some(connection);
@@ -256,7 +258,7 @@
                 shared
                     .balancer
                     .borrow_mut()
-                    .note_trip(clock.now(), place, elapsed);
+                    .record_round_trip(clock.now(), place, elapsed);
                 SendEvent::Connected { reused: false }
             }
             Err(error) => {
@@ -281,13 +283,13 @@
         };
         let now = self.shared.clock.now();
         self.asked = Some(now);
-        let left = self.request.left(now);
+        let left = self.request.time_left(now);
         let head = written_head(
             self.request,
             &self.upstream.identifier,
             left,
             self.resume,
-            self.shared.policy.urgency,
+            self.shared.policy.send_urgency,
         );
         match ask(connection, &head, &self.request.body, left).await {
             Asked::Written => {
@@ -310,7 +312,7 @@
                 self.shared
                     .balancer
                     .borrow_mut()
-                    .heard(self.shared.clock.now(), self.reported.place);
+                    .upstream_seen(self.shared.clock.now(), self.reported.place);
             }
             let is_wordless = connection.reused && self.head.is_none();
             if is_wordless && matches!(waited, Waited::Broke(Broke::Connection)) {
@@ -318,7 +320,7 @@
                 self.shared
                     .balancer
                     .borrow_mut()
-                    .idle_connection_broke(now, self.reported.place);
+                    .idle_connection_failed(now, self.reported.place);
             }
             match waited {
                 Waited::Broke(broke) => return SendEvent::Broke(broke),
--- a/crates/sandtrack-proxy/src/carry.rs
+++ b/crates/sandtrack-proxy/src/carry.rs
@@ -7,8 +7,8 @@
     SENDS,
 };
 use crate::outcomes::Outcome;
-use crate::placement::balancer::Ended;
-use crate::placement::choice::Placed;
+use crate::placement::balancer::SendOutcome;
+use crate::placement::selection::Placement;
 use crate::request::ProxyRequest;
 use crate::request_log::RequestLog;
 use crate::shared::Shared;
@@ -111,7 +111,7 @@
     shared
         .balancer
         .borrow_mut()
-        .came(shared.clock.now(), request);
+        .request_arrived(shared.clock.now(), request);
     let terms = Terms {
         idempotent: request.is_idempotent(),
         streaming: request.is_stream(),
@@ -130,7 +130,7 @@
         whole: None,
         log: RequestLog::new(shared, request),
         given: GivenIds::default(),
-        last_piece: request.arrived,
+        last_piece: request.arrived_at,
     };
     carried.run().await
 }
@@ -189,7 +189,7 @@
                 bytes,
                 ends,
             } => {
-                let patience = self.request.left(self.shared.clock.now()) + LAST_PIECE;
+                let patience = self.request.time_left(self.shared.clock.now()) + LAST_PIECE;
                 let rises = self.given.note(&bytes);
                 check(Invariant::EventsRise, rises, || {
                     format!("{} at {:?}", self.request.id, self.given)
@@ -247,7 +247,7 @@
         }
     }
 
-    fn note_over(&mut self, attempt: &Attempt<'_>, ended: Ended) {
+    fn note_over(&mut self, attempt: &Attempt<'_>, ended: SendOutcome) {
         self.tried.push(attempt.place());
         self.log.send_over(attempt.identifier(), ended);
     }
@@ -302,9 +302,9 @@
     /// Where it goes next, waiting for room for a while. Counts a send beyond the first against the budget.
     async fn find_place(&self) -> Input {
         let request = self.request;
-        let hold = (request.route.target_latency_ms).min(request.left(request.arrived))
-            * self.shared.policy.hold;
-        let refuse_at = request.arrived + hold;
+        let hold = (request.route.target_latency_ms).min(request.time_left(request.arrived_at))
+            * self.shared.policy.placement_wait_ratio;
+        let refuse_at = request.arrived_at + hold;
         loop {
             let now = self.shared.clock.now();
             if now >= request.deadline {
@@ -319,10 +319,10 @@
                 };
             }
             let refused = now >= refuse_at && self.exchange.refuses_early();
-            if refused || now + self.shared.policy.look_again_ms >= request.deadline {
+            if refused || now + self.shared.policy.placement_retry_ms >= request.deadline {
                 return Input::NoRoom;
             }
-            sleep(self.shared.policy.look_again_ms).await;
+            sleep(self.shared.policy.placement_retry_ms).await;
         }
     }
 
@@ -331,10 +331,10 @@
             .shared
             .balancer
             .borrow_mut()
-            .place(now, self.request, tried)
+            .choose_upstream(now, self.request, tried)
         {
-            Placed::Send(place) => Some(place),
-            Placed::Wait | Placed::None => None,
+            Placement::Send(place) => Some(place),
+            Placement::Wait | Placement::Unavailable => None,
         }
     }
 
@@ -343,7 +343,7 @@
         self.shared
             .balancer
             .borrow_mut()
-            .may_repeat(now, &self.request.service)
+            .withdraw_retry(now, &self.request.service)
     }
 
     /// What happens next to the sends under way.
@@ -389,7 +389,7 @@
             watch.look.set_at(
                 self.shared.clock.at(watch
                     .silent_at
-                    .min(now + self.shared.policy.suspect_look_ms)),
+                    .min(now + self.shared.policy.suspect_check_ms)),
             );
             return None;
         }
@@ -397,10 +397,10 @@
         watch.look.set_at(
             self.shared
                 .clock
-                .at(now + self.shared.policy.suspect_look_ms),
+                .at(now + self.shared.policy.suspect_check_ms),
         );
-        self.shared.balancer.borrow_mut().suspect(now, place);
-        if !self.exchange.may_race() || !self.shared.policy.races {
+        self.shared.balancer.borrow_mut().probe_now(now, place);
+        if !self.exchange.may_race() || !self.shared.policy.hedging {
             return None;
         }
         let mut tried = self.tried.clone();
@@ -429,7 +429,7 @@
         let clock = self.shared.clock;
         let (silent_at, look_at) = if relaying && !relayed {
             // The one that raced it came to nothing: it is silent still.
-            (now, now + self.shared.policy.suspect_look_ms)
+            (now, now + self.shared.policy.suspect_check_ms)
         } else {
             let silent_at = now + self.patience(relaying, watched.place);
             let healthy = self
@@ -443,7 +443,7 @@
             (
                 silent_at,
                 if healthy {
-                    silent_at.min(now + self.shared.policy.suspect_look_ms)
+                    silent_at.min(now + self.shared.policy.suspect_check_ms)
                 } else {
                     now
                 },
@@ -461,7 +461,10 @@
         if relaying {
             longest_pause(self.shared, self.request, place)
         } else {
-            self.shared.balancer.borrow().patience(self.request, place)
+            self.shared
+                .balancer
+                .borrow()
+                .hedge_delay(self.request, place)
         }
     }
 }
@@ -477,7 +480,7 @@
         .average
         .get()
         .unwrap_or(0.0);
-    aim * shared.policy.pause + 2.0 * average
+    aim * shared.policy.stall_ratio + 2.0 * average
 }
 
 async fn sleep(time: Millis) {
--- a/crates/sandtrack-proxy/src/exchange.rs
+++ b/crates/sandtrack-proxy/src/exchange.rs
@@ -63,7 +63,7 @@
         ("Expected-Instance", identifier),
     ];
     let urgency = request
-        .prefix
+        .prompt_parts
         .first()
         .filter(|_| urgent)
         .map(|_| ("Priority", priority.as_str()));
--- a/crates/sandtrack-proxy/src/exchange_state.rs
+++ b/crates/sandtrack-proxy/src/exchange_state.rs
@@ -7,7 +7,7 @@
 mod messages;
 
 use crate::events::{Scanned, Scanner};
-use crate::placement::balancer::Ended;
+use crate::placement::balancer::SendOutcome;
 pub use messages::{
     is_promise, may_use_idle, Action, AnswerId, Broke, Final, HeadFacts, Input, SendEvent, SendId,
     Terms, SENDS,
@@ -236,14 +236,16 @@
             (Stage::Connecting, SendEvent::NoConnection { share_full }) => {
                 self.sent -= 1;
                 let ended = if share_full {
-                    Ended::TurnedAway
+                    SendOutcome::Rejected
                 } else {
-                    Ended::Broken
+                    SendOutcome::ConnectionFailed
                 };
                 self.fail(id, ended, actions);
             }
             (Stage::Writing, SendEvent::Written) => self.advance(id, Stage::AwaitingHead),
-            (Stage::Writing, SendEvent::WriteFailed) => self.fail(id, Ended::Broken, actions),
+            (Stage::Writing, SendEvent::WriteFailed) => {
+                self.fail(id, SendOutcome::ConnectionFailed, actions)
+            }
             (Stage::AwaitingHead, SendEvent::Head(facts)) => self.head(id, facts, actions),
             (Stage::Collecting(facts), SendEvent::End { surplus }) => {
                 self.collected(id, facts, surplus, actions);
@@ -268,16 +270,16 @@
                 // A connection that stood idle and broke without a word says nothing of its upstream.
                 let wordless = send.reused && stage == Stage::AwaitingHead;
                 let ended = match broke {
-                    Broke::Spoilt => Ended::Faulty,
+                    Broke::Spoilt => SendOutcome::ServerError,
                     // It is no fault of its upstream.
-                    Broke::NoMemory => Ended::GivenUp,
-                    Broke::Connection if wordless => Ended::GivenUp,
-                    Broke::Connection => Ended::Broken,
+                    Broke::NoMemory => SendOutcome::Cancelled,
+                    Broke::Connection if wordless => SendOutcome::Cancelled,
+                    Broke::Connection => SendOutcome::ConnectionFailed,
                 };
                 self.fail(id, ended, actions);
             }
             // No part of an answer comes in this place.
-            (_, _) => self.fail(id, Ended::Faulty, actions),
+            (_, _) => self.fail(id, SendOutcome::ServerError, actions),
         }
     }
 
@@ -296,7 +298,7 @@
             AnswerId::Missing => facts.not_run() && !reused,
         };
         if !own || facts.is_success() && !facts.sealed {
-            return self.fail(id, Ended::Faulty, actions);
+            return self.fail(id, SendOutcome::ServerError, actions);
         }
         actions.push(Action::Heed(id));
         let relays = self.terms.relays(facts.status) && !facts.not_run();
@@ -319,23 +321,23 @@
         actions: &mut Vec<Action>,
     ) {
         if facts.not_run() {
-            self.release(id, facts, surplus, Ended::TurnedAway, actions);
+            self.release(id, facts, surplus, SendOutcome::Rejected, actions);
             return self.without_answer(actions);
         }
         if facts.is_failure() {
             self.kept_failure = Some(facts.status);
-            self.release(id, facts, surplus, Ended::Faulty, actions);
+            self.release(id, facts, surplus, SendOutcome::ServerError, actions);
             actions.push(Action::KeepFailure(id));
             return self.without_answer(actions);
         }
         actions.push(Action::NotePace(id));
         if self.begun {
             // A stream can't be taken up with a whole answer.
-            self.release(id, facts, surplus, Ended::Answered, actions);
+            self.release(id, facts, surplus, SendOutcome::Completed, actions);
             return self.without_answer(actions);
         }
         self.drop_rival(id, actions);
-        self.release(id, facts, surplus, Ended::Answered, actions);
+        self.release(id, facts, surplus, SendOutcome::Completed, actions);
         self.finish(Final::Whole(id), actions);
     }
 
@@ -357,7 +359,7 @@
             self.pass_on(id, bytes, false, actions);
         }
         if spoilt {
-            self.fail(id, Ended::Faulty, actions);
+            self.fail(id, SendOutcome::ServerError, actions);
         }
     }
 
@@ -371,7 +373,7 @@
         self.drop_rival(id, actions);
         let rest = self.scanner.rest();
         self.pass_on(id, rest, true, actions);
-        self.release(id, facts, surplus, Ended::Answered, actions);
+        self.release(id, facts, surplus, SendOutcome::Completed, actions);
         self.finish(Final::StreamEnded, actions);
     }
 
@@ -387,22 +389,22 @@
 
     fn time_over(&mut self, id: SendId, send: Send, actions: &mut Vec<Action>) {
         if !send.may_have_run() {
-            return self.fail(id, Ended::GivenUp, actions);
+            return self.fail(id, SendOutcome::Cancelled, actions);
         }
         // An upstream that has not taken the request by then is as good as gone.
         if send.stage == Stage::Writing {
-            self.close(id, Ended::Broken, actions);
+            self.close(id, SendOutcome::ConnectionFailed, actions);
         }
         self.give_up(codes::DEADLINE, actions);
     }
 
     /// The send is over without an answer.
-    fn fail(&mut self, id: SendId, ended: Ended, actions: &mut Vec<Action>) {
+    fn fail(&mut self, id: SendId, ended: SendOutcome, actions: &mut Vec<Action>) {
         self.close(id, ended, actions);
         self.without_answer(actions);
     }
 
-    fn close(&mut self, id: SendId, ended: Ended, actions: &mut Vec<Action>) {
+    fn close(&mut self, id: SendId, ended: SendOutcome, actions: &mut Vec<Action>) {
         if let Some(send) = self.sends[id].take() {
             self.may_have_run |= send.may_have_run();
             actions.push(Action::Close(id, ended));
@@ -415,7 +417,7 @@
         id: SendId,
         facts: HeadFacts,
         surplus: bool,
-        ended: Ended,
+        ended: SendOutcome,
         actions: &mut Vec<Action>,
     ) {
         // Bytes behind a whole answer belong to no request.
--- a/crates/sandtrack-proxy/src/exchange_state/messages.rs
+++ b/crates/sandtrack-proxy/src/exchange_state/messages.rs
@@ -1,5 +1,5 @@
 //! What an exchange is told and what it asks for: plain data, and what is read off it alone. Pure.
-use crate::placement::balancer::Ended;
+use crate::placement::balancer::SendOutcome;
 use sandtrack_protocol::codes::Code;
 
 /// Which of the two sends that may be under way.
@@ -161,9 +161,9 @@
     /// The answer of the send that was just over says that its upstream failed; kept in case that no better one comes.
     KeepFailure(SendId),
     /// The send is over; its connection may serve the next request.
-    Pool(SendId, Ended),
+    Pool(SendId, SendOutcome),
     /// The send is over; its connection is closed.
-    Close(SendId, Ended),
+    Close(SendId, SendOutcome),
     /// The send is given up in favour of another, or with the whole exchange; its connection is closed.
     Abandon(SendId),
     Finish(Final),
--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/figures.rs
@@ -57,12 +57,12 @@
         (
             "proxies_known",
             "Proxies among which bounds are shared",
-            u64::from(balancer.proxies),
+            u64::from(balancer.proxy_count),
         ),
         (
             "zones_evacuated",
             "Zones that get nothing",
-            balancer.evacuated.len() as u64,
+            balancer.evacuated_zones.len() as u64,
         ),
         (
             "up_seconds",
--- a/crates/sandtrack-proxy/src/front.rs
+++ b/crates/sandtrack-proxy/src/front.rs
@@ -3,7 +3,7 @@
 use crate::carry::carry;
 use crate::exchange_state::is_promise;
 use crate::reading::read_some;
-use crate::request::{held_at_most, ProxyRequest, Refused};
+use crate::request::{time_limit, ProxyRequest, Rejection};
 use crate::request_log::refused;
 use crate::shared::Shared;
 use async_io::{Async, Timer};
@@ -132,20 +132,23 @@
             }
             Came::Request(head, body, held, arrived) => (head, body, held, arrived),
         };
-        let close = !head.keep_alive || shared.balancer.borrow().leaving;
+        let close = !head.keep_alive || shared.balancer.borrow().draining;
         let id = request_id(&head);
         let decoded = {
             let mut balancer = shared.balancer.borrow_mut();
             let draw = balancer.draw_fraction();
             match balancer.configuration.clone() {
-                None => Err(Refused(503, codes::NO_CONFIGURATION)),
+                None => Err(Rejection {
+                    status: 503,
+                    code: codes::NO_CONFIGURATION,
+                }),
                 Some(configuration) => {
                     ProxyRequest::decode(&configuration, head, body, arrived, draw)
                 }
             }
         };
         let open = match decoded {
-            Err(Refused(status, why)) => {
+            Err(Rejection { status, code: why }) => {
                 refused(&shared, &id, status, why);
                 let again = is_promise(status).then_some(COME_BACK);
                 Client {
@@ -235,7 +238,7 @@
     let held = balancer
         .configuration
         .as_ref()
-        .and_then(|configuration| held_at_most(configuration, head));
+        .and_then(|configuration| time_limit(configuration, head));
     let most = BODY_TIMES * head_time.max(BODY_HEAD_TIME);
     arrived + held.map_or(most, |held| held.min(most))
 }
@@ -346,7 +349,7 @@
             None if within => return Came::Bad(408, codes::DEADLINE, id_of(&begun)),
             // The time to rest may have grown meanwhile.
             None if clock.now() < began + self::limits(shared).idle
-                && !shared.balancer.borrow().leaving => {}
+                && !shared.balancer.borrow().draining => {}
             None => return Came::Ended,
         }
     }
--- a/crates/sandtrack-proxy/src/lib.rs
+++ b/crates/sandtrack-proxy/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod exchange_state;
 pub mod figures;
 pub mod front;
+pub mod hashing;
 pub mod lateness;
 pub mod outcomes;
 pub mod placement;
--- a/crates/sandtrack-proxy/src/outcomes.rs
+++ b/crates/sandtrack-proxy/src/outcomes.rs
@@ -1,6 +1,6 @@
 //! How the requests of a process ended so far: counted all of them. Pure.
 use crate::lateness::LateCause;
-use crate::placement::balancer::Ended;
+use crate::placement::balancer::SendOutcome;
 use sandtrack_protocol::codes::Code;
 use sandtrack_protocol::metrics::{Kind, MetricsText};
 use sandtrack_tiers::Millis;
@@ -99,7 +99,7 @@
     }
 
     /// Counts a send that is over.
-    pub fn note_send(&mut self, ended: Ended) {
+    pub fn note_send(&mut self, ended: SendOutcome) {
         *self.sends.entry(ended.name()).or_default() += 1;
     }
 
--- a/crates/sandtrack-proxy/src/placement/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -2,15 +2,16 @@
 //! in `placement`. Pure: time comes in, nothing is read or written here.
 mod probes;
 
+use crate::hashing::{hash_name, mix64};
 use crate::placement::budget::{share, RetryBudget};
-use crate::placement::pace::Pace;
-use crate::placement::prefill::{Estimate, Prefill};
-use crate::placement::prompt_mix::PromptMix;
-use crate::placement::region_trips::RegionTrips;
-use crate::placement::upstreams::{Load, Table};
-use crate::placement::zone_outlook::ZoneOutlook;
+use crate::placement::first_byte_latency::FirstByteLatency;
+use crate::placement::prefill_demand::PrefillDemand;
+use crate::placement::prefill_queue::{PrefillEstimate, PrefillQueues};
+use crate::placement::region_round_trips::RegionRoundTrips;
+use crate::placement::upstreams::{ServerLoad, UpstreamTable};
+use crate::placement::zone_health::ZoneFailureDetector;
 use crate::policy::Policy;
-use crate::request::{hash, mix, ProxyRequest};
+use crate::request::{ProxyRequest, TokenCounts};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use sandtrack_invariants::{check, Invariant};
@@ -24,46 +25,48 @@
 
 /// For so long after control was heard this proxy keeps its share of the bounds that hold over all proxies, in ms. Control
 /// counts one that it does not hear for longer (`KEPT_MS` of `sandtrack_control::membership`), also with a frame under way.
-const SHARE_LEASE: Millis = 25_000.0;
+const PROXY_COUNT_LEASE_MS: Millis = 25_000.0;
 /// Among so many a proxy shares that does not know how many there are: more than most fleets have.
-const UNKNOWN: u32 = 100;
+const FALLBACK_PROXY_COUNT: u32 = 100;
 /// Proxies that share an upstream's connections until their number is told, and the part of its limit that is used (ours).
-const USUAL: f64 = 16.0;
-const CONNECTIONS_USED: f64 = 0.9;
+const INITIAL_CONNECTION_PROXIES: f64 = 16.0;
+const CONNECTION_LIMIT_USED: f64 = 0.9;
 
-/// How a send ended, as far as the upstream is judged by it.
+/// How a send to an upstream ended, as far as the upstream is judged by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Answered,
-    /// It said that it is full, or another upstream has the address.
-    TurnedAway,
-    /// A 5xx of its own, or bytes that are no answer.
-    Faulty,
-    /// The connection failed or broke.
-    Broken,
-    /// This side gave it up: its client left, or its time was over.
-    GivenUp,
+pub enum SendOutcome {
+    /// The upstream responded.
+    Completed,
+    /// The upstream said that it is full, or another upstream has its address by now.
+    Rejected,
+    /// A 5xx of the upstream itself, or bytes that are no response.
+    ServerError,
+    /// The connection could not be established, or broke.
+    ConnectionFailed,
+    /// This proxy cancelled it: the client left, or the request's deadline passed.
+    Cancelled,
 }
 
-impl Ended {
-    /// Its name in logs and figures.
+impl SendOutcome {
+    /// Its name in logs and metrics, which operators' pages fix.
     pub fn name(self) -> &'static str {
         match self {
-            Ended::Answered => "answered",
-            Ended::TurnedAway => "turned_away",
-            Ended::Faulty => "faulty",
-            Ended::Broken => "broken",
-            Ended::GivenUp => "given_up",
+            SendOutcome::Completed => "answered",
+            SendOutcome::Rejected => "turned_away",
+            SendOutcome::ServerError => "faulty",
+            SendOutcome::ConnectionFailed => "broken",
+            SendOutcome::Cancelled => "given_up",
         }
     }
 }
 
-/// What came from the control plane that a proxy must answer.
+/// What became of a frame from the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Folded {
-    Taken,
-    /// The change does not fit what is held: the whole configuration is wanted.
-    WantConfiguration,
+pub enum ApplyOutcome {
+    /// It was applied, or was older than what is known.
+    Applied,
+    /// The change does not fit the configuration in force: the full one has to be requested.
+    NeedsFullConfiguration,
 }
 
 pub struct Balancer {
@@ -77,38 +80,38 @@
     number: u64,
     document: Option<Document>,
     pub configuration: Option<Rc<Configuration>>,
-    pub upstreams: Table,
-    listed_once: bool,
+    pub upstreams: UpstreamTable,
+    upstreams_received: bool,
     evacuated_number: u64,
-    pub evacuated: HashSet<String>,
-    pub proxies: u32,
+    pub evacuated_zones: HashSet<String>,
+    pub proxy_count: u32,
     /// It was told how many proxies there are.
-    counted: bool,
+    proxy_count_known: bool,
     /// When a control node that hears a majority, and so counts this proxy, was heard last.
-    heard_control: Millis,
+    last_control_heartbeat: Millis,
     pub control_nodes: Vec<String>,
     tiers: HashMap<String, Tiers>,
-    retries: HashMap<String, RetryBudget>,
+    retry_budgets_by_service: HashMap<String, RetryBudget>,
     /// By service.
-    pub(crate) prompts: HashMap<String, PromptMix>,
-    pub(crate) prefill: Prefill,
-    zones: ZoneOutlook,
+    pub(crate) prefill_demands: HashMap<String, PrefillDemand>,
+    pub(crate) prefill_queues: PrefillQueues,
+    zone_failures: ZoneFailureDetector,
     /// Until when idle connections to a service's upstreams are not trusted, by service.
     idle_distrusted_until: HashMap<String, Millis>,
-    pub(crate) region_trips: RegionTrips,
+    pub(crate) region_round_trips: RegionRoundTrips,
     /// When a request went by the circle to another region, by service and region.
-    pub(crate) far_used: HashMap<(String, String), Millis>,
+    pub(crate) remote_last_used: HashMap<(String, String), Millis>,
     /// By route, and whether the upstream is in another region.
-    paces: HashMap<(String, bool), Pace>,
+    first_byte_latencies: HashMap<(String, bool), FirstByteLatency>,
     /// When a request with a long prompt was placed last.
     pub long_prompt_at: Option<Millis>,
     pub rng: Pcg32,
     /// Tells proxies apart where a share is under one.
-    pub(crate) identity: u64,
-    pub leaving: bool,
-    pub open: u32,
+    pub(crate) proxy_hash: u64,
+    pub draining: bool,
+    pub open_requests: u32,
     /// Set when something changed that the control plane is told at once.
-    pub changed: bool,
+    pub state_changed: bool,
 }
 
 impl Balancer {
@@ -120,7 +123,7 @@
     /// One that decides by this policy.
     pub fn with_policy(settings: &Settings, seed: u64, policy: Rc<Policy>) -> Balancer {
         Balancer {
-            zones: ZoneOutlook::new(&policy),
+            zone_failures: ZoneFailureDetector::new(&policy),
             policy,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
@@ -129,33 +132,33 @@
             number: 0,
             document: None,
             configuration: None,
-            upstreams: Table::default(),
-            listed_once: false,
+            upstreams: UpstreamTable::default(),
+            upstreams_received: false,
             evacuated_number: 0,
-            evacuated: HashSet::new(),
-            proxies: UNKNOWN,
-            counted: false,
-            heard_control: f64::NEG_INFINITY,
+            evacuated_zones: HashSet::new(),
+            proxy_count: FALLBACK_PROXY_COUNT,
+            proxy_count_known: false,
+            last_control_heartbeat: f64::NEG_INFINITY,
             control_nodes: Vec::new(),
             tiers: HashMap::new(),
-            retries: HashMap::new(),
-            prompts: HashMap::new(),
-            prefill: Prefill::default(),
+            retry_budgets_by_service: HashMap::new(),
+            prefill_demands: HashMap::new(),
+            prefill_queues: PrefillQueues::default(),
             idle_distrusted_until: HashMap::new(),
-            region_trips: RegionTrips::default(),
-            far_used: HashMap::new(),
-            paces: HashMap::new(),
+            region_round_trips: RegionRoundTrips::default(),
+            remote_last_used: HashMap::new(),
+            first_byte_latencies: HashMap::new(),
             long_prompt_at: None,
             rng: Pcg32::seed_from_u64(seed),
-            identity: hash(&settings.node_name),
-            leaving: false,
-            open: 0,
-            changed: false,
+            proxy_hash: hash_name(&settings.node_name),
+            draining: false,
+            open_requests: 0,
+            state_changed: false,
         }
     }
 
     /// The settings were read again. Upstreams that are listed already are where the settings now say.
-    pub fn settings_changed(&mut self, settings: &Settings) {
+    pub fn apply_settings(&mut self, settings: &Settings) {
         self.bounds = settings.bounds.clone();
         self.regions = settings.zones.clone();
         let listed: Vec<usize> = self.upstreams.listed().collect();
@@ -171,7 +174,7 @@
 
     /// It has what it needs to serve.
     pub fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.listed_once && !self.leaving
+        self.configuration.is_some() && self.upstreams_received && !self.draining
     }
 
     pub fn state(&self) -> ProxyState {
@@ -181,14 +184,14 @@
             .map_or(0, |configuration| configuration.version);
         ProxyState {
             ready: self.is_ready(),
-            leaving: self.leaving,
+            leaving: self.draining,
             version,
-            open: self.open,
+            open: self.open_requests,
         }
     }
 
     /// Takes what the control plane tells. Nothing goes back to a lower number.
-    pub fn fold(&mut self, now: Millis, frame: ToProxy) -> Folded {
+    pub fn apply(&mut self, now: Millis, frame: ToProxy) -> ApplyOutcome {
         match frame {
             ToProxy::Configuration {
                 number, document, ..
@@ -216,14 +219,14 @@
                         .filter(|_| from_number == self.number);
                     match held.map(|held| held.apply(version, &items, &fields)) {
                         Some(Ok(document)) => return self.adopt(now, number, document),
-                        _ => return Folded::WantConfiguration,
+                        _ => return ApplyOutcome::NeedsFullConfiguration,
                     }
                 }
             }
             ToProxy::Evacuated { number, zones } => {
                 if number >= self.evacuated_number {
                     self.evacuated_number = number;
-                    self.evacuated = zones.into_iter().collect();
+                    self.evacuated_zones = zones.into_iter().collect();
                 }
             }
             ToProxy::Upstreams {
@@ -232,8 +235,8 @@
                 gone,
                 ..
             } => {
-                self.changed |= !self.listed_once;
-                self.listed_once = true;
+                self.state_changed |= !self.upstreams_received;
+                self.upstreams_received = true;
                 if whole {
                     let named: HashSet<&str> = entries
                         .iter()
@@ -251,7 +254,7 @@
                     self.upstreams.list(entry, &region, now);
                 }
                 for identifier in gone {
-                    self.upstreams.gone(&identifier);
+                    self.upstreams.remove(&identifier);
                 }
                 self.upstreams.sweep();
             }
@@ -260,19 +263,19 @@
                 proxies,
                 ..
             } => {
-                self.proxies = proxies.max(1);
-                self.counted = true;
-                self.heard_control = now;
+                self.proxy_count = proxies.max(1);
+                self.proxy_count_known = true;
+                self.last_control_heartbeat = now;
                 self.control_nodes = control_nodes;
             }
-            ToProxy::Beat { attached: true } => self.heard_control = now,
-            ToProxy::PromptsSent(sent) => self.prefill.told(now, &sent, &self.policy),
+            ToProxy::Beat { attached: true } => self.last_control_heartbeat = now,
+            ToProxy::PromptsSent(sent) => self.prefill_queues.told(now, &sent, &self.policy),
             ToProxy::Welcome { .. } | ToProxy::Beat { attached: false } => {}
         }
-        Folded::Taken
+        ApplyOutcome::Applied
     }
 
-    fn adopt(&mut self, now: Millis, number: u64, document: Document) -> Folded {
+    fn adopt(&mut self, now: Millis, number: u64, document: Document) -> ApplyOutcome {
         match Configuration::read(&document) {
             Ok(configuration) => {
                 log::info!("configuration {} in force", configuration.version);
@@ -288,17 +291,17 @@
                     )
                 });
                 self.number = number;
-                self.paces.retain(|(name, _), _| {
+                self.first_byte_latencies.retain(|(name, _), _| {
                     configuration.routes.iter().any(|route| route.name == *name)
                 });
                 self.document = Some(document);
                 self.configuration = Some(Rc::new(configuration));
-                self.changed = true;
+                self.state_changed = true;
                 self.forget_services(now);
             }
             Err(invalid) => log::error!("a configuration from control is invalid: {invalid}"),
         }
-        Folded::Taken
+        ApplyOutcome::Applied
     }
 
     /// What is kept of services that the configuration does not have goes; what their requests earned, and the repeats that used it,
@@ -308,31 +311,31 @@
             return;
         };
         let span = self.bounds.retry_window_s * 1000.0;
-        self.retries.retain(|name, budget| {
+        self.retry_budgets_by_service.retain(|name, budget| {
             configuration.service(name).is_some() || budget.is_used(now, span)
         });
         self.idle_distrusted_until
             .retain(|name, _| configuration.service(name).is_some());
-        self.far_used
+        self.remote_last_used
             .retain(|(name, _), _| configuration.service(name).is_some());
         self.tiers
             .retain(|name, _| configuration.service(name).is_some());
-        self.prompts
+        self.prefill_demands
             .retain(|name, _| configuration.service(name).is_some());
-        self.prefill
+        self.prefill_queues
             .retain_services(|name| configuration.service(name).is_some());
     }
 
     /// Among how many proxies a bound over all is shared, as far as this one may rely on it.
-    fn sharers(&self, now: Millis) -> u32 {
-        match now - self.heard_control <= SHARE_LEASE {
-            true => self.proxies,
-            false => self.proxies.max(UNKNOWN),
+    fn quota_proxy_count(&self, now: Millis) -> u32 {
+        match now - self.last_control_heartbeat <= PROXY_COUNT_LEASE_MS {
+            true => self.proxy_count,
+            false => self.proxy_count.max(FALLBACK_PROXY_COUNT),
         }
     }
 
     /// Sends a second that a cold upstream gets from this proxy at most.
-    pub fn cold_share(&self, now: Millis, place: usize) -> u32 {
+    pub fn slow_start_quota(&self, now: Millis, place: usize) -> u32 {
         let upstream = self.upstreams.get(place);
         let service = self
             .configuration
@@ -343,11 +346,15 @@
             return u32::MAX;
         }
         let bound = rate * self.bounds.cold_overshoot + self.bounds.cold_slack;
-        share(bound, self.sharers(now), mix(self.identity ^ upstream.hash))
+        share(
+            bound,
+            self.quota_proxy_count(now),
+            mix64(self.proxy_hash ^ upstream.hash),
+        )
     }
 
     /// Connections to one upstream that this proxy may hold.
-    pub fn connection_share(&self, place: usize) -> usize {
+    pub fn connection_quota(&self, place: usize) -> usize {
         let service = self.upstreams.get(place).entry.service.as_str();
         let service = self
             .configuration
@@ -355,23 +362,23 @@
             .and_then(|all| all.service(service));
         let limit = service.map_or(100.0, |service| f64::from(service.connection_limit));
         // What an upstream does not take it resets, and no rule is broken: until the number is known a usual one serves.
-        let proxies = if self.counted {
-            f64::from(self.proxies)
+        let proxies = if self.proxy_count_known {
+            f64::from(self.proxy_count)
         } else {
-            USUAL
+            INITIAL_CONNECTION_PROXIES
         };
-        ((limit * CONNECTIONS_USED / proxies) as usize).max(1)
+        ((limit * CONNECTION_LIMIT_USED / proxies) as usize).max(1)
     }
 
-    /// Services of which requests and repeats are counted.
-    pub fn remembered_services(&self) -> usize {
-        self.retries.len()
+    /// Services of which requests and repeats are proxy_count_known.
+    pub fn retry_budgets(&self) -> usize {
+        self.retry_budgets_by_service.len()
     }
 
     /// A request for a service came.
-    pub fn came(&mut self, now: Millis, request: &ProxyRequest) {
+    pub fn request_arrived(&mut self, now: Millis, request: &ProxyRequest) {
         let span = self.bounds.retry_window_s * 1000.0;
-        self.retries
+        self.retry_budgets_by_service
             .entry(request.service.clone())
             .or_default()
             .request(now, span);
@@ -379,16 +386,16 @@
     }
 
     fn note_prompt(&mut self, now: Millis, request: &ProxyRequest) {
-        let Some((prompt, _)) = request.tokens else {
+        let Some(TokenCounts { prompt, .. }) = request.token_counts else {
             return;
         };
         let homes = &request.route.home_regions;
-        let nothing_seen = || PromptMix::new(&self.policy);
+        let nothing_seen = || PrefillDemand::new(&self.policy);
         let mix = self
-            .prompts
+            .prefill_demands
             .entry(request.service.clone())
             .or_insert_with(nothing_seen);
-        if request.shared_tokens() >= self.policy.kept_tokens {
+        if request.shared_tokens() >= self.policy.long_prompt_tokens {
             let own = prompt.saturating_sub(request.shared_tokens()) as f64;
             mix.long_prompt(now, own);
         } else {
@@ -396,70 +403,73 @@
         }
     }
 
-    /// Whether the shared budget has one more send beyond the first; it is counted if so.
-    pub fn may_repeat(&mut self, now: Millis, service: &str) -> bool {
-        let sharers = self.sharers(now);
+    /// Whether the shared budget has one more send beyond the first; it is proxy_count_known if so.
+    pub fn withdraw_retry(&mut self, now: Millis, service: &str) -> bool {
+        let quota_proxy_count = self.quota_proxy_count(now);
         let bounds = &self.bounds;
         let (span, ratio, slack) = (
             bounds.retry_window_s * 1000.0,
             bounds.retry_budget_ratio,
             bounds.retry_budget_slack,
         );
-        let budget = self.retries.entry(service.to_owned()).or_default();
-        budget.repeat(now, span, ratio, slack, sharers)
+        let budget = self
+            .retry_budgets_by_service
+            .entry(service.to_owned())
+            .or_default();
+        budget.repeat(now, span, ratio, slack, quota_proxy_count)
     }
 
     /// A request goes to an upstream.
-    pub fn sent(&mut self, place: usize) {
+    pub fn send_started(&mut self, place: usize) {
         self.upstreams.get_mut(place).own += 1;
     }
 
     /// A request that goes to an upstream has a long prompt: how long that takes to read there; none where it is short.
-    pub fn prompt_sent(
+    pub fn long_prompt_sent(
         &mut self,
         now: Millis,
         request: &ProxyRequest,
         place: usize,
-    ) -> Option<Estimate> {
-        let is_long = request.shared_tokens() >= self.policy.kept_tokens;
+    ) -> Option<PrefillEstimate> {
+        let is_long = request.shared_tokens() >= self.policy.long_prompt_tokens;
         is_long.then(|| {
-            self.prefill
+            self.prefill_queues
                 .sent(now, request, self.upstreams.get(place), &self.policy)
         })
     }
 
-    /// Long prompts that this proxy sent and that control was not told of yet.
-    pub fn take_prompts_sent(&mut self) -> Vec<PromptSent> {
-        self.prefill.take_untold()
+    /// Long prefill_demands that this proxy sent and that control was not told of yet.
+    pub fn take_prompt_reports(&mut self) -> Vec<PromptSent> {
+        self.prefill_queues.take_untold()
     }
 
     /// A send is over.
-    pub fn ended(&mut self, now: Millis, place: usize, ended: Ended) {
-        let rest_until = now + self.policy.rest_ms;
+    pub fn send_finished(&mut self, now: Millis, place: usize, ended: SendOutcome) {
+        let rest_until = now + self.policy.rejection_backoff_ms;
         let upstream = self.upstreams.get_mut(place);
         check(Invariant::SendsAreCounted, upstream.own > 0, || {
             format!("none is under way at {}", upstream.entry.identifier)
         });
         upstream.own = upstream.own.saturating_sub(1);
         match ended {
-            Ended::Answered => upstream.run.succeeded(),
-            Ended::TurnedAway => upstream.rests_until = rest_until,
-            Ended::Faulty => upstream.rests_until = rest_until,
+            SendOutcome::Completed => upstream.run.succeeded(),
+            SendOutcome::Rejected => upstream.backoff_until = rest_until,
+            SendOutcome::ServerError => upstream.backoff_until = rest_until,
             // Where the way is not known yet, a failure says that it was not waited for long enough.
-            Ended::Broken
-                if self.region_trips.get(&upstream.region).is_none()
-                    && upstream.heard_at.is_infinite() =>
+            SendOutcome::ConnectionFailed
+                if self.region_round_trips.get(&upstream.region).is_none()
+                    && upstream.last_seen_at.is_infinite() =>
             {
-                upstream.rests_until = rest_until;
+                upstream.backoff_until = rest_until;
                 upstream.next_probe = now;
             }
-            Ended::Broken => {
+            SendOutcome::ConnectionFailed => {
                 upstream.run.failed();
-                upstream.rests_until = rest_until;
+                upstream.backoff_until = rest_until;
                 upstream.next_probe = now;
-                self.note_failure(now, place);
+                self.record_failure(now, place);
             }
-            Ended::GivenUp => {}
+            SendOutcome::Cancelled => {}
         }
         if !self.upstreams.get(place).listed {
             self.upstreams.sweep();
@@ -467,36 +477,37 @@
     }
 
     /// Bytes of an answer came.
-    pub fn heard(&mut self, now: Millis, place: usize) {
+    pub fn upstream_seen(&mut self, now: Millis, place: usize) {
         let upstream = self.upstreams.get_mut(place);
-        upstream.heard_at = now;
-        self.zones.heard(&upstream.entry.zone);
+        upstream.last_seen_at = now;
+        self.zone_failures.heard(&upstream.entry.zone);
     }
 
     /// A way to the upstream and back took `elapsed` ms.
-    pub fn note_trip(&mut self, now: Millis, place: usize, elapsed: Millis) {
+    pub fn record_round_trip(&mut self, now: Millis, place: usize, elapsed: Millis) {
         let region = &self.upstreams.get(place).region;
-        self.region_trips.sample(now, region, elapsed, &self.policy);
+        self.region_round_trips
+            .sample(now, region, elapsed, &self.policy);
     }
 
     /// The smoothed round trip to a region in ms, once it was measured.
     #[must_use]
-    pub fn region_trip(&self, region: &str) -> Option<Millis> {
-        self.region_trips.get(region)
+    pub fn region_round_trip(&self, region: &str) -> Option<Millis> {
+        self.region_round_trips.get(region)
     }
 
     /// A connection to the upstream did not come up in its time.
     pub fn connect_timed_out(&mut self, now: Millis, place: usize) {
         let region = &self.upstreams.get(place).region;
-        self.region_trips.timed_out(now, region);
+        self.region_round_trips.timed_out(now, region);
     }
 
     /// How long this request waits for a connection to the upstream, in ms.
     pub fn connect_timeout(&self, request: &ProxyRequest, place: usize) -> Millis {
         let upstream = self.upstreams.get(place);
-        let own = self.policy.connect_patience_ms + 2.0 * upstream.average.get().unwrap_or(0.0);
+        let own = self.policy.connect_timeout_ms + 2.0 * upstream.average.get().unwrap_or(0.0);
         let aim = request.route.target_latency_ms;
-        self.region_trips
+        self.region_round_trips
             .connect_timeout(&upstream.region, aim, &self.policy)
             .max(own)
     }
@@ -504,14 +515,21 @@
     /// How long a probe of the upstream waits for its answer, in ms.
     pub fn probe_timeout(&self, now: Millis, place: usize) -> Millis {
         let upstream = self.upstreams.get(place);
-        self.region_trips
-            .probe_timeout(now, &upstream.region, upstream.average.get(), &self.policy)
+        self.region_round_trips.probe_timeout(
+            now,
+            &upstream.region,
+            upstream.average.get(),
+            &self.policy,
+        )
     }
 
     /// An upstream failed. Once its zone looks lost, those in use there are asked at once.
-    fn note_failure(&mut self, now: Millis, place: usize) {
+    fn record_failure(&mut self, now: Millis, place: usize) {
         let entry = &self.upstreams.get(place).entry;
-        if !self.zones.failed(now, &entry.zone, &entry.identifier) {
+        if !self
+            .zone_failures
+            .failed(now, &entry.zone, &entry.identifier)
+        {
             return;
         }
         let zone = entry.zone.clone();
@@ -526,32 +544,38 @@
     }
 
     /// Whether the zone of this upstream looks lost.
-    pub(crate) fn is_in_silent_zone(&self, now: Millis, place: usize) -> bool {
-        self.policy.zone_outlook
+    pub(crate) fn is_in_failed_zone(&self, now: Millis, place: usize) -> bool {
+        self.policy.zone_failure_detection
             && self
-                .zones
+                .zone_failures
                 .is_silent(now, &self.upstreams.get(place).entry.zone)
     }
 
     /// Whether it was heard so lately that an idle connection to it will do for what may run only once.
-    pub fn is_proven_alive(&self, now: Millis, place: usize) -> bool {
+    pub fn trusts_idle_connections(&self, now: Millis, place: usize) -> bool {
         let upstream = self.upstreams.get(place);
         let distrusted = self.idle_distrusted_until.get(&upstream.entry.service);
         upstream.run.is_empty()
-            && now - upstream.heard_at <= self.policy.proven_alive_ms
+            && now - upstream.last_seen_at <= self.policy.idle_trust_ms
             && distrusted.is_none_or(|until| now >= *until)
     }
 
     /// An idle connection to the upstream broke without a word when it was used again: those of its service are not trusted
     /// with what may run only once for a while.
-    pub fn idle_connection_broke(&mut self, now: Millis, place: usize) {
+    pub fn idle_connection_failed(&mut self, now: Millis, place: usize) {
         let service = self.upstreams.get(place).entry.service.clone();
         self.idle_distrusted_until
             .insert(service, now + self.policy.idle_distrust_ms);
     }
 
     /// An answer said how loaded its upstream is, or how long it stays cold.
-    pub fn told(&mut self, now: Millis, place: usize, load: Option<Load>, cold_ms: Option<Millis>) {
+    pub fn load_reported(
+        &mut self,
+        now: Millis,
+        place: usize,
+        load: Option<ServerLoad>,
+        cold_ms: Option<Millis>,
+    ) {
         let upstream = self.upstreams.get_mut(place);
         if let Some(load) = load {
             upstream.told(load, now);
@@ -562,38 +586,38 @@
     }
 
     /// The first part of an answer came after `elapsed` ms; `estimate`: what a long prompt was to take.
-    pub fn paced(
+    pub fn first_byte_received(
         &mut self,
         request: &ProxyRequest,
         place: usize,
         elapsed: Millis,
-        estimate: Option<&Estimate>,
+        estimate: Option<&PrefillEstimate>,
     ) {
         let region = &self.upstreams.get(place).region;
         if let Some(estimate) = estimate {
-            let trip = self.region_trips.get(region).unwrap_or(0.0);
-            self.prefill
+            let trip = self.region_round_trips.get(region).unwrap_or(0.0);
+            self.prefill_queues
                 .answered(&request.service, estimate, elapsed - trip, &self.policy);
         }
         let far = *region != self.region;
-        self.paces
+        self.first_byte_latencies
             .entry((request.route.name.clone(), far))
             .or_default()
             .add(elapsed);
     }
 
     /// So long an upstream may be silent before the request is offered to another as well, in ms.
-    pub fn patience(&self, request: &ProxyRequest, place: usize) -> Millis {
+    pub fn hedge_delay(&self, request: &ProxyRequest, place: usize) -> Millis {
         let far = self.upstreams.get(place).region != self.region;
-        let pace = self
-            .paces
+        let latency = self
+            .first_byte_latencies
             .get(&(request.route.name.clone(), far))
             .copied()
             .unwrap_or_default();
         let trip = self
-            .region_trips
+            .region_round_trips
             .get(&self.upstreams.get(place).region)
             .unwrap_or(0.0);
-        pace.patience(request.route.target_latency_ms, trip, &self.policy)
+        latency.hedge_delay(request.route.target_latency_ms, trip, &self.policy)
     }
 }
--- a/crates/sandtrack-proxy/src/placement/balancer/probes.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/probes.rs
@@ -5,7 +5,7 @@
 
 impl Balancer {
     /// Something at an upstream takes too long: it is probed at once.
-    pub fn suspect(&mut self, now: Millis, place: usize) {
+    pub fn probe_now(&mut self, now: Millis, place: usize) {
         let upstream = self.upstreams.get_mut(place);
         upstream.next_probe = upstream.next_probe.min(now);
     }
@@ -26,12 +26,13 @@
             let (healthy, failed): (Vec<usize>, Vec<usize>) = of_it
                 .into_iter()
                 .partition(|place| self.upstreams.get(*place).run.is_empty());
-            let readers = self.readers(now, &service.name);
-            let circle = self.circle(&healthy, &readers);
+            let prefill_upstreams = self.prefill_upstreams(now, &service.name);
+            let subset = self.subset(&healthy, &prefill_upstreams);
             let mut unmeasured = HashSet::new();
-            watched.extend(circle.into_iter().filter(|place| {
+            watched.extend(subset.into_iter().filter(|place| {
                 let region = self.upstreams.get(*place).region.as_str();
-                let measures = self.region_trips.get(region).is_none() && unmeasured.insert(region);
+                let measures =
+                    self.region_round_trips.get(region).is_none() && unmeasured.insert(region);
                 measures || self.is_used(now, *place)
             }));
             watched.extend(failed);
@@ -59,17 +60,17 @@
     /// Whether this proxy sends to the region of this upstream by its circle.
     fn is_used(&self, now: Millis, place: usize) -> bool {
         let upstream = self.upstreams.get(place);
-        if upstream.region == self.region || self.policy.far_used_ms.is_infinite() {
+        if upstream.region == self.region || self.policy.remote_probe_window_ms.is_infinite() {
             return true;
         }
         let used = self
-            .far_used
+            .remote_last_used
             .get(&(upstream.entry.service.clone(), upstream.region.clone()));
-        used.is_some_and(|at| now - at <= self.policy.far_used_ms)
+        used.is_some_and(|at| now - at <= self.policy.remote_probe_window_ms)
     }
 
     /// A probe was answered after `elapsed` ms, or failed (`None`).
-    pub fn probed(&mut self, now: Millis, place: usize, elapsed: Option<Millis>) {
+    pub fn probe_finished(&mut self, now: Millis, place: usize, elapsed: Option<Millis>) {
         let upstream = self.upstreams.get_mut(place);
         upstream.probing = false;
         match elapsed {
@@ -77,21 +78,21 @@
                 upstream.average.sample(elapsed);
                 upstream.run.succeeded();
                 upstream.failed_probes = 0;
-                upstream.heard_at = now;
-                self.zones.heard(&upstream.entry.zone);
-                self.note_trip(now, place, elapsed);
+                upstream.last_seen_at = now;
+                self.zone_failures.heard(&upstream.entry.zone);
+                self.record_round_trip(now, place, elapsed);
             }
             None => {
                 upstream.run.failed();
                 upstream.failed_probes += 1;
-                self.region_trips.timed_out(now, &upstream.region);
-                self.note_failure(now, place);
+                self.region_round_trips.timed_out(now, &upstream.region);
+                self.record_failure(now, place);
             }
         }
         let upstream = self.upstreams.get_mut(place);
         let gap = match upstream.run.is_empty() {
-            true => self.policy.probe_every_ms,
-            false => self.policy.suspect_gap(upstream.failed_probes),
+            true => self.policy.probe_interval_ms,
+            false => self.policy.suspect_probe_interval(upstream.failed_probes),
         };
         upstream.next_probe = next_probe(&mut self.rng, now, Some(now), gap);
         let service = upstream.entry.service.clone();
--- a/crates/sandtrack-proxy/src/placement/budget.rs
+++ b/crates/sandtrack-proxy/src/placement/budget.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 
 /// Part of a bound that all proxies' shares add up to: some join before all others have heard of it.
-pub const USED: f64 = 0.7;
+pub const QUOTA_USED: f64 = 0.7;
 /// Retries use this part of what each request earns and of the slack.
-pub const RETRY_USED: f64 = 0.75;
+pub const RETRY_BUDGET_USED: f64 = 0.75;
 
 /// A proxy's share of a bound of `total` events a window, over `proxies`: a whole number; where that is under one,
 /// one for every so many proxies, drawn by `rank` (any number that differs between proxies and upstreams).
 pub fn share(total: f64, proxies: u32, rank: u64) -> u32 {
-    let each = total * USED / f64::from(proxies.max(1));
+    let each = total * QUOTA_USED / f64::from(proxies.max(1));
     if each >= 1.0 {
         return each as u32;
     }
@@ -72,8 +72,8 @@
         slack: f64,
         proxies: u32,
     ) -> bool {
-        let earned = self.requests.count(now, span) as f64 * ratio * RETRY_USED;
-        let allowed = earned + slack * RETRY_USED / f64::from(proxies.max(1));
+        let earned = self.requests.count(now, span) as f64 * ratio * RETRY_BUDGET_USED;
+        let allowed = earned + slack * RETRY_BUDGET_USED / f64::from(proxies.max(1));
         let fits = (self.repeats.count(now, span) + 1) as f64 <= allowed;
         if fits {
             self.repeats.note(now);
--- a/crates/sandtrack-proxy/src/placement/prompt_mix.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill_demand.rs
@@ -7,12 +7,12 @@
 
 /// A sum that fades.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fading {
+struct DecayingSum {
     sum: f64,
     at: Millis,
 }
 
-impl Fading {
+impl DecayingSum {
     fn add(&mut self, now: Millis, amount: f64, memory: Millis) {
         self.sum = self.get(now, memory) + amount;
         self.at = now;
@@ -25,31 +25,31 @@
 
 /// Tokens to read for one service, as far as this proxy sees.
 #[derive(Clone, Debug)]
-pub struct PromptMix {
-    /// See [`Policy::prompt_memory_ms`].
+pub struct PrefillDemand {
+    /// See [`Policy::prefill_demand_decay_ms`].
     memory: Millis,
-    long: Fading,
+    long: DecayingSum,
     /// By region, of other requests that are bound to it.
-    bound: HashMap<String, Fading>,
+    bound: HashMap<String, DecayingSum>,
     /// How many requests all this was seen of.
-    requests: Fading,
+    requests: DecayingSum,
 }
 
-impl Default for PromptMix {
-    fn default() -> PromptMix {
-        PromptMix::new(&Policy::default())
+impl Default for PrefillDemand {
+    fn default() -> PrefillDemand {
+        PrefillDemand::new(&Policy::default())
     }
 }
 
-impl PromptMix {
+impl PrefillDemand {
     /// One that has seen nothing.
     #[must_use]
-    pub fn new(policy: &Policy) -> PromptMix {
-        PromptMix {
-            memory: policy.prompt_memory_ms,
-            long: Fading::default(),
+    pub fn new(policy: &Policy) -> PrefillDemand {
+        PrefillDemand {
+            memory: policy.prefill_demand_decay_ms,
+            long: DecayingSum::default(),
             bound: HashMap::new(),
-            requests: Fading::default(),
+            requests: DecayingSum::default(),
         }
     }
 
@@ -78,7 +78,7 @@
         &self,
         now: Millis,
         upstreams: &BTreeMap<&'a str, usize>,
-        prior: Prior,
+        prior: WeightPrior,
     ) -> BTreeMap<&'a str, f64> {
         let requests = self.requests.get(now, self.memory);
         let evidence = requests / (requests + prior.requests).max(f64::MIN_POSITIVE);
@@ -109,7 +109,7 @@
 /// What a proxy holds of the weights before it has seen enough. What it sees of few requests differs from what others see,
 /// and then they read one prompt at several places: its weights are drawn towards the usual one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prior {
+pub struct WeightPrior {
     /// The usual weight ...
     pub weight: f64,
     /// ... as if it had been seen of so many requests.
--- a/crates/sandtrack-proxy/src/placement/prefill.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill_queue.rs
@@ -11,15 +11,15 @@
 use std::collections::HashMap;
 
 /// Prefixes that are remembered at most; the ones unused longest give way.
-const PREFIXES_MOST: usize = 8192;
+const MAX_PREFIXES: usize = 8192;
 /// Backlogs that are remembered before those that are over are swept.
-const BACKLOGS_SWEPT: usize = 1024;
+const BACKLOG_SWEEP_THRESHOLD: usize = 1024;
 /// Sends that wait to be told to control at most; the largest are kept.
-const UNTOLD_MOST: usize = 16;
+const MAX_PENDING_REPORTS: usize = 16;
 /// Least weight of a new sample in the rate; the first ones weigh as much as those before them together.
-const RATE_WEIGHT_LEAST: f64 = 0.1;
+const MIN_RATE_WEIGHT: f64 = 0.1;
 /// A sample counts as this many rates at most, and as its inverse at least.
-const RATE_CAP: f64 = 2.0;
+const MAX_RATE_CHANGE: f64 = 2.0;
 
 /// Tokens still to be read at an upstream, as of a time.
 #[derive(Clone, Copy, Debug, Default)]
@@ -57,7 +57,7 @@
 
 /// What it takes until an upstream has read a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
+pub struct PrefillEstimate {
     /// Its shared prefix was read there before, or is being read.
     pub kept: bool,
     /// Tokens of it that are to be read.
@@ -70,7 +70,7 @@
 
 /// The work of upstreams as far as this proxy knows.
 #[derive(Clone, Debug, Default)]
-pub struct Prefill {
+pub struct PrefillQueues {
     backlogs: HashMap<u32, Backlog>,
     prefixes: HashMap<u32, Prefix>,
     /// By service.
@@ -93,19 +93,19 @@
 
 /// All tokens of a prompt.
 fn prompt_tokens(request: &ProxyRequest) -> f64 {
-    let listed: u64 = request.prefix.iter().map(|(_, tokens)| tokens).sum();
+    let listed: u64 = request.prompt_parts.iter().map(|part| part.tokens).sum();
     request
-        .tokens
-        .map_or(listed, |(prompt, _)| prompt.max(listed)) as f64
+        .token_counts
+        .map_or(listed, |counts| counts.prompt.max(listed)) as f64
 }
 
-impl Prefill {
+impl PrefillQueues {
     /// Tokens a ms that upstreams of a service read.
     #[must_use]
     pub fn rate(&self, service: &str, policy: &Policy) -> f64 {
         self.rates
             .get(service)
-            .map_or(policy.prefill_rate, |rate| rate.mean)
+            .map_or(policy.default_prefill_rate, |rate| rate.mean)
     }
 
     /// The upstreams that have read the shared prefix of this request, or read it now.
@@ -132,7 +132,7 @@
         request: &ProxyRequest,
         upstream: &Upstream,
         policy: &Policy,
-    ) -> Estimate {
+    ) -> PrefillEstimate {
         let key = upstream_key(upstream);
         let reader = self
             .readers(request)
@@ -153,7 +153,7 @@
             .get(&key)
             .map_or(0.0, |backlog| backlog.left(now, rate))
             / rate;
-        Estimate {
+        PrefillEstimate {
             kept,
             tokens,
             ahead,
@@ -168,7 +168,7 @@
         request: &ProxyRequest,
         upstream: &Upstream,
         policy: &Policy,
-    ) -> Estimate {
+    ) -> PrefillEstimate {
         let estimate = self.estimate(now, request, upstream, policy);
         let sent = PromptSent {
             upstream: upstream_key(upstream),
@@ -177,10 +177,10 @@
         };
         self.note(now, &sent, self.rate(&request.service, policy));
         self.untold.push(sent);
-        if self.untold.len() > UNTOLD_MOST {
+        if self.untold.len() > MAX_PENDING_REPORTS {
             self.untold
                 .sort_unstable_by_key(|sent| std::cmp::Reverse(sent.tokens));
-            self.untold.truncate(UNTOLD_MOST);
+            self.untold.truncate(MAX_PENDING_REPORTS);
         }
         estimate
     }
@@ -194,7 +194,7 @@
             .map(|rate| rate.mean)
             .fold(f64::NAN, f64::min);
         let rate = if rate.is_nan() {
-            policy.prefill_rate
+            policy.default_prefill_rate
         } else {
             rate
         };
@@ -204,7 +204,7 @@
     }
 
     fn note(&mut self, now: Millis, sent: &PromptSent, rate: f64) {
-        if self.backlogs.len() >= BACKLOGS_SWEPT {
+        if self.backlogs.len() >= BACKLOG_SWEEP_THRESHOLD {
             self.backlogs
                 .retain(|_, backlog| backlog.left(now, rate) > 0.0);
         }
@@ -231,7 +231,7 @@
 
     /// Forgets the half of the prefixes that was unused longest once there are too many.
     fn make_room(&mut self) {
-        if self.prefixes.len() < PREFIXES_MOST {
+        if self.prefixes.len() < MAX_PREFIXES {
             return;
         }
         let mut used: Vec<Millis> = self.prefixes.values().map(|prefix| prefix.used).collect();
@@ -245,22 +245,22 @@
     pub fn answered(
         &mut self,
         service: &str,
-        estimate: &Estimate,
+        estimate: &PrefillEstimate,
         elapsed: Millis,
         policy: &Policy,
     ) {
         let before = self.rate(service, policy);
         let tokens = estimate.time * before;
-        if tokens < policy.kept_tokens as f64 || elapsed <= 0.0 {
+        if tokens < policy.long_prompt_tokens as f64 || elapsed <= 0.0 {
             return;
         }
-        let sample = (tokens / elapsed).clamp(before / RATE_CAP, before * RATE_CAP);
+        let sample = (tokens / elapsed).clamp(before / MAX_RATE_CHANGE, before * MAX_RATE_CHANGE);
         let rate = self.rates.entry(service.to_owned()).or_insert(Rate {
             mean: before,
             samples: 1.0,
         });
         rate.samples += 1.0;
-        rate.mean += (sample - rate.mean) * (1.0 / rate.samples).max(RATE_WEIGHT_LEAST);
+        rate.mean += (sample - rate.mean) * (1.0 / rate.samples).max(MIN_RATE_WEIGHT);
     }
 
     /// What control is to be told of own sends.
--- a/crates/sandtrack-proxy/src/placement/region_trips.rs
+++ b/crates/sandtrack-proxy/src/placement/region_round_trips.rs
@@ -2,9 +2,9 @@
 //!
 //! A way that was never measured can't bound the time to measure it: its time-out doubles with each failure, as TCP's
 //! retransmission timer does (RFC 6298, 5.5), until something is heard. Once it is known, a loss is told soon after one
-//! round trip. Where nothing was heard for [`Policy::trip_forgotten_ms`] while sends failed, probes treat the way as unknown
+//! round trip. Where nothing was heard for [`Policy::round_trip_expiry_ms`] while sends failed, probes treat the way as unknown
 //! again: it may have become longer.
-use crate::policy::{doubled, Policy};
+use crate::policy::{exponential_backoff, Policy};
 use sandtrack_tiers::{Millis, Smoothed};
 use std::collections::HashMap;
 
@@ -20,11 +20,11 @@
 
 /// The ways to all regions.
 #[derive(Clone, Debug, Default)]
-pub struct RegionTrips {
+pub struct RegionRoundTrips {
     trips: HashMap<String, Trip>,
 }
 
-impl RegionTrips {
+impl RegionRoundTrips {
     /// A way there and back took `elapsed` ms.
     pub fn sample(&mut self, now: Millis, region: &str, elapsed: Millis, policy: &Policy) {
         let trip = self.trips.entry(region.to_owned()).or_default();
@@ -52,11 +52,11 @@
     /// How long a request waits for a connection to this region, in ms; `aim`: the latency objective of its route.
     #[must_use]
     pub fn connect_timeout(&self, region: &str, aim: Millis, policy: &Policy) -> Millis {
-        let least = policy.connect_patience_ms;
+        let least = policy.connect_timeout_ms;
         let trip = self.trips.get(region).copied().unwrap_or_default();
         match trip.average.get() {
             Some(average) => least + 2.0 * average,
-            None => doubled(least, trip.timeouts).min(aim.max(least)),
+            None => exponential_backoff(least, trip.timeouts).min(aim.max(least)),
         }
     }
 
@@ -74,9 +74,9 @@
             .or(trip.average.get())
             .filter(|_| !trip.is_forgotten(now, policy));
         match known {
-            Some(average) => policy.probe_patience_ms + 3.0 * average,
-            None => doubled(policy.first_probe_patience_ms, trip.timeouts)
-                .min(policy.probe_patience_most_ms),
+            Some(average) => policy.probe_timeout_ms + 3.0 * average,
+            None => exponential_backoff(policy.initial_probe_timeout_ms, trip.timeouts)
+                .min(policy.max_probe_timeout_ms),
         }
     }
 }
@@ -84,6 +84,6 @@
 impl Trip {
     fn is_forgotten(&self, now: Millis, policy: &Policy) -> bool {
         self.failing_since
-            .is_some_and(|since| now - since > policy.trip_forgotten_ms)
+            .is_some_and(|since| now - since > policy.round_trip_expiry_ms)
     }
 }
--- a/crates/sandtrack-proxy/src/placement/choice.rs
+++ b/crates/sandtrack-proxy/src/placement/selection.rs
@@ -1,22 +1,23 @@
 //! Where a request goes. The design's ordinary path (`sandtrack_tiers`): a random pick in the lowest tier that has an
 //! upstream which may take the send, less those far above the mean of own requests. What may take a send is this file's:
 //! home regions, evacuated zones, draining, cold budgets, room, and where a long prompt's shared parts already are. Pure.
-mod keepers;
+mod prefix_affinity;
 
+use crate::hashing::mix64;
 use crate::placement::balancer::Balancer;
-use crate::request::{mix, ProxyRequest};
+use crate::request::ProxyRequest;
 use rand::Rng;
 use sandtrack_tiers::{crowd_limit, ladder, lowest, Millis};
 use std::collections::{BTreeSet, HashSet};
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Placed {
+pub enum Placement {
     Send(usize),
     /// None has room now; one may soon.
     Wait,
     /// None may take it at all, as far as is known.
-    None,
+    Unavailable,
 }
 
 /// Upstreams that may serve a request, narrowed step by step.
@@ -47,7 +48,7 @@
         upstream.listed
             && !entry.draining
             && entry.service == request.service
-            && !self.evacuated.contains(&entry.zone)
+            && !self.evacuated_zones.contains(&entry.zone)
             && (homes.is_empty() || homes.contains(&upstream.region))
             && request
                 .model
@@ -56,7 +57,12 @@
     }
 
     /// Places a request that was not yet at any of `tried`.
-    pub fn place(&mut self, now: Millis, request: &ProxyRequest, tried: &[usize]) -> Placed {
+    pub fn choose_upstream(
+        &mut self,
+        now: Millis,
+        request: &ProxyRequest,
+        tried: &[usize],
+    ) -> Placement {
         let mut able: Vec<usize> = self
             .upstreams
             .listed()
@@ -64,40 +70,44 @@
             .collect();
         able.sort_unstable();
         if able.is_empty() {
-            return Placed::None;
+            return Placement::Unavailable;
         }
         // Where all look bad, the signs are more likely wrong than all of them dead.
         let Candidates(usable) = Candidates(able)
             .prefer(|place| !tried.contains(&place))
             .prefer(|place| self.upstreams.get(place).run.is_healthy())
-            .prefer(|place| !self.is_in_silent_zone(now, place));
-        let keeps = request.shared_tokens() >= self.policy.kept_tokens;
-        if keeps {
+            .prefer(|place| !self.is_in_failed_zone(now, place));
+        let is_long = request.shared_tokens() >= self.policy.long_prompt_tokens;
+        if is_long {
             self.long_prompt_at = Some(now);
         }
-        let readers = self.readers(now, &request.service);
-        let circle = if keeps {
+        let prefill_upstreams = self.prefill_upstreams(now, &request.service);
+        let subset = if is_long {
             usable.clone()
         } else {
-            self.circle(&usable, &readers)
+            self.subset(&usable, &prefill_upstreams)
         };
-        // Where the circle has no slot free all others are looked at, and only then what queues.
-        for (among, queue) in [(&circle, 0.0), (&usable, 0.0), (&usable, self.policy.queue)] {
-            if let Some(place) = self.place_among(now, request, among, &readers, queue) {
-                if !keeps {
-                    self.note_far_use(now, place);
+        // Where the subset has no slot free all others are looked at, and only then what queues.
+        for (among, queue) in [
+            (&subset, 0.0),
+            (&usable, 0.0),
+            (&usable, self.policy.max_queue_ratio),
+        ] {
+            if let Some(place) = self.place_among(now, request, among, &prefill_upstreams, queue) {
+                if !is_long {
+                    self.record_remote_use(now, place);
                 }
-                return Placed::Send(place);
+                return Placement::Send(place);
             }
         }
-        Placed::Wait
+        Placement::Wait
     }
 
-    fn note_far_use(&mut self, now: Millis, place: usize) {
+    fn record_remote_use(&mut self, now: Millis, place: usize) {
         let upstream = self.upstreams.get(place);
         if upstream.region != self.region {
             let used = (upstream.entry.service.clone(), upstream.region.clone());
-            self.far_used.insert(used, now);
+            self.remote_last_used.insert(used, now);
         }
     }
 
@@ -105,30 +115,30 @@
     /// each pair. Drawn by rendezvous hashing, so that each upstream is in as many circles as another, and when one goes
     /// only its place is filled anew.
     ///
-    /// Those that read long prompts (`readers`) come last.
-    pub fn circle(&self, usable: &[usize], readers: &HashSet<usize>) -> Vec<usize> {
+    /// Those that read long prompts (`prefill_upstreams`) come last.
+    pub fn subset(&self, usable: &[usize], prefill_upstreams: &HashSet<usize>) -> Vec<usize> {
         let mut ranked: Vec<usize> = usable.to_vec();
         ranked.sort_unstable_by_key(|place| {
-            let draw = mix(self.identity ^ self.upstreams.get(*place).hash);
-            (readers.contains(place), std::cmp::Reverse(draw))
+            let draw = mix64(self.proxy_hash ^ self.upstreams.get(*place).hash);
+            (prefill_upstreams.contains(place), std::cmp::Reverse(draw))
         });
         let mut taken: Vec<(&str, usize)> = Vec::new();
-        let mut circle = Vec::new();
+        let mut subset = Vec::new();
         for place in ranked {
             let region = self.upstreams.get(place).region.as_str();
             let most = match region == self.region {
-                true => self.policy.circle_near,
-                false => self.policy.circle_far,
+                true => self.policy.local_subset_size,
+                false => self.policy.remote_subset_size,
             };
             match taken.iter_mut().find(|(name, _)| *name == region) {
                 Some((_, count)) if *count >= most => continue,
                 Some((_, count)) => *count += 1,
                 None => taken.push((region, 1)),
             }
-            circle.push(place);
+            subset.push(place);
         }
-        circle.sort_unstable();
-        circle
+        subset.sort_unstable();
+        subset
     }
 
     fn place_among(
@@ -136,7 +146,7 @@
         now: Millis,
         request: &ProxyRequest,
         among: &[usize],
-        readers: &HashSet<usize>,
+        prefill_upstreams: &HashSet<usize>,
         queue: f64,
     ) -> Option<usize> {
         let able: Vec<usize> = among
@@ -148,22 +158,23 @@
             .into_iter()
             .filter(|place| self.room(now, *place, queue))
             .collect();
-        let place = self.draw(now, request, &roomy, readers)?;
+        let place = self.draw(now, request, &roomy, prefill_upstreams)?;
         let upstream = self.upstreams.get_mut(place);
-        if upstream.is_cold(now) {
-            upstream.cold_sends.note(now);
+        if upstream.is_in_slow_start(now) {
+            upstream.slow_start_sends.note(now);
         }
         Some(place)
     }
 
     /// It does not rest, and bears one more while cold.
     fn may_start(&mut self, now: Millis, place: usize) -> bool {
-        let share = self.cold_share(now, place);
+        let share = self.slow_start_quota(now, place);
         let upstream = self.upstreams.get_mut(place);
-        if now < upstream.rests_until {
+        if now < upstream.backoff_until {
             return false;
         }
-        !upstream.is_cold(now) || (upstream.cold_sends.count(now, 1050.0) as u32) < share
+        !upstream.is_in_slow_start(now)
+            || (upstream.slow_start_sends.count(now, 1050.0) as u32) < share
     }
 
     fn room(&self, now: Millis, place: usize, queue: f64) -> bool {
@@ -175,7 +186,7 @@
     fn load(&self, now: Millis, place: usize) -> f64 {
         self.upstreams
             .get(place)
-            .load(now, self.policy.load_memory_ms)
+            .load(now, self.policy.reported_load_decay_ms)
     }
 
     /// Regions by how many routes to the service are bound to them: what others can't leave is kept free of what can.
@@ -195,10 +206,10 @@
     /// The upstreams that read long prompts where no region is free of requests that are bound to it: a long prompt is read
     /// in pieces between the tokens of others, so that spread over all it would hold up every stream of the region. The
     /// same for all proxies, but for what they believe dead. Empty where a region is free, or there are no long prompts.
-    pub(crate) fn readers(&self, now: Millis, service: &str) -> HashSet<usize> {
+    pub(crate) fn prefill_upstreams(&self, now: Millis, service: &str) -> HashSet<usize> {
         if self
             .long_prompt_at
-            .is_none_or(|at| now - at > self.policy.reading_ms)
+            .is_none_or(|at| now - at > self.policy.prefill_isolation_ms)
         {
             return HashSet::new();
         }
@@ -206,7 +217,7 @@
             let upstream = self.upstreams.get(*place);
             upstream.entry.service == service
                 && !upstream.entry.draining
-                && !self.evacuated.contains(&upstream.entry.zone)
+                && !self.evacuated_zones.contains(&upstream.entry.zone)
                 && upstream.run.is_healthy()
         };
         let mut serving: Vec<usize> = self.upstreams.listed().filter(serving).collect();
@@ -222,7 +233,7 @@
             return HashSet::new();
         }
         serving.retain(|place| bounds.contains(&(region(place), least)));
-        serving.truncate(serving.len() / self.policy.readers.max(1));
+        serving.truncate(serving.len() / self.policy.prefill_upstreams_divisor.max(1));
         serving.into_iter().collect()
     }
 
@@ -231,34 +242,41 @@
         now: Millis,
         request: &ProxyRequest,
         able: &[usize],
-        readers: &HashSet<usize>,
+        prefill_upstreams: &HashSet<usize>,
     ) -> Option<usize> {
         if able.is_empty() {
             return None;
         }
-        let long = request.shared_tokens() >= self.policy.kept_tokens;
+        let long = request.shared_tokens() >= self.policy.long_prompt_tokens;
         let apart: Vec<usize> = able
             .iter()
             .copied()
-            .filter(|place| readers.contains(place) == long)
+            .filter(|place| prefill_upstreams.contains(place) == long)
             .collect();
-        let able = if readers.is_empty() || apart.is_empty() {
+        let able = if prefill_upstreams.is_empty() || apart.is_empty() {
             able
         } else {
             &apart
         };
         if long {
-            return self.draw_keeper(now, request, able);
+            return self.choose_prefix_owner(now, request, able);
         }
         let region = self.region.clone();
         let (upstreams, policy) = (&self.upstreams, &self.policy);
         let rank = |place: usize| {
             let upstream = upstreams.get(place);
             let tier = upstream.average.get().map(|_| upstream.membership.tier);
-            (upstream.region != region, tier.filter(|_| policy.tiers))
+            (
+                upstream.region != region,
+                tier.filter(|_| policy.latency_tiers),
+            )
+        };
+        let load = |place: usize| {
+            upstreams
+                .get(place)
+                .load(now, policy.reported_load_decay_ms)
         };
-        let load = |place: usize| upstreams.get(place).load(now, policy.load_memory_ms);
-        let limit = match policy.skip {
+        let limit = match policy.skip_overloaded {
             true => crowd_limit(able.iter().map(|place| load(*place) as usize)),
             false => f64::INFINITY,
         };
--- a/crates/sandtrack-proxy/src/placement/choice/keepers.rs
+++ b/crates/sandtrack-proxy/src/placement/selection/prefix_affinity.rs
@@ -1,19 +1,20 @@
 //! Where long prompts go: to the upstream that has read their shared prefix while it can begin in time. Pure.
+use crate::hashing::mix64;
 use crate::placement::balancer::Balancer;
-use crate::placement::prompt_mix::{Prior, PromptMix};
-use crate::request::{mix, ProxyRequest};
+use crate::placement::prefill_demand::{PrefillDemand, WeightPrior};
+use crate::request::ProxyRequest;
 use sandtrack_tiers::Millis;
 use std::collections::BTreeMap;
 
 /// How well an upstream suits a long prompt; the first is best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum KeeperClass {
+enum OwnerClass {
     /// It has read the shared prefix, and is to begin in time.
-    KeptInTime,
+    CachedInTime,
     /// It is to begin in time with the whole prompt, and is among those that all proxies compare.
     InTime,
     /// It is to begin in time with the whole prompt, and only proxies of its region compare it.
-    NearInTime,
+    LocalInTime,
     /// It is to begin late.
     Late,
 }
@@ -30,44 +31,47 @@
     /// estimated to give a first token in time with the least to read. Proxies that know the same choose the same one, wherever
     /// it is, and reading a prefix once more costs engines ten times what the request costs on its way to another region; but
     /// where those that have read it can't begin in time, another one reads it as well.
-    pub(super) fn draw_keeper(
+    pub(super) fn choose_prefix_owner(
         &self,
         now: Millis,
         request: &ProxyRequest,
         able: &[usize],
     ) -> Option<usize> {
-        let weights = self.keeper_weights(now, &request.service, able);
+        let weights = self.region_weights(now, &request.service, able);
         let weight = |place: usize| {
             weights
                 .get(self.upstreams.get(place).region.as_str())
                 .copied()
                 .unwrap_or(1.0)
         };
-        let limit = request.route.target_latency_ms * self.policy.in_time;
+        let limit = request.route.target_latency_ms * self.policy.first_token_target_ratio;
         let cost = |candidate: &Candidate| {
             let upstream = self.upstreams.get(candidate.place);
-            let estimate = self.prefill.estimate(now, request, upstream, &self.policy);
-            let trip = self.region_trips.get(&upstream.region).unwrap_or(0.0);
-            let time = estimate.time + self.policy.trips * trip;
+            let estimate = self
+                .prefill_queues
+                .estimate(now, request, upstream, &self.policy);
+            let trip = self.region_round_trips.get(&upstream.region).unwrap_or(0.0);
+            let time = estimate.time + self.policy.first_token_round_trips * trip;
             let class = match (time <= limit, estimate.kept, candidate.is_chosen) {
-                (true, true, _) => KeeperClass::KeptInTime,
-                (true, false, true) => KeeperClass::InTime,
-                (true, false, false) => KeeperClass::NearInTime,
-                (false, _, _) => KeeperClass::Late,
+                (true, true, _) => OwnerClass::CachedInTime,
+                (true, false, true) => OwnerClass::InTime,
+                (true, false, false) => OwnerClass::LocalInTime,
+                (false, _, _) => OwnerClass::Late,
             };
             // While all are in time the way there counts for nothing: all proxies are to choose the same one. What is bound to a
             // region leaves only a part of its upstreams' time.
             let cost = match class {
-                KeeperClass::Late => time - estimate.time + estimate.time / weight(candidate.place),
-                KeeperClass::KeptInTime => estimate.time,
+                OwnerClass::Late => time - estimate.time + estimate.time / weight(candidate.place),
+                OwnerClass::CachedInTime => estimate.time,
                 // A proxy that has just started does not know who has read what: the first by rank is the likeliest.
-                KeeperClass::InTime | KeeperClass::NearInTime => {
-                    (estimate.ahead - self.policy.busy_ms).max(0.0) / weight(candidate.place)
+                OwnerClass::InTime | OwnerClass::LocalInTime => {
+                    (estimate.ahead - self.policy.idle_backlog_ms).max(0.0)
+                        / weight(candidate.place)
                 }
             };
             (class, cost)
         };
-        let candidates = self.keeper_candidates(request, able, &weight);
+        let candidates = self.prefix_owner_candidates(request, able, &weight);
         let costs = candidates
             .iter()
             .map(|candidate| (cost(candidate), candidate.place));
@@ -79,24 +83,24 @@
 
     /// The upstreams that are compared for a long prompt, by rank: the first of all, those that have read its prefix, and the
     /// first of the own region.
-    fn keeper_candidates(
+    fn prefix_owner_candidates(
         &self,
         request: &ProxyRequest,
         able: &[usize],
         weight: &impl Fn(usize) -> f64,
     ) -> Vec<Candidate> {
         let key = request.shared_key();
-        let keeps = self.prefill.keeps(request);
+        let keeps = self.prefill_queues.keeps(request);
         // Weighted rendezvous hashing: a share of the draws in proportion to the weight, and few move when one goes.
         let rank = |place: usize| {
             let draw =
-                (mix(key ^ self.upstreams.get(place).hash) >> 11) as f64 / (1u64 << 53) as f64;
+                (mix64(key ^ self.upstreams.get(place).hash) >> 11) as f64 / (1u64 << 53) as f64;
             -(draw.max(f64::MIN_POSITIVE)).ln() / weight(place)
         };
         let mut ranked: Vec<(f64, usize)> =
             able.iter().map(|place| (rank(*place), *place)).collect();
         ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        let choices = self.policy.keeper_choices.max(1);
+        let choices = self.policy.prefix_owner_candidates.max(1);
         let mut near_choices = 0;
         let mut candidates = Vec::new();
         for (at, (_, place)) in ranked.into_iter().enumerate() {
@@ -112,7 +116,7 @@
     }
 
     /// Weight of each region's upstreams as keepers. Regions to which as few routes are bound as to any other weigh 1.
-    fn keeper_weights(&self, now: Millis, service: &str, able: &[usize]) -> BTreeMap<&str, f64> {
+    fn region_weights(&self, now: Millis, service: &str, able: &[usize]) -> BTreeMap<&str, f64> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for place in able {
             *counts
@@ -124,13 +128,13 @@
             .map(|region| self.bound(service, region))
             .min()
             .unwrap_or(0);
-        let prior = Prior {
-            weight: self.policy.bound_weight,
-            requests: self.policy.bound_weight_requests,
-            least: self.policy.bound_weight_least,
+        let prior = WeightPrior {
+            weight: self.policy.prior_region_weight,
+            requests: self.policy.prior_region_weight_requests,
+            least: self.policy.min_region_weight,
         };
-        let nothing_seen = PromptMix::new(&self.policy);
-        let seen = self.prompts.get(service).unwrap_or(&nothing_seen);
+        let nothing_seen = PrefillDemand::new(&self.policy);
+        let seen = self.prefill_demands.get(service).unwrap_or(&nothing_seen);
         let mut weights = seen.weights(now, &counts, prior);
         for (region, weight) in &mut weights {
             if self.bound(service, region) == least {
--- a/crates/sandtrack-proxy/src/placement/upstreams.rs
+++ b/crates/sandtrack-proxy/src/placement/upstreams.rs
@@ -1,26 +1,26 @@
 //! What a proxy knows of each upstream: what the list says, what its own probes and sends taught. Pure; folded from what
 //! came, owned by the balancer.
+use crate::hashing::hash_name;
 use crate::placement::budget::Window;
-use crate::request::hash;
 use sandtrack_protocol::frames::UpstreamEntry;
-use sandtrack_tiers::{FailureRun, Member, Membership, Millis, Smoothed};
+use sandtrack_tiers::{ConsecutiveFailures, Member, Membership, Millis, Smoothed};
 use std::collections::HashMap;
 
-/// `Server-Load`: running and waiting requests and slots, of all callers.
+/// `Server-ServerLoad`: running and waiting requests and slots, of all callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct ServerLoad {
     pub running: f64,
     pub waiting: f64,
     pub slots: f64,
 }
 
-impl Load {
+impl ServerLoad {
     /// Reads the header's value.
-    pub fn parse(value: &str) -> Option<Load> {
+    pub fn parse(value: &str) -> Option<ServerLoad> {
         let mut numbers = value
             .split(',')
             .map(|number| number.trim().parse::<f64>().ok());
-        Some(Load {
+        Some(ServerLoad {
             running: numbers.next()??,
             waiting: numbers.next()??,
             slots: numbers.next()??,
@@ -35,22 +35,22 @@
     /// The same at every proxy.
     pub hash: u64,
     pub listed: bool,
-    pub cold_until: Millis,
+    pub slow_start_until: Millis,
     /// When it is taken away, where that was told.
-    pub ends_at: Option<Millis>,
+    pub terminates_at: Option<Millis>,
     pub average: Smoothed,
-    pub run: FailureRun,
+    pub run: ConsecutiveFailures,
     pub membership: Membership,
     /// This proxy's requests at it.
     pub own: usize,
-    /// Load of others as told, and when.
+    /// ServerLoad of others as told, and when.
     pub others: f64,
-    pub told_at: Millis,
+    pub load_reported_at: Millis,
     /// It turned a request away, or failed at once: not before this time again.
-    pub rests_until: Millis,
-    pub cold_sends: Window,
+    pub backoff_until: Millis,
+    pub slow_start_sends: Window,
     /// When bytes of an answer to this proxy came last.
-    pub heard_at: Millis,
+    pub last_seen_at: Millis,
     /// Probes that failed in a row.
     pub failed_probes: u32,
     pub next_probe: Millis,
@@ -59,23 +59,23 @@
 
 impl Upstream {
     pub fn new(entry: UpstreamEntry, region: String, now: Millis) -> Upstream {
-        let hash = hash(&entry.identifier);
+        let hash = hash_name(&entry.identifier);
         let mut upstream = Upstream {
             entry: UpstreamEntry::default(),
             region,
             hash,
             listed: true,
-            cold_until: 0.0,
-            ends_at: None,
+            slow_start_until: 0.0,
+            terminates_at: None,
             average: Smoothed::default(),
-            run: FailureRun::default(),
+            run: ConsecutiveFailures::default(),
             membership: Membership::default(),
             own: 0,
             others: 0.0,
-            told_at: now,
-            rests_until: 0.0,
-            cold_sends: Window::default(),
-            heard_at: f64::NEG_INFINITY,
+            load_reported_at: now,
+            backoff_until: 0.0,
+            slow_start_sends: Window::default(),
+            last_seen_at: f64::NEG_INFINITY,
             failed_probes: 0,
             next_probe: now,
             probing: false,
@@ -88,26 +88,26 @@
     pub fn list(&mut self, entry: UpstreamEntry, now: Millis) {
         self.listed = true;
         self.cold(f64::from(entry.cold_remaining_ms), now);
-        self.ends_at = entry
+        self.terminates_at = entry
             .time_left_ms
             .map(|left| now + f64::from(left))
-            .or(self.ends_at);
+            .or(self.terminates_at);
         self.entry = entry;
     }
 
     /// It is cold for so much longer, in ms.
     pub fn cold(&mut self, remaining: Millis, now: Millis) {
-        self.cold_until = self.cold_until.max(now + remaining);
+        self.slow_start_until = self.slow_start_until.max(now + remaining);
     }
 
-    pub fn is_cold(&self, now: Millis) -> bool {
-        now < self.cold_until
+    pub fn is_in_slow_start(&self, now: Millis) -> bool {
+        now < self.slow_start_until
     }
 
     /// Requests at it, as far as is known: own ones, and what is left of the load that it told of; of that a third is left
     /// after `memory` ms.
     pub fn load(&self, now: Millis, memory: Millis) -> f64 {
-        self.own as f64 + self.others * (-(now - self.told_at) / memory).exp()
+        self.own as f64 + self.others * (-(now - self.load_reported_at) / memory).exp()
     }
 
     pub fn slots(&self) -> f64 {
@@ -115,9 +115,9 @@
     }
 
     /// It told its load, which includes this proxy's own requests.
-    pub fn told(&mut self, load: Load, now: Millis) {
+    pub fn told(&mut self, load: ServerLoad, now: Millis) {
         self.others = (load.running + load.waiting - self.own as f64).max(0.0);
-        self.told_at = now;
+        self.load_reported_at = now;
     }
 }
 
@@ -133,14 +133,14 @@
 
 /// All upstreams that are listed or that something of this proxy is still at. Places never move.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct UpstreamTable {
     all: Vec<Upstream>,
     by_identifier: HashMap<String, usize>,
     free: Vec<usize>,
 }
 
-impl Table {
-    pub fn place(&self, identifier: &str) -> Option<usize> {
+impl UpstreamTable {
+    pub fn index_of(&self, identifier: &str) -> Option<usize> {
         self.by_identifier.get(identifier).copied()
     }
 
@@ -164,7 +164,7 @@
     }
 
     pub fn list(&mut self, entry: UpstreamEntry, region: &str, now: Millis) {
-        match self.place(&entry.identifier) {
+        match self.index_of(&entry.identifier) {
             Some(place) => self.all[place].list(entry, now),
             None => {
                 let identifier = entry.identifier.clone();
@@ -185,8 +185,8 @@
     }
 
     /// The list no longer has it.
-    pub fn gone(&mut self, identifier: &str) {
-        if let Some(place) = self.place(identifier) {
+    pub fn remove(&mut self, identifier: &str) {
+        if let Some(place) = self.index_of(identifier) {
             self.all[place].listed = false;
         }
         self.sweep();
--- a/crates/sandtrack-proxy/src/placement/zone_outlook.rs
+++ b/crates/sandtrack-proxy/src/placement/zone_health.rs
@@ -6,25 +6,25 @@
 
 /// When upstreams failed last, by zone and identifier, since any upstream of the zone was heard.
 #[derive(Clone, Debug)]
-pub struct ZoneOutlook {
+pub struct ZoneFailureDetector {
     failed: HashMap<String, HashMap<String, Millis>>,
-    /// See [`Policy::zone_failures`] and [`Policy::zone_failure_ms`].
+    /// See [`Policy::zone_failure_threshold`] and [`Policy::zone_failure_window_ms`].
     failures: usize,
     counts_for: Millis,
 }
 
-impl Default for ZoneOutlook {
-    fn default() -> ZoneOutlook {
-        ZoneOutlook::new(&Policy::default())
+impl Default for ZoneFailureDetector {
+    fn default() -> ZoneFailureDetector {
+        ZoneFailureDetector::new(&Policy::default())
     }
 }
 
-impl ZoneOutlook {
+impl ZoneFailureDetector {
     /// One that has heard of no failure.
     #[must_use]
-    pub fn new(policy: &Policy) -> ZoneOutlook {
-        let (failures, counts_for) = (policy.zone_failures, policy.zone_failure_ms);
-        ZoneOutlook {
+    pub fn new(policy: &Policy) -> ZoneFailureDetector {
+        let (failures, counts_for) = (policy.zone_failure_threshold, policy.zone_failure_window_ms);
+        ZoneFailureDetector {
             failed: HashMap::new(),
             failures,
             counts_for,
--- a/crates/sandtrack-proxy/src/policy.rs
+++ b/crates/sandtrack-proxy/src/policy.rs
@@ -1,8 +1,10 @@
-//! Every constant of the decisions on a request's way, in one place: what it is, its unit, and where it comes from ("design":
-//! the source's own figure; an RFC; "ours"). A release build runs with the defaults. With the feature `ablation` the program
-//! takes `--policy NAME=VALUE,...`, so that one build measures what each constant and each mechanism is worth
-//! (`docs/system/decisions.md`). The constants of the ordinary path itself are in `sandtrack_tiers`. Pure.
-use sandtrack_tiers::{Millis, GAP_MOST};
+//! Constants of the proxy's decisions on requests, each with its unit and its source ("design": the given design's own
+//! figure; an RFC; "ours": chosen and measured by this project). A release build runs with the defaults. With the feature
+//! `ablation` the program takes `--policy NAME=VALUE,...`, so that one build measures the effect of each constant and each
+//! mechanism (`docs/system/decisions.md`). The names there are older than those of the fields and stay as they are, since
+//! recorded measurements name them; the macro below pairs the two. The constants of latency tiers and health checks are in
+//! `sandtrack_tiers`.
+use sandtrack_tiers::{Millis, MAX_PROBE_INTERVAL_MS};
 use thiserror::Error;
 
 /// A policy that can't be read.
@@ -19,31 +21,32 @@
     Value(String, String),
 }
 
+/// Defines [`Policy`]: for each constant its field, the name that `--policy` takes, its type and its default.
 macro_rules! policy {
-    ($($(#[$doc:meta])* $name:ident: $kind:ty = $default:expr,)*) => {
+    ($($(#[$doc:meta])* $field:ident ($name:literal): $kind:ty = $default:expr,)*) => {
         /// The constants; `Policy::default()` is what release builds run with.
         #[derive(Clone, Debug, PartialEq)]
         pub struct Policy {
-            $($(#[$doc])* pub $name: $kind,)*
+            $($(#[$doc])* pub $field: $kind,)*
         }
 
         impl Default for Policy {
             fn default() -> Policy {
-                Policy { $($name: $default,)* }
+                Policy { $($field: $default,)* }
             }
         }
 
         impl Policy {
-            /// Names and values of all constants, in the order of their definition.
+            /// Names, as `--policy` takes them, and values of all constants, in the order of their definition.
             #[must_use]
             pub fn constants(&self) -> Vec<(&'static str, String)> {
-                vec![$((stringify!($name), self.$name.to_string()),)*]
+                vec![$(($name, self.$field.to_string()),)*]
             }
 
             fn set(&mut self, name: &str, value: &str) -> Result<(), PolicyError> {
-                let wrong = || PolicyError::Value(name.to_owned(), value.to_owned());
+                let invalid = || PolicyError::Value(name.to_owned(), value.to_owned());
                 match name {
-                    $(stringify!($name) => self.$name = value.parse().map_err(|_| wrong())?,)*
+                    $($name => self.$field = value.parse().map_err(|_| invalid())?,)*
                     _ => return Err(PolicyError::Unknown(name.to_owned())),
                 }
                 Ok(())
@@ -54,137 +57,143 @@
 
 policy! {
     // Which upstreams a proxy uses.
-    /// Upstreams of a service that a proxy uses and probes in its own region, where there are more (ours): enough for tiers,
-    /// for a random pick and for the loss of some.
-    circle_near: usize = 6,
-    /// The same in each other region (ours).
-    circle_far: usize = 4,
-    /// Upstreams of another region are probed for so long after a request of this proxy went to that region by its circle, in
-    /// ms (ours).
-    far_used_ms: f64 = 10_000.0,
-    /// An upstream takes this many times its slots beyond them in its queue before it counts as full (ours).
-    queue: f64 = 0.5,
-    /// Of those that may take a send the lowest tier is taken (design). Off: all of the nearest region are one tier.
-    tiers: bool = true,
-    /// One far above the mean of own requests is skipped (design).
-    skip: bool = true,
-    /// An upstream that turned a request away or failed one rests for so long, in ms (ours).
-    rest_ms: f64 = 150.0,
-    /// After so many ms the part of a told load that is not this proxy's own is down to a third (ours).
-    load_memory_ms: f64 = 400.0,
-
-    /// A zone of which several upstreams failed, with none heard in between, is left out where others can serve (ours).
-    zone_outlook: bool = true,
-    /// Upstreams of a zone that must fail before it is left out (ours): one alone is more likely a fault of its own.
-    zone_failures: usize = 2,
-    /// A failure counts for so long, in ms (design: two probes are no further apart): one that is still listed has been probed
-    /// again by then, one that is gone says no more.
-    zone_failure_ms: f64 = GAP_MOST,
+
+    /// Size of this proxy's subset of a service's upstreams in its own region (ours): enough for latency tiers, for a random
+    /// pick and for the loss of some.
+    local_subset_size ("circle_near"): usize = 6,
+    /// Size of the subset in each other region (ours).
+    remote_subset_size ("circle_far"): usize = 4,
+    /// How long upstreams of another region are probed after a request of this proxy was sent to that region, in ms (ours).
+    remote_probe_window_ms ("far_used_ms"): f64 = 10_000.0,
+    /// Requests that an upstream may queue, as a multiple of its slots, before it counts as full (ours).
+    max_queue_ratio ("queue"): f64 = 0.5,
+    /// Pick in the lowest latency tier that has an eligible upstream (design); off: a region is one tier.
+    latency_tiers ("tiers"): bool = true,
+    /// Skip upstreams whose requests in flight are far above the mean (design).
+    skip_overloaded ("skip"): bool = true,
+    /// Backoff from an upstream that rejected or failed a request, in ms (ours).
+    rejection_backoff_ms ("rest_ms"): f64 = 150.0,
+    /// Time constant by which the load of other callers, as an upstream reported it, decays, in ms (ours).
+    reported_load_decay_ms ("load_memory_ms"): f64 = 400.0,
+
+    /// Avoid a zone once several of its upstreams failed and none was seen since, where another zone can serve (ours).
+    zone_failure_detection ("zone_outlook"): bool = true,
+    /// Upstreams of a zone that must fail before it is avoided (ours): one alone is more likely a fault of its own.
+    zone_failure_threshold ("zone_failures"): usize = 2,
+    /// How long a failure counts against its zone, in ms (design: the longest interval between two probes): an upstream that
+    /// is still listed has been probed again by then, one that was removed gives no more evidence.
+    zone_failure_window_ms ("zone_failure_ms"): f64 = MAX_PROBE_INTERVAL_MS,
 
     // Long prompts.
-    /// A prompt with this many shared tokens goes where they are kept (ours).
-    kept_tokens: u64 = 1000,
-    /// Of each prompt so many upstreams are compared, by rendezvous hashing over all and over the own region (ours).
-    keeper_choices: usize = 3,
-    /// One that has this much to read, in ms, counts as idle: the first by rank is taken (ours).
-    busy_ms: f64 = 300.0,
-    /// A first token that is estimated within this part of the aim counts as in time (ours).
-    in_time: f64 = 1.2,
-    /// Tokens a ms that an upstream reads, before it was learned (ours).
-    prefill_rate: f64 = 50.0,
-    /// Proxies tell each other of long prompts that they sent.
-    tells_prompts: bool = true,
-    /// Weight, as a keeper, of an upstream in a region with requests bound to it, before enough was seen of what there is to
-    /// read (ours) ...
-    bound_weight: f64 = 0.5,
-    /// ... as if it had been seen of so many requests (ours) ...
-    bound_weight_requests: f64 = 20.0,
-    /// ... and the least that counts as seen: a region that has its part to do besides reads long prompts all the same (ours).
-    bound_weight_least: f64 = 0.35,
-    /// Round trips that a request on a new connection takes: one for the connection, one for the answer.
-    trips: f64 = 2.0,
-    /// What was seen of prompts counts for a third after this time, in ms (ours): some dozens of requests even at a proxy with
+
+    /// Shared tokens from which on a prompt is long: it is routed by prefix cache affinity (ours).
+    long_prompt_tokens ("kept_tokens"): u64 = 1000,
+    /// Upstreams compared for each long prompt, by rendezvous hashing over all and over the own region (ours).
+    prefix_owner_candidates ("keeper_choices"): usize = 3,
+    /// Prefill backlog below which an upstream counts as idle, in ms (ours).
+    idle_backlog_ms ("busy_ms"): f64 = 300.0,
+    /// A first token estimated within this multiple of the route's latency target counts as in time (ours).
+    first_token_target_ratio ("in_time"): f64 = 1.2,
+    /// Prefill rate of an upstream before any was measured, in tokens per ms (ours).
+    default_prefill_rate ("prefill_rate"): f64 = 50.0,
+    /// Report long prompts to the other proxies, by way of the control plane.
+    report_prompts ("tells_prompts"): bool = true,
+    /// Prior weight, for long prompts, of an upstream in a region that has requests bound to it (ours).
+    prior_region_weight ("bound_weight"): f64 = 0.5,
+    /// Number of requests that the prior weight counts for (ours).
+    prior_region_weight_requests ("bound_weight_requests"): f64 = 20.0,
+    /// Lower bound of the measured weight (ours): a region that is busy with its bound requests still takes long prompts.
+    min_region_weight ("bound_weight_least"): f64 = 0.35,
+    /// Round trips before the first token on a new connection: one for the connection, one for the response.
+    first_token_round_trips ("trips"): f64 = 2.0,
+    /// Time constant by which the measured prefill demand decays, in ms (ours): some dozens of requests even at a proxy with
     /// few.
-    prompt_memory_ms: f64 = 30_000.0,
-    /// Where long prompts have to be read beside requests bound to a region, one upstream in so many reads them (ours).
-    readers: usize = 2,
-    /// That is so for this long after the last long prompt, in ms (ours).
-    reading_ms: f64 = 4000.0,
+    prefill_demand_decay_ms ("prompt_memory_ms"): f64 = 30_000.0,
+    /// Where every region has bound requests, one upstream in this many serves the long prompts (ours).
+    prefill_upstreams_divisor ("readers"): usize = 2,
+    /// How long that separation lasts after the last long prompt, in ms (ours).
+    prefill_isolation_ms ("reading_ms"): f64 = 4000.0,
 
     // Time.
-    /// A request is offered to an upstream or refused within this part of its aim (RULES.md: a quarter).
-    hold: f64 = 0.2,
-    /// While no upstream has room it is looked again this often, in ms (ours).
-    look_again_ms: f64 = 10.0,
-    /// An answer is overdue after its mean and so many deviations (RFC 6298) ...
-    deviations: f64 = 4.0,
-    /// ... but not before this, in ms (ours) ...
-    patience_least_ms: f64 = 80.0,
-    /// ... and after this part of its aim in any case (ours).
-    patience_most: f64 = 0.35,
-    /// A pause of this part of the longest that is in time makes an upstream suspect in the middle of a stream (ours).
-    pause: f64 = 0.6,
-    /// A silent send is raced by another where the request may run twice (ours).
-    races: bool = true,
-    /// While an upstream is suspected it is looked this often whether it was found dead, in ms (ours).
-    suspect_look_ms: f64 = 100.0,
+
+    /// A request is sent or rejected within this fraction of its latency target (RULES.md: a quarter).
+    placement_wait_ratio ("hold"): f64 = 0.2,
+    /// Interval between two attempts to place a request while no upstream has capacity, in ms (ours).
+    placement_retry_ms ("look_again_ms"): f64 = 10.0,
+    /// A request is hedged after the mean time to first byte plus this many mean deviations (RFC 6298).
+    hedge_deviations ("deviations"): f64 = 4.0,
+    /// Lower bound of the hedge delay, in ms (ours).
+    min_hedge_delay_ms ("patience_least_ms"): f64 = 80.0,
+    /// Upper bound of the hedge delay, as a fraction of the latency target (ours).
+    max_hedge_delay_ratio ("patience_most"): f64 = 0.35,
+    /// A pause of this fraction of the longest allowed one makes the upstream of a stream suspect (ours).
+    stall_ratio ("pause"): f64 = 0.6,
+    /// Hedge requests that are idempotent (ours).
+    hedging ("races"): bool = true,
+    /// Interval at which a suspected upstream is checked for having been found dead, in ms (ours).
+    suspect_check_ms ("suspect_look_ms"): f64 = 100.0,
 
     // Connections.
-    /// A connection that does not come up within this, and two round trips to its region, is given up, in ms (ours). While the
-    /// round trip is not known this doubles with each failure (RFC 6298, 5.5).
-    connect_patience_ms: f64 = 150.0,
-    /// Where all failed for so long, a region's round trip is measured anew, in ms (ours).
-    trip_forgotten_ms: f64 = 10_000.0,
-    /// An idle connection is used again within this time, in ms, unless its upstream names a shorter one (ours): longer than
-    /// two probes are apart.
-    idle_most_ms: f64 = 12_000.0,
-    /// It is not used in the last part of the time that its upstream named, in ms: the close may be on its way (ours).
-    idle_margin_ms: f64 = 700.0,
-    /// What may run only once goes on an idle connection where its upstream was heard within so many ms, else on a fresh one
-    /// (ours).
-    proven_alive_ms: f64 = 4000.0,
-    /// After an idle connection broke without a word, its service's are not used so for this long, in ms (ours).
-    idle_distrust_ms: f64 = 30_000.0,
-
-    // Probes.
-    /// One in use is probed this often at most, in ms; the design's bound is five seconds, less what timers run late.
-    probe_every_ms: f64 = 4800.0,
-    /// One that is suspected or unhealthy is probed this often, in ms (ours: two probes tell within a second).
-    suspect_every_ms: f64 = 300.0,
-    /// The pause between probes of one that goes on failing doubles up to this, in ms (ours).
-    suspect_most_ms: f64 = 1200.0,
-    /// A probe that takes longer, besides three times the upstream's average, has failed, in ms (ours).
-    probe_patience_ms: f64 = 400.0,
-    /// The same while the round trip to its region is not known, in ms (RFC 6298, 2.1: one second); it doubles with each
-    /// failure ...
-    first_probe_patience_ms: f64 = 1000.0,
-    /// ... up to this, in ms (ours).
-    probe_patience_most_ms: f64 = 4000.0,
-
-    // What a request tells upstreams.
-    /// The route's priority is told as urgency.
-    urgency: bool = true,
+
+    /// Time-out of a connection attempt, besides two round trips to the region, in ms (ours). While the round trip is unknown
+    /// it doubles with each failure (RFC 6298, 5.5).
+    connect_timeout_ms ("connect_patience_ms"): f64 = 150.0,
+    /// How long sends to a region must have failed before its round trip is measured anew, in ms (ours).
+    round_trip_expiry_ms ("trip_forgotten_ms"): f64 = 10_000.0,
+    /// Longest time that a connection stays idle, in ms, unless its upstream names a shorter one (ours): longer than the
+    /// interval between two probes.
+    max_idle_ms ("idle_most_ms"): f64 = 12_000.0,
+    /// A connection is not used in this last part of the idle time that its upstream named, in ms: the close may be on its
+    /// way (ours).
+    idle_close_margin_ms ("idle_margin_ms"): f64 = 700.0,
+    /// Non-idempotent requests use an idle connection only if its upstream was last seen within this time, in ms (ours).
+    idle_trust_ms ("proven_alive_ms"): f64 = 4000.0,
+    /// How long non-idempotent requests to a service avoid idle connections after one was found closed, in ms (ours).
+    idle_distrust_ms ("idle_distrust_ms"): f64 = 30_000.0,
+
+    // Health checks.
+
+    /// Interval between probes of an upstream in use, in ms; the design's bound is five seconds, less timer delays.
+    probe_interval_ms ("probe_every_ms"): f64 = 4800.0,
+    /// Interval between probes of a suspect or unhealthy upstream, in ms (ours: two probes decide within a second).
+    suspect_probe_interval_ms ("suspect_every_ms"): f64 = 300.0,
+    /// Upper bound to which that interval doubles while probes fail, in ms (ours).
+    max_suspect_probe_interval_ms ("suspect_most_ms"): f64 = 1200.0,
+    /// Time-out of a probe, besides three times the upstream's average probe time, in ms (ours).
+    probe_timeout_ms ("probe_patience_ms"): f64 = 400.0,
+    /// Time-out of a probe while the round trip to its region is unknown, in ms (RFC 6298, 2.1: one second); it doubles with
+    /// each failure.
+    initial_probe_timeout_ms ("first_probe_patience_ms"): f64 = 1000.0,
+    /// Upper bound of that time-out, in ms (ours).
+    max_probe_timeout_ms ("probe_patience_most_ms"): f64 = 4000.0,
+
+    // Request headers.
+
+    /// Send the route's priority to the upstream as its urgency.
+    send_urgency ("urgency"): bool = true,
 }
 
 /// Failed probes in a row from which on the pause between them grows (design: two make an upstream unhealthy).
-const STEADY_PROBES: u32 = 2;
+const STEADY_FAILED_PROBES: u32 = 2;
 
 /// Doublings beyond which every time has reached its bound.
-const DOUBLINGS_MOST: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
-/// `first` doubled so many times, in ms; the caller bounds it.
+/// `first` doubled `times` times, in ms; the caller bounds it.
 #[must_use]
-pub fn doubled(first: Millis, times: u32) -> Millis {
-    first * f64::from(1u32 << times.min(DOUBLINGS_MOST))
+pub fn exponential_backoff(first: Millis, times: u32) -> Millis {
+    first * f64::from(1u32 << times.min(MAX_DOUBLINGS))
 }
 
 impl Policy {
     /// The pause before the next probe of an upstream of which so many in a row failed, in ms.
     #[must_use]
-    pub fn suspect_gap(&self, failed_probes: u32) -> f64 {
-        let doublings = failed_probes.saturating_sub(STEADY_PROBES);
-        doubled(self.suspect_every_ms, doublings)
-            .min(self.suspect_most_ms.max(self.suspect_every_ms))
+    pub fn suspect_probe_interval(&self, failed_probes: u32) -> f64 {
+        let doublings = failed_probes.saturating_sub(STEADY_FAILED_PROBES);
+        exponential_backoff(self.suspect_probe_interval_ms, doublings).min(
+            self.max_suspect_probe_interval_ms
+                .max(self.suspect_probe_interval_ms),
+        )
     }
 
     /// The default with some constants set anew: `NAME=VALUE`, joined by commas.
--- a/crates/sandtrack-proxy/src/pool.rs
+++ b/crates/sandtrack-proxy/src/pool.rs
@@ -149,8 +149,8 @@
         let seconds = part.trim().strip_prefix("timeout=")?;
         seconds.trim().parse::<f64>().ok()
     });
-    let most = told.map_or(policy.idle_most_ms, |seconds| {
-        (seconds * 1000.0 - policy.idle_margin_ms).min(policy.idle_most_ms)
+    let most = told.map_or(policy.max_idle_ms, |seconds| {
+        (seconds * 1000.0 - policy.idle_close_margin_ms).min(policy.max_idle_ms)
     });
     (head.keep_alive && most > 0.0).then_some(most)
 }
--- a/crates/sandtrack-proxy/src/probing.rs
+++ b/crates/sandtrack-proxy/src/probing.rs
@@ -1,5 +1,5 @@
 //! Health probes: asks upstreams that are due, each in a task of its own.
-use crate::placement::upstreams::Load;
+use crate::placement::upstreams::ServerLoad;
 use crate::pool::connect;
 use crate::shared::Shared;
 use async_io::Timer;
@@ -51,10 +51,11 @@
     )
     .await;
     let now = shared.clock.now();
-    shared
-        .balancer
-        .borrow_mut()
-        .probed(now, place, answered.map(|asked| now - asked.max(began)));
+    shared.balancer.borrow_mut().probe_finished(
+        now,
+        place,
+        answered.map(|asked| now - asked.max(began)),
+    );
 }
 
 /// When the question was written, if the upstream answers that it is well.
@@ -97,12 +98,15 @@
     }
     let head = head?;
     let now = shared.clock.now();
-    let load = head.headers.get("server-load").and_then(Load::parse);
+    let load = head.headers.get("server-load").and_then(ServerLoad::parse);
     let cold = head
         .headers
         .get("cold-remaining")
         .and_then(|value| value.trim().parse().ok());
-    shared.balancer.borrow_mut().told(now, place, load, cold);
+    shared
+        .balancer
+        .borrow_mut()
+        .load_reported(now, place, load, cold);
     let itself = head
         .headers
         .get("instance-id")
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -160,7 +160,7 @@
 fn read_again(shared: &Shared, path: &Path) {
     match Settings::read(path) {
         Ok(settings) => {
-            shared.balancer.borrow_mut().settings_changed(&settings);
+            shared.balancer.borrow_mut().apply_settings(&settings);
             *shared.settings.borrow_mut() = settings;
             log::info!("settings read again");
         }
@@ -216,7 +216,7 @@
     until_told_to_stop(&shared, &path, &mut signals).await;
     // Out of the directory first; clients that hold an old answer are served on; then what is open ends.
     let told = shared.clock.now();
-    shared.balancer.borrow_mut().leaving = true;
+    shared.balancer.borrow_mut().draining = true;
     shared.tell_news();
     leave.close();
     log::info!("told to stop");
--- a/crates/sandtrack-proxy/src/request.rs
+++ b/crates/sandtrack-proxy/src/request.rs
@@ -1,35 +1,72 @@
-//! A client's request, decoded into a command object that is carried out elsewhere. Pure.
+//! A client's request, decoded once its body is complete: which route and service it is for, its deadline, and what its
+//! headers say of the prompt.
+use crate::hashing::mix64;
+use sandtrack_protocol::codes::{self, Code};
 use sandtrack_protocol::configuration::{Configuration, Kind, Route};
-use sandtrack_sidecar_core::message::{origin_form, Head};
+use sandtrack_sidecar_core::message::{origin_form, Head, Headers};
 use sandtrack_tiers::Millis;
 
-/// One request to be carried.
+/// Start value of [`ProxyRequest::shared_key`]; the golden ratio as a 64-bit fraction, as in SplitMix64.
+const SHARED_KEY_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// A request that is to be forwarded to an upstream.
 #[derive(Clone, Debug)]
 pub struct ProxyRequest {
+    /// HTTP method.
     pub method: String,
+    /// Request target in origin form (RFC 9112, 3.2.1).
     pub target: String,
+    /// End-to-end headers, in the client's order.
     pub headers: Vec<(String, String)>,
+    /// The complete body.
     pub body: Vec<u8>,
+    /// The client's `Request-Id`; empty where it sent none.
     pub id: String,
+    /// The route that matched.
     pub route: Route,
-    /// The service drawn from the route's split.
+    /// The service drawn from the route's weighted split.
     pub service: String,
-    /// When its first byte was there, and when its time is over.
-    pub arrived: Millis,
+    /// When its first byte arrived.
+    pub arrived_at: Millis,
+    /// When its time is over.
     pub deadline: Millis,
+    /// The model that it asks for; any will do where there is none.
     pub model: Option<String>,
-    /// Tokens of the prompt, and the most out.
-    pub tokens: Option<(u64, u64)>,
-    /// Parts of the prompt in order: id and tokens.
-    pub prefix: Vec<(u64, u64)>,
+    /// What `Token-Counts` says, where it can be read.
+    pub token_counts: Option<TokenCounts>,
+    /// Parts of the prompt in order, as `Prompt-Prefix` lists them.
+    pub prompt_parts: Vec<PromptPart>,
+}
+
+/// Size of a prompt and of its completion, in tokens (`Token-Counts: PROMPT,MAX`).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TokenCounts {
+    /// Tokens of the prompt.
+    pub prompt: u64,
+    /// Upper bound of the tokens to be generated.
+    pub max_output: u64,
 }
 
-/// Why a request is refused before it is carried: the status, and what a person is told.
+/// One part of a prompt. Parts with the same id have the same content, so that engines can reuse their KV cache for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused(pub u16, pub sandtrack_protocol::codes::Code);
+pub struct PromptPart {
+    /// Identifies the content.
+    pub id: u64,
+    /// Its length in tokens.
+    pub tokens: u64,
+}
+
+/// A request that is rejected before it is forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// HTTP status of the response.
+    pub status: u16,
+    /// The reason, as the response body gives it.
+    pub code: Code,
+}
 
 impl ProxyRequest {
-    /// Decodes a whole request. `draw` gives a number from 0 to 1 for the split by weights.
+    /// Decodes a complete request. `draw` is a number from 0 to 1, by which the service is drawn from the route's split.
     ///
     /// # Errors
     /// 404 where no route matches.
@@ -37,99 +74,96 @@
         configuration: &Configuration,
         head: Head,
         body: Vec<u8>,
-        arrived: Millis,
+        arrived_at: Millis,
         draw: f64,
-    ) -> Result<ProxyRequest, Refused> {
-        use sandtrack_protocol::codes;
-        let route = route_of(configuration, &head)
-            .ok_or(Refused(404, codes::NO_ROUTE))?
-            .clone();
-        let left = allowed(&route, &head);
-        let target = origin_form(&head.target).into_owned();
-        let tokens = head.headers.get("token-counts").and_then(|value| {
-            let (prompt, out) = value.split_once(',')?;
-            Some((prompt.trim().parse().ok()?, out.trim().parse().ok()?))
-        });
-        let prefix = head
-            .headers
-            .get("prompt-prefix")
-            .map(prefix)
-            .unwrap_or_default();
+    ) -> Result<ProxyRequest, Rejection> {
+        let Some(route) = matching_route(configuration, &head) else {
+            return Err(Rejection {
+                status: 404,
+                code: codes::NO_ROUTE,
+            });
+        };
+        let route = route.clone();
         let headers = head.headers.end_to_end();
         let headers = headers
             .map(|(name, value)| (name.to_owned(), value.to_owned()))
             .collect();
+        let id = head.headers.get("request-id").unwrap_or_default();
         Ok(ProxyRequest {
-            id: head
-                .headers
-                .get("request-id")
-                .unwrap_or_default()
-                .to_owned(),
+            id: id.to_owned(),
             model: head.headers.get("model").map(str::to_owned),
-            service: drawn(&route.split, draw).to_owned(),
-            deadline: arrived + left,
+            service: draw_service(&route.split, draw).to_owned(),
+            deadline: arrived_at + route_time_limit(&route, &head),
+            target: origin_form(&head.target).into_owned(),
+            token_counts: token_counts(&head.headers),
+            prompt_parts: prompt_parts(&head.headers),
             method: head.method,
-            target,
             headers,
             body,
             route,
-            arrived,
-            tokens,
-            prefix,
+            arrived_at,
         })
     }
 
+    /// Whether it may run more than once.
     pub fn is_idempotent(&self) -> bool {
         self.route.is_idempotent()
     }
 
+    /// Whether its response is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind == Kind::Streaming
     }
 
-    /// What is left of its time, in ms.
-    pub fn left(&self, now: Millis) -> Millis {
+    /// Time until its deadline, in ms; 0 once that has passed.
+    pub fn time_left(&self, now: Millis) -> Millis {
         (self.deadline - now).max(0.0)
     }
 
-    /// Tokens of the parts that others may share: all but the last, which is the request's or its session's own.
+    /// Tokens of the parts that other requests may share: all but the last part, which is the request's or its session's own.
     pub fn shared_tokens(&self) -> u64 {
-        let shared = self.prefix.len().saturating_sub(1);
-        self.prefix[..shared].iter().map(|(_, tokens)| tokens).sum()
+        self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// One number for the shared parts; the same for all proxies.
+    /// Key of the shared parts, the same at all proxies.
     pub fn shared_key(&self) -> u64 {
-        let shared = self.prefix.len().saturating_sub(1);
-        self.prefix[..shared]
+        self.shared_parts()
             .iter()
-            .fold(0x9e37_79b9_7f4a_7c15, |key, (id, _)| mix(key ^ id))
+            .fold(SHARED_KEY_SEED, |key, part| mix64(key ^ part.id))
     }
+
+    fn shared_parts(&self) -> &[PromptPart] {
+        self.prompt_parts
+            .split_last()
+            .map_or(&[], |(_, shared)| shared)
+    }
+}
+
+/// How long the request with this head may take, in ms, known before its body has arrived; `None` where no route matches.
+pub fn time_limit(configuration: &Configuration, head: &Head) -> Option<Millis> {
+    matching_route(configuration, head).map(|route| route_time_limit(route, head))
 }
 
-/// The route of the request with this head.
-fn route_of<'a>(configuration: &'a Configuration, head: &Head) -> Option<&'a Route> {
+fn matching_route<'a>(configuration: &'a Configuration, head: &Head) -> Option<&'a Route> {
     let host = head.headers.get("host").unwrap_or_default();
     configuration.route_of_request(host, &origin_form(&head.target))
 }
 
-/// How long the request with this head may be held, in ms: what its client waits, and not over the route's time.
-fn allowed(route: &Route, head: &Head) -> Millis {
-    let told = head
+/// The client's `Deadline-Remaining`, bounded by the route's time-out, in ms.
+fn route_time_limit(route: &Route, head: &Head) -> Millis {
+    let requested = head
         .headers
         .get("deadline-remaining")
         .and_then(|value| value.trim().parse::<f64>().ok());
-    told.filter(|left| *left >= 0.0)
-        .map_or(route.timeout_ms, |left| left.min(route.timeout_ms))
-}
-
-/// How long the request with this head may be held, in ms, before its body is there; `None` where no route matches.
-pub fn held_at_most(configuration: &Configuration, head: &Head) -> Option<Millis> {
-    route_of(configuration, head).map(|route| allowed(route, head))
+    requested
+        .filter(|remaining| *remaining >= 0.0)
+        .map_or(route.timeout_ms, |remaining| {
+            remaining.min(route.timeout_ms)
+        })
 }
 
-/// The service at `draw` (0 to 1) of the weights.
-fn drawn(split: &[(String, f64)], draw: f64) -> &str {
+/// The service at `draw` (0 to 1) of the cumulated weights.
+fn draw_service(split: &[(String, f64)], draw: f64) -> &str {
     let mut rest = draw * split.iter().map(|(_, weight)| weight).sum::<f64>();
     for (service, weight) in split {
         if rest < *weight {
@@ -137,6 +171,7 @@
         }
         rest -= weight;
     }
+    // Rounding may leave a rest: the last service that has any weight.
     split
         .iter()
         .rev()
@@ -144,24 +179,24 @@
         .map_or("", |(service, _)| service)
 }
 
-/// Parts `ID:TOKENS` joined by commas, the id in hex; what can't be read ends the list.
-fn prefix(value: &str) -> Vec<(u64, u64)> {
+/// `Token-Counts: PROMPT,MAX`; `None` where it is missing or malformed.
+fn token_counts(headers: &Headers) -> Option<TokenCounts> {
+    let (prompt, max_output) = headers.get("token-counts")?.split_once(',')?;
+    Some(TokenCounts {
+        prompt: prompt.trim().parse().ok()?,
+        max_output: max_output.trim().parse().ok()?,
+    })
+}
+
+/// `Prompt-Prefix: ID:TOKENS,...`, ids in hexadecimal; a malformed part ends the list.
+fn prompt_parts(headers: &Headers) -> Vec<PromptPart> {
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
-        Some((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?))
+        Some(PromptPart {
+            id: u64::from_str_radix(id, 16).ok()?,
+            tokens: tokens.parse().ok()?,
+        })
     };
-    value.split(',').map_while(part).collect()
-}
-
-/// Scatters the bits of a number (splitmix64's finalizer).
-pub fn mix(mut bits: u64) -> u64 {
-    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    bits ^ (bits >> 31)
-}
-
-/// A number for a name, the same in every process (FNV-1a).
-pub fn hash(name: &str) -> u64 {
-    let each = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
-    mix(name.bytes().fold(0xcbf2_9ce4_8422_2325, each))
+    let value = headers.get("prompt-prefix");
+    value.map_or_else(Vec::new, |value| value.split(',').map_while(part).collect())
 }
--- a/crates/sandtrack-proxy/src/request_log.rs
+++ b/crates/sandtrack-proxy/src/request_log.rs
@@ -2,7 +2,7 @@
 //! Lines are bounded, so that an overload is not made worse by its log.
 use crate::lateness::Timeline;
 use crate::outcomes::Outcome;
-use crate::placement::balancer::Ended;
+use crate::placement::balancer::SendOutcome;
 use crate::request::ProxyRequest;
 use crate::shared::Shared;
 use sandtrack_protocol::codes::Code;
@@ -22,7 +22,7 @@
     identifier: String,
     begun: Millis,
     /// How it ended, and when; none while it is under way.
-    ended: Option<(Ended, Millis)>,
+    ended: Option<(SendOutcome, Millis)>,
 }
 
 impl<'a> RequestLog<'a> {
@@ -46,7 +46,7 @@
     }
 
     /// A send of it is over.
-    pub fn send_over(&mut self, identifier: &str, ended: Ended) {
+    pub fn send_over(&mut self, identifier: &str, ended: SendOutcome) {
         self.shared.outcomes.borrow_mut().note_send(ended);
         let now = self.shared.clock.now();
         let mut under_way = self.sends.iter_mut().filter(|send| send.ended.is_none());
@@ -60,12 +60,12 @@
     pub fn answer_begins(&mut self, identifier: &str, asked: Millis, far: bool) {
         let now = self.shared.clock.now();
         let request = self.request;
-        if now - request.arrived <= request.route.target_latency_ms {
+        if now - request.arrived_at <= request.route.target_latency_ms {
             return;
         }
         let begun = |send: &Send| send.begun;
         let timeline = Timeline {
-            arrived: request.arrived,
+            arrived: request.arrived_at,
             first_send: self.sends.first().map_or(asked, begun),
             send: self
                 .sends
@@ -82,7 +82,7 @@
         outcomes.note_late_first_part(cause);
         if let Some(left_out) = outcomes.take_line(now) {
             let mut line = self.ways();
-            let counts = request.tokens.map_or(0, |(prompt, _)| prompt);
+            let counts = request.token_counts.map_or(0, |counts| counts.prompt);
             let shared = request.shared_tokens();
             // Writing into memory can't fail.
             let _ = write!(line, "; prompt of {counts} tokens, {shared} of them shared");
@@ -133,8 +133,8 @@
             "request {} on {}: {what} after {:.0} of {:.0} ms{ways}",
             request.id,
             request.route.name,
-            now - request.arrived,
-            request.deadline - request.arrived,
+            now - request.arrived_at,
+            request.deadline - request.arrived_at,
         )
     }
 
@@ -152,11 +152,11 @@
             let _ = write!(
                 line,
                 "; at {identifier} from {:.0}",
-                begun - request.arrived
+                begun - request.arrived_at
             );
             let _ = match ended {
                 Some((ended, at)) => {
-                    write!(line, " {} by {:.0}", ended.name(), at - request.arrived)
+                    write!(line, " {} by {:.0}", ended.name(), at - request.arrived_at)
                 }
                 None => write!(line, " to the end"),
             };
--- a/crates/sandtrack-proxy/src/session.rs
+++ b/crates/sandtrack-proxy/src/session.rs
@@ -1,7 +1,7 @@
 //! The session with the control plane: this proxy is a member while it stands. Opened with the nearest control node that
 //! answers and hears a majority of its kind; opened anew elsewhere when that falls silent. What is decided is in
 //! `session_policy`; here are the sockets.
-use crate::placement::balancer::Folded;
+use crate::placement::balancer::ApplyOutcome;
 use crate::session_policy::{candidates, connect_timeout, judge_welcome, Accepted, Standing};
 use crate::shared::Shared;
 use async_io::{Async, Timer};
@@ -249,8 +249,8 @@
                 return;
             }
         }
-        let sent = shared.balancer.borrow_mut().take_prompts_sent();
-        if shared.policy.tells_prompts
+        let sent = shared.balancer.borrow_mut().take_prompt_reports();
+        if shared.policy.report_prompts
             && !sent.is_empty()
             && !write(stream, &ToControl::PromptsSent(sent)).await
         {
@@ -290,12 +290,12 @@
         if let ToProxy::Beat { attached } = &message {
             standing.borrow_mut().beat(now, *attached);
         }
-        let folded = shared.balancer.borrow_mut().fold(now, message);
-        if folded == Folded::WantConfiguration {
+        let folded = shared.balancer.borrow_mut().apply(now, message);
+        if folded == ApplyOutcome::NeedsFullConfiguration {
             let _ = want.try_send(ToControl::WantConfiguration);
             shared.tell_news();
         }
-        if std::mem::take(&mut shared.balancer.borrow_mut().changed) {
+        if std::mem::take(&mut shared.balancer.borrow_mut().state_changed) {
             shared.tell_news();
         }
     }
--- a/crates/sandtrack-proxy/src/session_policy.rs
+++ b/crates/sandtrack-proxy/src/session_policy.rs
@@ -1,6 +1,6 @@
 //! Decisions of the session with the control plane: which control node is asked next, whose session is accepted, and when
 //! another one is looked for. Pure: time comes in, no socket is touched here.
-use crate::policy::doubled;
+use crate::policy::exponential_backoff;
 use sandtrack_protocol::frames::FORMAT;
 use sandtrack_protocol::settings::{Settings, SESSION_PORT};
 use sandtrack_tiers::Millis;
@@ -32,7 +32,7 @@
 /// How long a connection to a control node is waited for after so many rounds in vain: one far away is reached in the end,
 /// and a dead one does not hold up those that are near.
 pub fn connect_timeout(vain_rounds: u32) -> Duration {
-    let patience = doubled(CONNECT_FIRST_MS, vain_rounds).min(CONNECT_MOST_MS);
+    let patience = exponential_backoff(CONNECT_FIRST_MS, vain_rounds).min(CONNECT_MOST_MS);
     Duration::from_secs_f64(patience / 1000.0)
 }
 
--- a/crates/sandtrack-proxy/src/shared.rs
+++ b/crates/sandtrack-proxy/src/shared.rs
@@ -87,6 +87,6 @@
     /// Counts requests in hand.
     pub fn open(&self, change: i32) {
         let mut balancer = self.balancer.borrow_mut();
-        balancer.open = balancer.open.saturating_add_signed(change);
+        balancer.open_requests = balancer.open_requests.saturating_add_signed(change);
     }
 }
--- a/crates/sandtrack-proxy/tests/budget.rs
+++ b/crates/sandtrack-proxy/tests/budget.rs
@@ -71,7 +71,7 @@
                 &format!("\"version_number\":{version}"),
             )
             .replace("\"printer\"", &format!("\"printer-{change}\""));
-        balancer.fold(
+        balancer.apply(
             now,
             ToProxy::Configuration {
                 number,
@@ -81,17 +81,17 @@
         );
         let asked = request(&balancer, "/slips/deep/a", &[]);
         assert_eq!(asked.service, format!("printer-{change}"));
-        balancer.came(now, &asked);
+        balancer.request_arrived(now, &asked);
     }
     // Those of the last window of 10 s, and those in force.
     assert!(
-        balancer.remembered_services() <= 13,
+        balancer.retry_budgets() <= 13,
         "{} services",
-        balancer.remembered_services()
+        balancer.retry_budgets()
     );
     assert!(
-        balancer.remembered_services() >= 10,
+        balancer.retry_budgets() >= 10,
         "{} services",
-        balancer.remembered_services()
+        balancer.retry_budgets()
     );
 }
--- a/crates/sandtrack-proxy/tests/common/mod.rs
+++ b/crates/sandtrack-proxy/tests/common/mod.rs
@@ -46,7 +46,7 @@
 pub fn balancer(entries: Vec<UpstreamEntry>) -> Balancer {
     let mut balancer = Balancer::new(&settings(), 1);
     let document = CONFIGURATION.to_owned();
-    balancer.fold(
+    balancer.apply(
         0.0,
         ToProxy::Configuration {
             number: 3,
@@ -54,7 +54,7 @@
             document,
         },
     );
-    balancer.fold(
+    balancer.apply(
         0.0,
         ToProxy::Upstreams {
             whole: true,
@@ -63,7 +63,7 @@
             gone: Vec::new(),
         },
     );
-    balancer.fold(
+    balancer.apply(
         0.0,
         ToProxy::Census {
             control_nodes: Vec::new(),
@@ -82,7 +82,7 @@
             "b" => 2.0,
             _ => 110.0,
         };
-        balancer.probed(now, place, Some(elapsed));
+        balancer.probe_finished(now, place, Some(elapsed));
     }
 }
 
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/drawn_fleets.rs
@@ -4,8 +4,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
-use sandtrack_proxy::placement::choice::Placed;
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
+use sandtrack_proxy::placement::selection::Placement;
 use sandtrack_proxy::request::ProxyRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
             } else {
                 2.0 * way
             };
-            balancer.probed(0.0, place, Some(trip));
+            balancer.probe_finished(0.0, place, Some(trip));
         }
         let evacuated: BTreeSet<&str> = ZONES
             .iter()
@@ -50,7 +50,7 @@
             .filter(|_| random.gen_bool(0.15))
             .collect();
         let zones = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-        balancer.fold(0.0, ToProxy::Evacuated { number: 4, zones });
+        balancer.apply(0.0, ToProxy::Evacuated { number: 4, zones });
         Fleet {
             balancer,
             evacuated,
@@ -118,19 +118,19 @@
             let has_room = loads
                 .iter()
                 .any(|(place, load)| load + 1.0 <= slots(*place) * 1.5);
-            match fleet.balancer.place(now, &request, &[]) {
-                Placed::Send(place) => {
+            match fleet.balancer.choose_upstream(now, &request, &[]) {
+                Placement::Send(place) => {
                     assert!(
                         fleet.may_serve(&request, place),
                         "fleet {seed}, step {step}"
                     );
-                    fleet.balancer.sent(place);
-                    fleet.balancer.prompt_sent(now, &request, place);
+                    fleet.balancer.send_started(place);
+                    fleet.balancer.long_prompt_sent(now, &request, place);
                 }
-                Placed::Wait => {
+                Placement::Wait => {
                     assert!(!has_room, "fleet {seed}, step {step}: it waits beside room")
                 }
-                Placed::None => assert!(able.is_empty(), "fleet {seed}, step {step}"),
+                Placement::Unavailable => assert!(able.is_empty(), "fleet {seed}, step {step}"),
             }
         }
     }
@@ -146,10 +146,12 @@
             let now = 3000.0 * f64::from(step);
             let prefix = fleet.random.gen_range(1..20);
             let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placed::Send(place) = fleet.balancer.place(now, &letter, &[]) {
-                fleet.balancer.sent(place);
-                fleet.balancer.prompt_sent(now, &letter, place);
-                fleet.balancer.ended(now + 500.0, place, Ended::Answered);
+            if let Placement::Send(place) = fleet.balancer.choose_upstream(now, &letter, &[]) {
+                fleet.balancer.send_started(place);
+                fleet.balancer.long_prompt_sent(now, &letter, place);
+                fleet
+                    .balancer
+                    .send_finished(now + 500.0, place, SendOutcome::Completed);
                 readers.entry(prefix).or_default().insert(place);
             }
         }
@@ -178,12 +180,14 @@
             continue;
         }
         for place in &in_lost[..2] {
-            fleet.balancer.sent(*place);
-            fleet.balancer.ended(100.0, *place, Ended::Broken);
+            fleet.balancer.send_started(*place);
+            fleet
+                .balancer
+                .send_finished(100.0, *place, SendOutcome::ConnectionFailed);
         }
         for prefix in 1..40 {
             let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placed::Send(place) = fleet.balancer.place(300.0, &letter, &[]) {
+            if let Placement::Send(place) = fleet.balancer.choose_upstream(300.0, &letter, &[]) {
                 assert_ne!(zone(&fleet, place), lost, "fleet {seed}");
             }
         }
@@ -201,23 +205,23 @@
             &[("Prompt-Prefix", "7:55,aa:290")],
         );
         let able = fleet.able(&request);
-        let used = able.len().min(fleet.balancer.policy.circle_near);
+        let used = able.len().min(fleet.balancer.policy.local_subset_size);
         let slots = able
             .first()
             .map_or(0.0, |place| fleet.balancer.upstreams.get(*place).slots());
         // A quarter of the places of those that it uses, beside one that is half full.
         let (count, held) = ((used as f64 * slots / 4.0) as usize, (slots / 2.0) as usize);
-        let Placed::Send(crowded) = fleet.balancer.place(0.0, &request, &[]) else {
+        let Placement::Send(crowded) = fleet.balancer.choose_upstream(0.0, &request, &[]) else {
             continue;
         };
         if used < 4 || count < 40 {
             continue;
         }
         played += 1;
-        (0..held).for_each(|_| fleet.balancer.sent(crowded));
+        (0..held).for_each(|_| fleet.balancer.send_started(crowded));
         for _ in 0..count {
-            if let Placed::Send(place) = fleet.balancer.place(1.0, &request, &[]) {
-                fleet.balancer.sent(place);
+            if let Placement::Send(place) = fleet.balancer.choose_upstream(1.0, &request, &[]) {
+                fleet.balancer.send_started(place);
             }
         }
         let own = |place: &usize| fleet.balancer.upstreams.get(*place).own as f64;
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -5,7 +5,7 @@
     is_promise, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, Phase, SendEvent,
     SendId, Terms, SENDS,
 };
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 use std::collections::HashSet;
 
 /// Scripts are enumerated one by one up to this many inputs, for each kind and number of attempts.
@@ -265,10 +265,12 @@
     };
     let side = world.sends[*send].as_ref().ok_or("a send that is over")?;
     match ended {
-        Ended::Answered => rule(side.whole && side.is_own() && !side.denied, || {
+        SendOutcome::Completed => rule(side.whole && side.is_own() && !side.denied, || {
             "not answered".to_owned()
         }),
-        Ended::Broken => rule(!side.whole, || "whole, and taken for broken".to_owned()),
+        SendOutcome::ConnectionFailed => {
+            rule(!side.whole, || "whole, and taken for broken".to_owned())
+        }
         _ => Ok(()),
     }
 }
@@ -763,7 +765,10 @@
     ]);
     let mut exchange = Exchange::new(RESUMABLE);
     let actions = inputs.map(|input| exchange.on(input)).last();
-    assert_eq!(actions, Some(vec![Action::Close(0, Ended::Broken)]));
+    assert_eq!(
+        actions,
+        Some(vec![Action::Close(0, SendOutcome::ConnectionFailed)])
+    );
     assert_eq!(exchange.phase(), Phase::Sending);
 }
 
--- a/crates/sandtrack-proxy/tests/incident_long_prompts.rs
+++ b/crates/sandtrack-proxy/tests/incident_long_prompts.rs
@@ -4,7 +4,7 @@
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
 use sandtrack_proxy::placement::balancer::Balancer;
-use sandtrack_proxy::placement::choice::Placed;
+use sandtrack_proxy::placement::selection::Placement;
 use std::collections::BTreeSet;
 
 fn fleet() -> Vec<UpstreamEntry> {
@@ -20,7 +20,7 @@
     let mut drawn = BTreeSet::new();
     for prefix in prefixes {
         let request = request(balancer, target, &[("Prompt-Prefix", prefix)]);
-        if let Placed::Send(place) = balancer.place(now, &request, &[]) {
+        if let Placement::Send(place) = balancer.choose_upstream(now, &request, &[]) {
             drawn.insert(balancer.upstreams.get(place).entry.identifier.clone());
         }
     }
@@ -40,7 +40,7 @@
 
 fn evacuate(balancer: &mut Balancer, zones: &[&str]) {
     let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
-    balancer.fold(0.0, ToProxy::Evacuated { number: 4, zones });
+    balancer.apply(0.0, ToProxy::Evacuated { number: 4, zones });
 }
 
 #[test]
@@ -109,11 +109,11 @@
     evacuate(&mut balancer, &["c"]);
     let readers = drawn(&mut balancer, 100.0, "/letters/1", &long());
     let place =
-        |balancer: &Balancer, name: &str| balancer.upstreams.place(name).expect("it is listed");
+        |balancer: &Balancer, name: &str| balancer.upstreams.index_of(name).expect("it is listed");
     for name in ["a0", "a1", "a2", "b0", "b1", "b2"] {
         let place = place(&balancer, name);
         if !readers.contains(name) {
-            (0..4).for_each(|_| balancer.sent(place));
+            (0..4).for_each(|_| balancer.send_started(place));
         }
     }
     let streams = drawn(&mut balancer, 100.0, "/tags/1", &short());
--- a/crates/sandtrack-proxy/tests/kept_connections.rs
+++ b/crates/sandtrack-proxy/tests/kept_connections.rs
@@ -3,7 +3,7 @@
 use sandtrack_proxy::exchange_state::{
     may_use_idle, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, SendEvent, Terms,
 };
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 use sandtrack_proxy::policy::Policy;
 use sandtrack_proxy::pool::kept_for;
 use sandtrack_sidecar_core::message::{Head, Headers};
@@ -74,8 +74,8 @@
 #[test]
 fn a_surplus_behind_the_first_answer_closes_the_connection() {
     for (surplus, expected) in [
-        (true, Action::Close(0, Ended::Answered)),
-        (false, Action::Pool(0, Ended::Answered)),
+        (true, Action::Close(0, SendOutcome::Completed)),
+        (false, Action::Pool(0, SendOutcome::Completed)),
     ] {
         let mut exchange = written(READ_ONLY, false);
         exchange.on(Input::Send(0, SendEvent::Head(own_head())));
@@ -108,7 +108,11 @@
         for terms in [READ_ONLY, MUTATING] {
             let mut exchange = written(terms, true);
             let actions = exchange.on(Input::Send(0, SendEvent::Head(left_over)));
-            assert_eq!(actions[0], Action::Close(0, Ended::Faulty), "{left_over:?}");
+            assert_eq!(
+                actions[0],
+                Action::Close(0, SendOutcome::ServerError),
+                "{left_over:?}"
+            );
             if terms.idempotent {
                 assert_eq!(actions.len(), 1, "it goes elsewhere");
                 let placed = exchange.on(Input::Placed(1));
--- a/crates/sandtrack-proxy/tests/outcomes.rs
+++ b/crates/sandtrack-proxy/tests/outcomes.rs
@@ -2,7 +2,7 @@
 use sandtrack_protocol::codes;
 use sandtrack_protocol::metrics::MetricsText;
 use sandtrack_proxy::outcomes::{Outcome, Outcomes};
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 
 #[test]
 fn all_ends_are_counted_and_late_ones_apart() {
@@ -11,7 +11,7 @@
     outcomes.note(Outcome::Own(503, codes::NO_ROOM), -900.0);
     outcomes.note(Outcome::Own(504, codes::DEADLINE), 251.0);
     outcomes.note(Outcome::Cut, 0.0);
-    outcomes.note_send(Ended::Broken);
+    outcomes.note_send(SendOutcome::ConnectionFailed);
     assert_eq!(outcomes.count(Outcome::Cut), 1);
     let mut text = MetricsText::default();
     outcomes.tell(&mut text);
--- a/crates/sandtrack-proxy/tests/placement.rs
+++ b/crates/sandtrack-proxy/tests/placement.rs
@@ -2,8 +2,8 @@
 mod common;
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::ToProxy;
-use sandtrack_proxy::placement::balancer::Ended;
-use sandtrack_proxy::placement::choice::Placed;
+use sandtrack_proxy::placement::balancer::SendOutcome;
+use sandtrack_proxy::placement::selection::Placement;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn fleet() -> Vec<sandtrack_protocol::frames::UpstreamEntry> {
@@ -23,7 +23,7 @@
     let mut drawn = BTreeMap::new();
     let request = request(balancer, target, &[]);
     for _ in 0..count {
-        if let Placed::Send(place) = balancer.place(1000.0, &request, &[]) {
+        if let Placement::Send(place) = balancer.choose_upstream(1000.0, &request, &[]) {
             *drawn
                 .entry(balancer.upstreams.get(place).entry.identifier.clone())
                 .or_default() += 1;
@@ -61,18 +61,18 @@
     );
     let near = places_in_north(&balancer);
     near.iter()
-        .for_each(|place| (0..4).for_each(|_| balancer.sent(*place)));
-    let Placed::Send(place) = balancer.place(1000.0, &letter, &[]) else {
+        .for_each(|place| (0..4).for_each(|_| balancer.send_started(*place)));
+    let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
         panic!("the far region has room")
     };
     assert_eq!(balancer.upstreams.get(place).region, "south");
-    let Placed::Send(place) = balancer.place(1000.0, &tag, &[]) else {
+    let Placement::Send(place) = balancer.choose_upstream(1000.0, &tag, &[]) else {
         panic!("the near one queues")
     };
     assert_eq!(balancer.upstreams.get(place).region, "north");
     near.iter()
-        .for_each(|place| (0..9).for_each(|_| balancer.sent(*place)));
-    assert_eq!(balancer.place(1000.0, &tag, &[]), Placed::Wait);
+        .for_each(|place| (0..9).for_each(|_| balancer.send_started(*place)));
+    assert_eq!(balancer.choose_upstream(1000.0, &tag, &[]), Placement::Wait);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     probe_all(&mut balancer, 0.0);
     let mut draining = entry("a0", "model", "a");
     draining.draining = true;
-    balancer.fold(
+    balancer.apply(
         1.0,
         ToProxy::Upstreams {
             whole: false,
@@ -90,7 +90,7 @@
             gone: vec!["a1".to_owned()],
         },
     );
-    balancer.fold(
+    balancer.apply(
         1.0,
         ToProxy::Evacuated {
             number: 5,
@@ -100,7 +100,7 @@
     let drawn = draws(&mut balancer, "/letters/1", 100);
     assert_eq!(drawn.keys().map(String::as_str).collect::<Vec<_>>(), ["a2"]);
     // An order that is older than what is known takes nothing back.
-    balancer.fold(
+    balancer.apply(
         1.0,
         ToProxy::Evacuated {
             number: 4,
@@ -108,7 +108,7 @@
         },
     );
     assert_eq!(draws(&mut balancer, "/letters/1", 100).len(), 1);
-    balancer.fold(
+    balancer.apply(
         1.0,
         ToProxy::Evacuated {
             number: 6,
@@ -122,16 +122,16 @@
 fn two_failures_make_one_unhealthy_a_probe_restores_it_and_where_all_are_all_serve() {
     let mut balancer = balancer(vec![entry("a0", "model", "a"), entry("a1", "model", "a")]);
     probe_all(&mut balancer, 0.0);
-    let place = balancer.upstreams.place("a0").expect("it is listed");
+    let place = balancer.upstreams.index_of("a0").expect("it is listed");
     for _ in 0..2 {
-        balancer.sent(place);
-        balancer.ended(10.0, place, Ended::Broken);
+        balancer.send_started(place);
+        balancer.send_finished(10.0, place, SendOutcome::ConnectionFailed);
     }
     assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 1);
-    let other = balancer.upstreams.place("a1").expect("it is listed");
+    let other = balancer.upstreams.index_of("a1").expect("it is listed");
     for _ in 0..2 {
-        balancer.sent(other);
-        balancer.ended(10.0, other, Ended::Broken);
+        balancer.send_started(other);
+        balancer.send_finished(10.0, other, SendOutcome::ConnectionFailed);
     }
     assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 2);
     probe_all(&mut balancer, 2000.0);
@@ -148,7 +148,7 @@
     let mut sends: Vec<f64> = Vec::new();
     for step in 0..3000 {
         let now = f64::from(step);
-        if let Placed::Send(_) = balancer.place(now, &letter, &[]) {
+        if let Placement::Send(_) = balancer.choose_upstream(now, &letter, &[]) {
             sends.push(now);
         }
     }
@@ -173,26 +173,41 @@
     let mut sent_within = |from: f64| {
         let steps = (0..1000).map(|step| from + f64::from(step));
         steps
-            .filter(|now| matches!(balancer.place(*now, &letter, &[]), Placed::Send(_)))
+            .filter(|now| {
+                matches!(
+                    balancer.choose_upstream(*now, &letter, &[]),
+                    Placement::Send(_)
+                )
+            })
             .count()
     };
     assert_eq!(sent_within(20_000.0), 4, "a twelfth of the bound");
     assert!(sent_within(29_000.0) <= 1, "as if there were a hundred");
-    balancer.fold(40_000.0, ToProxy::Beat { attached: false });
+    balancer.apply(40_000.0, ToProxy::Beat { attached: false });
     let mut sent_within = |from: f64| {
         let steps = (0..1000).map(|step| from + f64::from(step));
         steps
-            .filter(|now| matches!(balancer.place(*now, &letter, &[]), Placed::Send(_)))
+            .filter(|now| {
+                matches!(
+                    balancer.choose_upstream(*now, &letter, &[]),
+                    Placement::Send(_)
+                )
+            })
             .count()
     };
     assert!(
         sent_within(41_000.0) <= 1,
         "a control node that hears no majority does not know either"
     );
-    balancer.fold(50_000.0, ToProxy::Beat { attached: true });
+    balancer.apply(50_000.0, ToProxy::Beat { attached: true });
     let steps = (0..1000).map(|step| 51_000.0 + f64::from(step));
     let sent = steps
-        .filter(|now| matches!(balancer.place(*now, &letter, &[]), Placed::Send(_)))
+        .filter(|now| {
+            matches!(
+                balancer.choose_upstream(*now, &letter, &[]),
+                Placement::Send(_)
+            )
+        })
         .count();
     assert_eq!(sent, 4, "control counts it again");
 }
@@ -209,9 +224,9 @@
         // Their own parts differ, the shared one counts.
         let letter = request(&first, "/letters/1", &[("Prompt-Prefix", &prefix)]);
         let name = |balancer: &mut sandtrack_proxy::placement::balancer::Balancer| match balancer
-            .place(1.0, &letter, &[])
+            .choose_upstream(1.0, &letter, &[])
         {
-            Placed::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
+            Placement::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
             other => panic!("{other:?}"),
         };
         let home = name(&mut first);
@@ -228,7 +243,7 @@
         &[("Token-Counts", "900,20"), ("Prompt-Prefix", "a:900")],
     );
     for balancer in [&mut first, &mut second] {
-        (0..20_000).for_each(|_| balancer.came(1.0, &tag));
+        (0..20_000).for_each(|_| balancer.request_arrived(1.0, &tag));
     }
     keepers.clear();
     for key in 1..=700 {
@@ -237,11 +252,12 @@
             "/letters/1",
             &[("Prompt-Prefix", &format!("{key:x}:13300,ff:3720"))],
         );
-        let homes =
-            [&mut first, &mut second].map(|balancer| match balancer.place(1.0, &letter, &[]) {
-                Placed::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
+        let homes = [&mut first, &mut second].map(|balancer| {
+            match balancer.choose_upstream(1.0, &letter, &[]) {
+                Placement::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
                 other => panic!("{other:?}"),
-            });
+            }
+        });
         assert_eq!(homes[0], homes[1]);
         *keepers.entry(homes[0].clone()).or_default() += 1;
     }
@@ -278,7 +294,7 @@
 fn nothing_goes_back_to_an_older_number() {
     let mut balancer = balancer(fleet());
     let older = common::CONFIGURATION.replace("\"version_number\":7", "\"version_number\":6");
-    balancer.fold(
+    balancer.apply(
         1.0,
         ToProxy::Configuration {
             number: 2,
@@ -298,8 +314,8 @@
         fields: Vec::new(),
     };
     assert_eq!(
-        balancer.fold(1.0, changes),
-        sandtrack_proxy::placement::balancer::Folded::WantConfiguration
+        balancer.apply(1.0, changes),
+        sandtrack_proxy::placement::balancer::ApplyOutcome::NeedsFullConfiguration
     );
     let changes = ToProxy::Changes {
         from_number: 3,
@@ -309,8 +325,8 @@
         fields: Vec::new(),
     };
     assert_eq!(
-        balancer.fold(1.0, changes),
-        sandtrack_proxy::placement::balancer::Folded::Taken
+        balancer.apply(1.0, changes),
+        sandtrack_proxy::placement::balancer::ApplyOutcome::Applied
     );
     assert_eq!(
         balancer.configuration.as_ref().map(|all| all.version),
@@ -322,7 +338,7 @@
 fn until_the_proxies_are_counted_connections_suffice_to_serve_and_cold_ones_are_spared() {
     let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&common::settings(), 1);
     let document = common::CONFIGURATION.to_owned();
-    balancer.fold(
+    balancer.apply(
         0.0,
         ToProxy::Configuration {
             number: 3,
@@ -331,7 +347,7 @@
         },
     );
     let entries = vec![entry("a0", "model", "a"), entry("p0", "printer", "a")];
-    balancer.fold(
+    balancer.apply(
         0.0,
         ToProxy::Upstreams {
             whole: true,
@@ -341,12 +357,12 @@
         },
     );
     let place = |balancer: &sandtrack_proxy::placement::balancer::Balancer, name| {
-        balancer.upstreams.place(name).expect("it is listed")
+        balancer.upstreams.index_of(name).expect("it is listed")
     };
-    assert_eq!(balancer.connection_share(place(&balancer, "a0")), 21);
-    assert_eq!(balancer.connection_share(place(&balancer, "p0")), 7);
-    assert!(balancer.cold_share(0.0, place(&balancer, "a0")) <= 1);
-    balancer.fold(
+    assert_eq!(balancer.connection_quota(place(&balancer, "a0")), 21);
+    assert_eq!(balancer.connection_quota(place(&balancer, "p0")), 7);
+    assert!(balancer.slow_start_quota(0.0, place(&balancer, "a0")) <= 1);
+    balancer.apply(
         0.0,
         ToProxy::Census {
             control_nodes: Vec::new(),
@@ -354,7 +370,7 @@
             rank: 0,
         },
     );
-    assert_eq!(balancer.connection_share(place(&balancer, "a0")), 9);
+    assert_eq!(balancer.connection_quota(place(&balancer, "a0")), 9);
 }
 
 #[test]
@@ -369,7 +385,7 @@
             .expect("good settings");
         let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&settings, proxy);
         let document = common::CONFIGURATION.to_owned();
-        balancer.fold(
+        balancer.apply(
             0.0,
             ToProxy::Configuration {
                 number: 3,
@@ -377,7 +393,7 @@
                 document,
             },
         );
-        balancer.fold(
+        balancer.apply(
             0.0,
             ToProxy::Upstreams {
                 whole: true,
@@ -386,7 +402,7 @@
                 gone: Vec::new(),
             },
         );
-        let circle = balancer.policy.circle_near;
+        let circle = balancer.policy.local_subset_size;
         assert_eq!(balancer.probes_due(0.0).len(), circle);
         let drawn = draws(&mut balancer, "/letters/1", 100);
         assert!(drawn.len() <= circle, "{drawn:?}");
@@ -413,10 +429,10 @@
         .into_keys()
         .collect();
     let lost = before.first().cloned().expect("some are used");
-    let place = balancer.upstreams.place(&lost).expect("it is listed");
+    let place = balancer.upstreams.index_of(&lost).expect("it is listed");
     for _ in 0..2 {
-        balancer.sent(place);
-        balancer.ended(10.0, place, Ended::Broken);
+        balancer.send_started(place);
+        balancer.send_finished(10.0, place, SendOutcome::ConnectionFailed);
     }
     let after: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
         .into_keys()
@@ -427,7 +443,7 @@
         .probes_due(500.0)
         .iter()
         .any(|(probed, _, _)| *probed == place));
-    balancer.probed(501.0, place, Some(1.0));
+    balancer.probe_finished(501.0, place, Some(1.0));
     let again: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
         .into_keys()
         .collect();
@@ -444,12 +460,15 @@
     let letter = request(&balancer, "/letters/1", &[]);
     // Twenty upstreams of four slots, half as many again queue.
     for at in 0..120 {
-        let Placed::Send(place) = balancer.place(1000.0, &letter, &[]) else {
+        let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
             panic!("no room after {at}")
         };
-        balancer.sent(place);
+        balancer.send_started(place);
     }
-    assert_eq!(balancer.place(1000.0, &letter, &[]), Placed::Wait);
+    assert_eq!(
+        balancer.choose_upstream(1000.0, &letter, &[]),
+        Placement::Wait
+    );
 }
 
 #[test]
@@ -462,8 +481,8 @@
             .count()
     };
     assert_eq!(far(&mut balancer, 0.0), 1, "one measures the way");
-    let south = balancer.upstreams.place("c0").expect("it is listed");
-    balancer.probed(50.0, south, Some(110.0));
+    let south = balancer.upstreams.index_of("c0").expect("it is listed");
+    balancer.probe_finished(50.0, south, Some(110.0));
     balancer
         .upstreams
         .all_mut()
@@ -472,18 +491,18 @@
     assert_eq!(far(&mut balancer, 60.0), 0, "nothing goes there");
     let near = places_in_north(&balancer);
     near.iter()
-        .for_each(|place| (0..4).for_each(|_| balancer.sent(*place)));
+        .for_each(|place| (0..4).for_each(|_| balancer.send_started(*place)));
     let letter = request(&balancer, "/letters/1", &[]);
-    let Placed::Send(place) = balancer.place(1000.0, &letter, &[]) else {
+    let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
         panic!("the far region has room")
     };
     assert_eq!(balancer.upstreams.get(place).region, "south");
     assert_eq!(
         far(&mut balancer, 1001.0),
-        balancer.policy.circle_far - 1,
+        balancer.policy.remote_subset_size - 1,
         "all but the one that was just probed"
     );
-    let over = 1000.0 + balancer.policy.far_used_ms;
+    let over = 1000.0 + balancer.policy.remote_probe_window_ms;
     balancer
         .upstreams
         .all_mut()
@@ -507,14 +526,14 @@
     let keeper_regions = |trip: Option<f64>| {
         let mut balancer = balancer(fleet());
         if let Some(trip) = trip {
-            let south = balancer.upstreams.place("c0").expect("it is listed");
-            balancer.note_trip(1.0, south, trip);
+            let south = balancer.upstreams.index_of("c0").expect("it is listed");
+            balancer.record_round_trip(1.0, south, trip);
         }
         let mut regions = BTreeSet::new();
         for key in 1..=200 {
             let prefix = format!("{key:x}:13300,ff:3720");
             let letter = request(&balancer, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-            if let Placed::Send(place) = balancer.place(1.0, &letter, &[]) {
+            if let Placement::Send(place) = balancer.choose_upstream(1.0, &letter, &[]) {
                 regions.insert(balancer.upstreams.get(place).region.clone());
             }
         }
--- a/crates/sandtrack-proxy/tests/policy.rs
+++ b/crates/sandtrack-proxy/tests/policy.rs
@@ -7,8 +7,8 @@
     assert_eq!(
         policy,
         Policy {
-            circle_far: 3,
-            races: false,
+            remote_subset_size: 3,
+            hedging: false,
             ..Policy::default()
         }
     );
@@ -47,10 +47,12 @@
 #[test]
 fn the_pause_between_failing_probes_doubles_up_to_its_bound() {
     let policy = Policy {
-        suspect_every_ms: 300.0,
-        suspect_most_ms: 1000.0,
+        suspect_probe_interval_ms: 300.0,
+        max_suspect_probe_interval_ms: 1000.0,
         ..Policy::default()
     };
-    let gaps: Vec<f64> = (0..6).map(|failed| policy.suspect_gap(failed)).collect();
+    let gaps: Vec<f64> = (0..6)
+        .map(|failed| policy.suspect_probe_interval(failed))
+        .collect();
     assert_eq!(gaps, [300.0, 300.0, 300.0, 600.0, 1000.0, 1000.0]);
 }
--- a/crates/sandtrack-proxy/tests/prompt_mix.rs
+++ b/crates/sandtrack-proxy/tests/prefill_demand.rs
@@ -1,14 +1,14 @@
 //! Weights of regions as keepers of long prompts, by what there is to read.
-use sandtrack_proxy::placement::prompt_mix::{Prior, PromptMix};
+use sandtrack_proxy::placement::prefill_demand::{PrefillDemand, WeightPrior};
 use std::collections::BTreeMap;
 
 /// Nothing but what was seen counts.
-const NO_PRIOR: Prior = Prior {
+const NO_PRIOR: WeightPrior = WeightPrior {
     weight: 0.7,
     requests: 0.0,
     least: 0.0,
 };
-const PRIOR: Prior = Prior {
+const PRIOR: WeightPrior = WeightPrior {
     weight: 0.7,
     requests: 100.0,
     least: 0.35,
@@ -19,8 +19,8 @@
 }
 
 /// So many long prompts of these tokens, and as many requests bound to regions.
-fn seen(count: usize, long: f64, bound: &[(&[&str], f64)]) -> PromptMix {
-    let mut mix = PromptMix::default();
+fn seen(count: usize, long: f64, bound: &[(&[&str], f64)]) -> PrefillDemand {
+    let mut mix = PrefillDemand::default();
     for _ in 0..count {
         mix.long_prompt(0.0, long);
         bound
@@ -31,9 +31,9 @@
 }
 
 fn weights(
-    mix: &PromptMix,
+    mix: &PrefillDemand,
     upstreams: &[(&'static str, usize)],
-    prior: Prior,
+    prior: WeightPrior,
 ) -> BTreeMap<&'static str, f64> {
     mix.weights(0.0, &upstreams.iter().copied().collect(), prior)
 }
@@ -73,7 +73,7 @@
 fn little_evidence_leaves_the_usual_weight() {
     let upstreams = [("north", 10), ("south", 10)];
     assert_eq!(
-        weights(&PromptMix::default(), &upstreams, PRIOR)["north"],
+        weights(&PrefillDemand::default(), &upstreams, PRIOR)["north"],
         0.7
     );
     let after = |count: usize| {
--- a/crates/sandtrack-proxy/tests/prefill.rs
+++ b/crates/sandtrack-proxy/tests/prefill_queue.rs
@@ -3,8 +3,10 @@
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::{PromptSent, ToProxy, UpstreamEntry};
 use sandtrack_proxy::placement::balancer::Balancer;
-use sandtrack_proxy::placement::choice::Placed;
-use sandtrack_proxy::placement::prefill::{prefix_key, upstream_key, Estimate, Prefill};
+use sandtrack_proxy::placement::prefill_queue::{
+    prefix_key, upstream_key, PrefillEstimate, PrefillQueues,
+};
+use sandtrack_proxy::placement::selection::Placement;
 use sandtrack_proxy::policy::Policy;
 use sandtrack_proxy::request::ProxyRequest;
 
@@ -34,8 +36,8 @@
 }
 
 fn placed(balancer: &mut Balancer, now: f64, request: &ProxyRequest) -> usize {
-    match balancer.place(now, request, &[]) {
-        Placed::Send(place) => place,
+    match balancer.choose_upstream(now, request, &[]) {
+        Placement::Send(place) => place,
         other => panic!("{other:?}"),
     }
 }
@@ -48,7 +50,7 @@
         prefix: prefix_key(request),
         tokens,
     };
-    balancer.fold(now, ToProxy::PromptsSent(vec![sent]));
+    balancer.apply(now, ToProxy::PromptsSent(vec![sent]));
 }
 
 #[test]
@@ -94,9 +96,9 @@
         .find(|light| placed(&mut balancer, 1.0, light) == keeper);
     let light = light.expect("one of hundreds");
     // Many short requests there do not move it; one long prompt under way does.
-    (0..3).for_each(|_| balancer.sent(keeper));
+    (0..3).for_each(|_| balancer.send_started(keeper));
     assert_eq!(placed(&mut balancer, 1.0, &light), keeper);
-    balancer.prompt_sent(1.0, &heavy, keeper);
+    balancer.long_prompt_sent(1.0, &heavy, keeper);
     assert_ne!(
         placed(&mut balancer, 2.0, &light),
         keeper,
@@ -125,9 +127,9 @@
 fn another_region_is_chosen_while_the_way_there_leaves_time_to_read() {
     let regions = |trip: f64| {
         let mut balancer = known();
-        let south = balancer.upstreams.place("c0").expect("it is listed");
+        let south = balancer.upstreams.index_of("c0").expect("it is listed");
         for _ in 0..40 {
-            balancer.note_trip(1.0, south, trip);
+            balancer.record_round_trip(1.0, south, trip);
         }
         let letters: Vec<ProxyRequest> = (1..100)
             .map(|prefix| letter(&balancer, prefix, 13_000))
@@ -143,8 +145,9 @@
             .count()
     };
     let policy = Policy::default();
-    let reading = 14_000.0 / policy.prefill_rate;
-    let fits = (1000.0 * policy.in_time - reading) / policy.trips;
+    let reading = 14_000.0 / policy.default_prefill_rate;
+    let fits =
+        (1000.0 * policy.first_token_target_ratio - reading) / policy.first_token_round_trips;
     assert!(regions(fits * 0.9) > 30, "it fits");
     assert_eq!(
         regions(fits * 1.2),
@@ -156,10 +159,10 @@
 #[test]
 fn the_rate_is_learned_from_answers() {
     let policy = Policy::default();
-    let mut prefill = Prefill::default();
+    let mut prefill = PrefillQueues::default();
     for _ in 0..8 {
         let rate = prefill.rate("model", &policy);
-        let estimate = Estimate {
+        let estimate = PrefillEstimate {
             kept: false,
             tokens: 14_000.0,
             ahead: 0.0,
@@ -171,7 +174,7 @@
     assert!((rate - 80.0).abs() < 8.0, "{rate}");
     assert_eq!(
         prefill.rate("printer", &policy),
-        policy.prefill_rate,
+        policy.default_prefill_rate,
         "another service's is its own"
     );
 }
@@ -184,10 +187,10 @@
         .collect();
     for letter in &letters {
         let place = placed(&mut balancer, 1.0, letter);
-        balancer.prompt_sent(1.0, letter, place);
+        balancer.long_prompt_sent(1.0, letter, place);
     }
-    let told = balancer.take_prompts_sent();
+    let told = balancer.take_prompt_reports();
     assert!(!told.is_empty() && told.len() <= 16, "{}", told.len());
     assert!(told.iter().all(|sent| sent.tokens >= 11_084), "the largest");
-    assert!(balancer.take_prompts_sent().is_empty());
+    assert!(balancer.take_prompt_reports().is_empty());
 }
--- a/crates/sandtrack-proxy/tests/distances.rs
+++ b/crates/sandtrack-proxy/tests/region_round_trips.rs
@@ -2,9 +2,9 @@
 mod common;
 use common::{balancer, entry, request};
 use sandtrack_protocol::frames::UpstreamEntry;
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
-use sandtrack_proxy::placement::choice::Placed;
-use sandtrack_proxy::placement::region_trips::RegionTrips;
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
+use sandtrack_proxy::placement::region_round_trips::RegionRoundTrips;
+use sandtrack_proxy::placement::selection::Placement;
 use sandtrack_proxy::policy::Policy;
 use sandtrack_proxy::session_policy::connect_timeout;
 
@@ -24,7 +24,7 @@
 fn probes_measure_a_way_of_any_length_within_few_tries() {
     let policy = Policy::default();
     for way in WAYS {
-        let mut trips = RegionTrips::default();
+        let mut trips = RegionRoundTrips::default();
         // A connection and an answer on it.
         let takes = 4.0 * way;
         let mut tries = 0;
@@ -57,7 +57,7 @@
 fn requests_alone_reach_a_region_whose_way_fits_their_aim() {
     let policy = Policy::default();
     for way in WAYS.into_iter().filter(|way| 2.0 * way <= AIM) {
-        let mut trips = RegionTrips::default();
+        let mut trips = RegionRoundTrips::default();
         let mut tries = 0;
         while trips.get("south").is_none() && tries < 16 {
             tries += 1;
@@ -76,17 +76,17 @@
     let mut now = 0.0;
     for _ in 0..20 {
         now += 200.0;
-        let Placed::Send(place) = balancer.place(now, &request, &[]) else {
+        let Placement::Send(place) = balancer.choose_upstream(now, &request, &[]) else {
             continue;
         };
-        balancer.sent(place);
+        balancer.send_started(place);
         if 2.0 * way <= balancer.connect_timeout(&request, place) {
-            balancer.note_trip(now, place, 2.0 * way);
-            balancer.ended(now, place, Ended::Answered);
+            balancer.record_round_trip(now, place, 2.0 * way);
+            balancer.send_finished(now, place, SendOutcome::Completed);
             return true;
         }
         balancer.connect_timed_out(now, place);
-        balancer.ended(now, place, Ended::Broken);
+        balancer.send_finished(now, place, SendOutcome::ConnectionFailed);
     }
     false
 }
@@ -108,8 +108,8 @@
 #[test]
 fn the_loss_of_a_region_that_is_known_is_told_as_soon_as_before() {
     let mut balancer = balancer(far_fleet());
-    let place = balancer.upstreams.place("c0").expect("it is listed");
-    balancer.note_trip(0.0, place, 70.0);
+    let place = balancer.upstreams.index_of("c0").expect("it is listed");
+    balancer.record_round_trip(0.0, place, 70.0);
     let request = request(&balancer, "/letters/1", &[]);
     for at in 0..5 {
         let now = 100.0 + f64::from(at);
@@ -117,9 +117,9 @@
             balancer.connect_timeout(&request, place) <= 150.0 + 2.0 * 70.0,
             "however many failed"
         );
-        balancer.sent(place);
+        balancer.send_started(place);
         balancer.connect_timed_out(now, place);
-        balancer.ended(now, place, Ended::Broken);
+        balancer.send_finished(now, place, SendOutcome::ConnectionFailed);
     }
     assert!(
         !balancer.upstreams.get(place).run.is_healthy(),
@@ -130,7 +130,7 @@
 #[test]
 fn a_way_that_became_longer_is_measured_anew() {
     let policy = Policy::default();
-    let mut trips = RegionTrips::default();
+    let mut trips = RegionRoundTrips::default();
     trips.sample(0.0, "south", 4.0, &policy);
     // Now a way and back takes 600 ms, a probe on a new connection 1,200.
     let mut now = 100.0;
@@ -146,13 +146,15 @@
 #[test]
 fn an_answer_is_not_overdue_before_the_way_there_and_back() {
     let mut balancer = balancer(far_fleet());
-    let place = balancer.upstreams.place("c0").expect("it is listed");
+    let place = balancer.upstreams.index_of("c0").expect("it is listed");
     let request = request(&balancer, "/letters/1", &[]);
     for way in WAYS {
-        balancer.note_trip(0.0, place, 2.0 * way);
-        let trip = balancer.region_trip("south").expect("it was measured");
+        balancer.record_round_trip(0.0, place, 2.0 * way);
+        let trip = balancer
+            .region_round_trip("south")
+            .expect("it was measured");
         assert!(
-            balancer.patience(&request, place) >= 2.0 * trip,
+            balancer.hedge_delay(&request, place) >= 2.0 * trip,
             "{way} ms one way"
         );
     }
--- a/crates/sandtrack-proxy/tests/request.rs
+++ b/crates/sandtrack-proxy/tests/request.rs
@@ -1,7 +1,7 @@
 //! A request is decoded into a command object.
 mod common;
 use common::{balancer, head, request};
-use sandtrack_proxy::request::{ProxyRequest, Refused};
+use sandtrack_proxy::request::ProxyRequest;
 
 #[test]
 fn the_longest_prefix_of_the_host_picks_the_route_and_none_is_404() {
@@ -12,7 +12,7 @@
     for target in ["/slips", "/other/1", "/"] {
         let refused = ProxyRequest::decode(&configuration, head(target, &[]), Vec::new(), 0.0, 0.0);
         assert_eq!(
-            refused.err().map(|Refused(status, _)| status),
+            refused.err().map(|rejection| rejection.status),
             Some(404),
             "{target}"
         );
@@ -37,15 +37,15 @@
 fn its_time_is_what_the_client_waits_and_not_over_the_routes() {
     let balancer = balancer(Vec::new());
     assert_eq!(
-        request(&balancer, "/tags/1", &[("Deadline-Remaining", "2500")]).left(500.0),
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "2500")]).time_left(500.0),
         2000.0
     );
     assert_eq!(
-        request(&balancer, "/tags/1", &[("Deadline-Remaining", "60000")]).left(0.0),
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "60000")]).time_left(0.0),
         4000.0
     );
     assert_eq!(
-        request(&balancer, "/tags/1", &[("Deadline-Remaining", "soon")]).left(0.0),
+        request(&balancer, "/tags/1", &[("Deadline-Remaining", "soon")]).time_left(0.0),
         4000.0
     );
 }
--- a/crates/sandtrack-proxy/tests/zone_outlook.rs
+++ b/crates/sandtrack-proxy/tests/zone_health.rs
@@ -1,9 +1,9 @@
 //! Zones that look lost as a whole.
 mod common;
 use common::{balancer, entry, probe_all, request};
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
-use sandtrack_proxy::placement::choice::Placed;
-use sandtrack_proxy::placement::zone_outlook::ZoneOutlook;
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
+use sandtrack_proxy::placement::selection::Placement;
+use sandtrack_proxy::placement::zone_health::ZoneFailureDetector;
 use std::collections::BTreeSet;
 
 /// Three upstreams in each of two zones of the own region, all probed.
@@ -21,14 +21,17 @@
 }
 
 fn place_of(balancer: &Balancer, identifier: &str) -> usize {
-    balancer.upstreams.place(identifier).expect("it is listed")
+    balancer
+        .upstreams
+        .index_of(identifier)
+        .expect("it is listed")
 }
 
 /// A send to this upstream comes to nothing.
 fn break_one(balancer: &mut Balancer, now: f64, identifier: &str) {
     let place = place_of(balancer, identifier);
-    balancer.sent(place);
-    balancer.ended(now, place, Ended::Broken);
+    balancer.send_started(place);
+    balancer.send_finished(now, place, SendOutcome::ConnectionFailed);
 }
 
 /// Zones to which 200 requests go at this time.
@@ -36,7 +39,7 @@
     let request = request(balancer, "/letters/1", &[]);
     let mut zones = BTreeSet::new();
     for _ in 0..200 {
-        if let Placed::Send(place) = balancer.place(now, &request, &[]) {
+        if let Placement::Send(place) = balancer.choose_upstream(now, &request, &[]) {
             zones.insert(balancer.upstreams.get(place).entry.zone.clone());
         }
     }
@@ -45,7 +48,7 @@
 
 #[test]
 fn a_zone_is_silent_once_two_of_it_failed_and_none_was_heard_since() {
-    let mut outlook = ZoneOutlook::default();
+    let mut outlook = ZoneFailureDetector::default();
     assert!(!outlook.failed(0.0, "a", "a1"));
     assert!(!outlook.failed(0.0, "a", "a1"), "the same one twice is one");
     assert!(
@@ -76,7 +79,7 @@
         ["a"]
     );
     let heard = place_of(&balancer, "b2");
-    balancer.heard(1600.0, heard);
+    balancer.upstream_seen(1600.0, heard);
     assert_eq!(zones_drawn(&mut balancer, 1700.0).len(), 2);
 }
 
@@ -106,7 +109,7 @@
 
 #[test]
 fn a_failure_counts_until_its_upstream_would_have_been_asked_again() {
-    let mut outlook = ZoneOutlook::default();
+    let mut outlook = ZoneFailureDetector::default();
     outlook.failed(0.0, "a", "a1");
     assert!(
         !outlook.failed(5001.0, "a", "a2"),
@@ -124,7 +127,7 @@
     break_one(&mut balancer, 1000.0, "b1");
     assert_eq!(zones_drawn(&mut balancer, 1200.0).len(), 1);
     for identifier in ["b0", "b1"] {
-        balancer.upstreams.gone(identifier);
+        balancer.upstreams.remove(identifier);
     }
     assert_eq!(zones_drawn(&mut balancer, 6001.0).len(), 2);
 }
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -5,7 +5,7 @@
     self, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
 };
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::placement::balancer::{Balancer, Folded};
+use sandtrack_proxy::placement::balancer::{ApplyOutcome, Balancer};
 use sandtrack_proxy::session_policy::{candidates, judge_welcome, Accepted, Standing};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -256,7 +256,7 @@
             if let ToProxy::Beat { attached } = &frame {
                 session.standing.beat(now, *attached);
             }
-            if self.balancer.fold(now, frame) == Folded::WantConfiguration {
+            if self.balancer.apply(now, frame) == ApplyOutcome::NeedsFullConfiguration {
                 wishes.push(Wish::Send {
                     number,
                     bytes: bytes(&ToControl::WantConfiguration),
--- a/crates/sandtrack-simulation/src/world/proxies.rs
+++ b/crates/sandtrack-simulation/src/world/proxies.rs
@@ -108,7 +108,7 @@
     pub(super) fn proxies_evacuated(&mut self, zone: &str, begun: bool) {
         for machine in self.proxies_in_touch() {
             let proxy = self.machines[machine].proxy.as_ref();
-            let has = proxy.is_some_and(|proxy| proxy.balancer.evacuated.contains(zone));
+            let has = proxy.is_some_and(|proxy| proxy.balancer.evacuated_zones.contains(zone));
             self.checks
                 .proxy_in_touch_evacuates(&format!("proxy {machine}"), zone, has, begun);
         }
--- a/crates/sandtrack-tiers/src/lib.rs
+++ b/crates/sandtrack-tiers/src/lib.rs
@@ -1,6 +1,6 @@
 //! The ordinary path of "extractedprism", pure: no I/O, no clock. Both data planes call it; it exists once.
 //!
-//! - `probe.rs`: [`Smoothed`] probe times, health by [`FailureRun`], when to probe: [`next_probe`]
+//! - `probe.rs`: [`Smoothed`] probe times, health by [`ConsecutiveFailures`], when to probe: [`next_probe`]
 //! - `tiers.rs`: [`Tiers::regroup`], which upstreams are about as near as the best of them
 //! - `pick.rs`: [`pick`], the upstream that a send goes to; its parts [`ladder`], [`lowest`], [`crowd_limit`]
 //!
--- a/crates/sandtrack-tiers/src/probe.rs
+++ b/crates/sandtrack-tiers/src/probe.rs
@@ -11,7 +11,7 @@
 /// Failures in a row that make an upstream unhealthy, a count (design).
 pub const FAILURES: u32 = 2;
 /// Longest gap between two probes of an upstream, jitter included, ms (design).
-pub const GAP_MOST: Millis = 5000.0;
+pub const MAX_PROBE_INTERVAL_MS: Millis = 5000.0;
 /// Share of each gap that is drawn at random, a fraction: balancers must not probe in step (ours).
 pub const JITTER: f64 = 0.25;
 
@@ -39,9 +39,9 @@
 
 /// Failures in a row of one upstream: failed probes and connects (design), send resets and time-outs (ours).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FailureRun(u32);
+pub struct ConsecutiveFailures(u32);
 
-impl FailureRun {
+impl ConsecutiveFailures {
     pub fn is_healthy(self) -> bool {
         self.0 < FAILURES
     }
@@ -73,12 +73,14 @@
 }
 
 /// When an upstream is probed, ms: at once if it never was, else `interval` ms or a little less after `last`,
-/// never over [`GAP_MOST`]. Takes one draw, none for the first.
+/// never over [`MAX_PROBE_INTERVAL_MS`]. Takes one draw, none for the first.
 pub fn next_probe(
     rng: &mut impl Rng,
     now: Millis,
     last: Option<Millis>,
     interval: Millis,
 ) -> Millis {
-    last.map_or(now, |last| last + interval.min(GAP_MOST) / jitter(rng))
+    last.map_or(now, |last| {
+        last + interval.min(MAX_PROBE_INTERVAL_MS) / jitter(rng)
+    })
 }
--- a/crates/sandtrack-tiers/tests/probe.rs
+++ b/crates/sandtrack-tiers/tests/probe.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn two_failures_in_a_row_make_unhealthy_and_one_success_restores() {
-    let mut run = FailureRun::default();
+    let mut run = ConsecutiveFailures::default();
     assert!(run.is_healthy() && run.is_empty());
     assert!(!run.failed());
     assert!(run.is_healthy() && !run.is_empty());
@@ -53,7 +53,7 @@
 
 #[test]
 fn one_short_of_unhealthy_is_healthy_until_the_next_failure() {
-    let mut run = FailureRun::default();
+    let mut run = ConsecutiveFailures::default();
     run.one_short();
     assert!(run.is_healthy() && !run.is_empty());
     assert!(run.failed() && !run.is_healthy());
