--- a/crates/sandtrack-balancer/src/rules.rs
+++ b/crates/sandtrack-balancer/src/rules.rs
@@ -15,7 +15,7 @@
 use crate::state::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use sandtrack_tiers::{crowd_limit, jitter, ladder, lowest, next_probe};
+use sandtrack_tiers::{group_by_tier, jitter, next_probe_at, overload_limit, pick_in_lowest};
 
 // Shortest gap between probes: a fresher figure would say no more than the corrections made for own sends.
 const PROBE_MIN: Millis = 20.0;
--- a/crates/sandtrack-balancer/src/rules/pick.rs
+++ b/crates/sandtrack-balancer/src/rules/pick.rs
@@ -129,16 +129,16 @@
             self.predict(*place, usize::from(told), peers, now)
         };
         let predicted: Vec<Millis> = usable.iter().map(predict).collect();
-        let tiers = ladder(0..usable.len(), |n| self.rank(usable[n]));
+        let tiers = group_by_tier(0..usable.len(), |n| self.rank(usable[n]));
         let own = |n: usize| self.fleet[usable[n]].out.len();
-        let crowd = crowd_limit((0..usable.len()).map(own));
+        let crowd = overload_limit((0..usable.len()).map(own));
         let class = request.arrival.class;
         let aim = self.settings.classes[class.0].aim / self.class_share(class);
         let most = self.room(now, request);
         // A tier in which every upstream is full has none to offer: the next is asked, and when all are
         // full, the lowest from which an answer would still be in time.
         let in_room = |room: f64| {
-            lowest(&mut self.rng, &tiers, |members| {
+            pick_in_lowest(&mut self.rng, &tiers, |members| {
                 let mean =
                     members.iter().map(|n| predicted[*n]).sum::<f64>() / members.len() as f64;
                 let limit = (aim * room).min(most).min(mean * SKIP);
--- a/crates/sandtrack-balancer/src/rules/probing.rs
+++ b/crates/sandtrack-balancer/src/rules/probing.rs
@@ -88,7 +88,7 @@
         let upstream = &mut self.fleet[place];
         if upstream.is_probed() && !std::mem::replace(&mut upstream.timed, true) {
             self.timers.set(
-                next_probe(&mut self.rng, now, None, 0.0),
+                next_probe_at(&mut self.rng, now, None, 0.0),
                 Timer::Probe(place),
             );
         }
@@ -103,7 +103,7 @@
         upstream.probe(now, actions);
         let gap = self.probe_gap(now);
         self.timers.set(
-            next_probe(&mut self.rng, now, Some(now), gap),
+            next_probe_at(&mut self.rng, now, Some(now), gap),
             Timer::Probe(place),
         );
     }
@@ -144,7 +144,7 @@
             self.choose_part(now);
         } else if !upstream.healthy() && !self.settings.limits.probes {
             // No probe will tell that it is back: it rests, then one more send is its trial.
-            upstream.failures.one_short();
+            upstream.failures.put_on_trial();
             upstream.learnt.rest_until = now + MEMORY;
         } else if lost {
             self.choose_part(now);
--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use rand::Rng;
 use rand_pcg::Pcg32;
-use sandtrack_tiers::{ConsecutiveFailures, Member, Membership, Smoothed, Tiers};
+use sandtrack_tiers::{ConsecutiveFailures, Member, SmoothedLatency, TierMembership, Tiers};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 
@@ -141,8 +141,8 @@
     pub probed: bool,
     pub timed: bool,
     /// Smoothed probe time and the group of upstreams (tier) it belongs to.
-    pub average: Smoothed,
-    pub membership: Membership,
+    pub average: SmoothedLatency,
+    pub membership: TierMembership,
     pub failures: ConsecutiveFailures,
     /// The list has it as gone, or not at all, and it may still serve.
     pub doubted: bool,
@@ -367,8 +367,8 @@
             used: false,
             probed: true,
             timed: false,
-            average: Smoothed::default(),
-            membership: Membership::default(),
+            average: SmoothedLatency::default(),
+            membership: TierMembership::default(),
             failures: ConsecutiveFailures::default(),
             doubted: false,
             probe_sent: None,
@@ -499,11 +499,11 @@
 
 impl Member for Upstream {
     /// What the list has no more takes no part.
-    fn average(&self) -> Option<Millis> {
+    fn latency(&self) -> Option<Millis> {
         self.average.get().filter(|_| self.listed)
     }
 
-    fn membership(&mut self) -> &mut Membership {
+    fn tier_membership(&mut self) -> &mut TierMembership {
         &mut self.membership
     }
 }
--- a/crates/sandtrack-proxy/src/carry.rs
+++ b/crates/sandtrack-proxy/src/carry.rs
@@ -383,7 +383,7 @@
             .borrow()
             .upstreams
             .get(place)
-            .run
+            .failures
             .is_healthy();
         if now < watch.silent_at && healthy {
             watch.look.set_at(
@@ -438,7 +438,7 @@
                 .borrow()
                 .upstreams
                 .get(watched.place)
-                .run
+                .failures
                 .is_healthy();
             (
                 silent_at,
@@ -477,7 +477,7 @@
         .borrow()
         .upstreams
         .get(place)
-        .average
+        .probe_time
         .get()
         .unwrap_or(0.0);
     aim * shared.policy.stall_ratio + 2.0 * average
--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/figures.rs
@@ -83,8 +83,8 @@
         let seen = services.entry(&upstream.entry.service).or_default();
         seen.listed += 1;
         seen.draining += u64::from(upstream.entry.draining);
-        seen.unhealthy += u64::from(!upstream.run.is_healthy());
-        seen.own += upstream.own;
+        seen.unhealthy += u64::from(!upstream.failures.is_healthy());
+        seen.own += upstream.in_flight;
     }
     const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
     text.family(UPSTREAMS, Kind::Gauge, "Upstreams by service and state");
--- a/crates/sandtrack-proxy/src/placement.rs
+++ b/crates/sandtrack-proxy/src/placement.rs
@@ -1,7 +1,7 @@
-//! Which upstream a request is sent to, and everything that this choice rests on. Pure: time comes in as a parameter, and
-//! nothing is read from or written to a socket.
+//! Load balancing: which upstream a request goes to, and everything that this decision rests on. Nothing here performs I/O or
+//! reads a clock: the caller passes the time, so that tests and simulations run the same code.
 //!
-//! [`balancer`] holds what the proxy knows, [`selection`] picks an upstream from it.
+//! [`balancer`] holds the state, [`selection`] chooses an upstream by it; the other modules each keep one part of the state.
 pub mod balancer;
 pub mod budget;
 pub mod first_byte_latency;
--- a/crates/sandtrack-proxy/src/placement/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -1,126 +1,112 @@
-//! The balancer: what a proxy knows, folded from what the control plane, its probes and its sends tell. Decisions on it are
-//! in `placement`. Pure: time comes in, nothing is read or written here.
-mod probes;
-
-use crate::hashing::{hash_name, mix64};
-use crate::placement::budget::{share, RetryBudget};
+//! The balancer: everything that this proxy knows for its decisions on requests, kept up to date from three sources, each in
+//! a module of its own: frames of the control plane (`control_updates`), health checks (`health_checks`), and this
+//! proxy's own sends (`sends`). `quotas` derives this proxy's share of global limits from it and `timeouts` how long to
+//! wait for an upstream; which upstream a request goes to is decided in [`super::selection`].
+//!
+//! It performs no I/O and reads no clock: the caller passes the time.
+mod control_updates;
+mod health_checks;
+mod quotas;
+mod sends;
+mod timeouts;
+
+pub use control_updates::ApplyOutcome;
+pub use health_checks::DueProbe;
+pub use sends::SendOutcome;
+
+use crate::hashing::hash_name;
+use crate::placement::budget::RetryBudget;
 use crate::placement::first_byte_latency::FirstByteLatency;
 use crate::placement::prefill_demand::PrefillDemand;
-use crate::placement::prefill_queue::{PrefillEstimate, PrefillQueues};
+use crate::placement::prefill_queue::PrefillQueues;
 use crate::placement::region_round_trips::RegionRoundTrips;
-use crate::placement::upstreams::{ServerLoad, UpstreamTable};
+use crate::placement::upstreams::UpstreamTable;
 use crate::placement::zone_health::ZoneFailureDetector;
 use crate::policy::Policy;
-use crate::request::{ProxyRequest, TokenCounts};
-use rand::SeedableRng;
+use quotas::FALLBACK_PROXY_COUNT;
+use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::configuration::Configuration;
 use sandtrack_protocol::document::Document;
-use sandtrack_protocol::frames::{PromptSent, ProxyState, ToProxy};
+use sandtrack_protocol::frames::ProxyState;
 use sandtrack_protocol::settings::{Bounds, Settings};
 use sandtrack_tiers::{Millis, Tiers};
-use std::collections::{HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
-/// For so long after control was heard this proxy keeps its share of the bounds that hold over all proxies, in ms. Control
-/// counts one that it does not hear for longer (`KEPT_MS` of `sandtrack_control::membership`), also with a frame under way.
-const PROXY_COUNT_LEASE_MS: Millis = 25_000.0;
-/// Among so many a proxy shares that does not know how many there are: more than most fleets have.
-const FALLBACK_PROXY_COUNT: u32 = 100;
-/// Proxies that share an upstream's connections until their number is told, and the part of its limit that is used (ours).
-const INITIAL_CONNECTION_PROXIES: f64 = 16.0;
-const CONNECTION_LIMIT_USED: f64 = 0.9;
-
-/// How a send to an upstream ended, as far as the upstream is judged by it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendOutcome {
-    /// The upstream responded.
-    Completed,
-    /// The upstream said that it is full, or another upstream has its address by now.
-    Rejected,
-    /// A 5xx of the upstream itself, or bytes that are no response.
-    ServerError,
-    /// The connection could not be established, or broke.
-    ConnectionFailed,
-    /// This proxy cancelled it: the client left, or the request's deadline passed.
-    Cancelled,
-}
-
-impl SendOutcome {
-    /// Its name in logs and metrics, which operators' pages fix.
-    pub fn name(self) -> &'static str {
-        match self {
-            SendOutcome::Completed => "answered",
-            SendOutcome::Rejected => "turned_away",
-            SendOutcome::ServerError => "faulty",
-            SendOutcome::ConnectionFailed => "broken",
-            SendOutcome::Cancelled => "given_up",
-        }
-    }
-}
-
-/// What became of a frame from the control plane.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ApplyOutcome {
-    /// It was applied, or was older than what is known.
-    Applied,
-    /// The change does not fit the configuration in force: the full one has to be requested.
-    NeedsFullConfiguration,
-}
-
+/// State of one proxy's load balancing. Upstreams are named by their index in [`Balancer::upstreams`].
 pub struct Balancer {
-    /// The constants that decisions go by.
+    /// Constants of the decisions.
     pub policy: Rc<Policy>,
+    /// Zone of this proxy.
     pub zone: String,
+    /// Region of this proxy.
     pub region: String,
-    regions: std::collections::BTreeMap<String, String>,
+    /// Region of each zone, from the settings.
+    regions: BTreeMap<String, String>,
+    /// Limits that hold over all proxies together.
     pub bounds: Bounds,
-    /// Number of the last committed change that is in force here.
-    number: u64,
+    /// Number of the committed change that the configuration in force reflects.
+    configuration_number: u64,
+    /// The configuration in force, as it was received: the base of the next change.
     document: Option<Document>,
+    /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
+    /// Known upstreams.
     pub upstreams: UpstreamTable,
+    /// Whether any list of upstreams was received.
     upstreams_received: bool,
+    /// Number of the committed change that `evacuated_zones` reflects.
     evacuated_number: u64,
+    /// Zones that are sent nothing, by order of an operator.
     pub evacuated_zones: HashSet<String>,
+    /// How many proxies there are, as the control plane counts them.
     pub proxy_count: u32,
-    /// It was told how many proxies there are.
+    /// Whether `proxy_count` was received rather than assumed.
     proxy_count_known: bool,
-    /// When a control node that hears a majority, and so counts this proxy, was heard last.
+    /// Last heartbeat of a control node that is in contact with a majority, and so counts this proxy.
     last_control_heartbeat: Millis,
+    /// Addresses of the control nodes, as the control plane gave them.
     pub control_nodes: Vec<String>,
+    /// Latency tiers of each service's upstreams.
     tiers: HashMap<String, Tiers>,
-    retry_budgets_by_service: HashMap<String, RetryBudget>,
-    /// By service.
-    pub(crate) prefill_demands: HashMap<String, PrefillDemand>,
-    pub(crate) prefill_queues: PrefillQueues,
+    /// Budget of sends beyond the first, by service.
+    retry_budgets: HashMap<String, RetryBudget>,
+    /// Tokens that upstreams have to prefill, by service.
+    pub(super) prefill_demands: HashMap<String, PrefillDemand>,
+    /// Prefill backlog and cached prefixes of each upstream.
+    pub(super) prefill_queues: PrefillQueues,
+    /// Failures of whole zones.
     zone_failures: ZoneFailureDetector,
     /// Until when idle connections to a service's upstreams are not trusted, by service.
     idle_distrusted_until: HashMap<String, Millis>,
-    pub(crate) region_round_trips: RegionRoundTrips,
-    /// When a request went by the circle to another region, by service and region.
-    pub(crate) remote_last_used: HashMap<(String, String), Millis>,
-    /// By route, and whether the upstream is in another region.
+    /// Round trips to each region.
+    pub(super) region_round_trips: RegionRoundTrips,
+    /// When this proxy last sent to another region within its subset, by service and region.
+    pub(super) remote_last_used: HashMap<(String, String), Millis>,
+    /// Time to first byte by route, and whether the upstream is in another region.
     first_byte_latencies: HashMap<(String, bool), FirstByteLatency>,
     /// When a request with a long prompt was placed last.
     pub long_prompt_at: Option<Millis>,
+    /// Source of all random draws.
     pub rng: Pcg32,
-    /// Tells proxies apart where a share is under one.
-    pub(crate) proxy_hash: u64,
+    /// Hash of this proxy's name: seeds its subset of upstreams, and picks which proxies get a quota that is under one each.
+    pub(super) proxy_hash: u64,
+    /// Whether this proxy is draining: it finishes open requests and takes no new connections.
     pub draining: bool,
+    /// Client requests in progress.
     pub open_requests: u32,
-    /// Set when something changed that the control plane is told at once.
+    /// Set when [`Balancer::state`] changed in a way that the control plane should learn at once.
     pub state_changed: bool,
 }
 
 impl Balancer {
-    /// One that decides by the default policy.
+    /// A balancer with the default policy.
     pub fn new(settings: &Settings, seed: u64) -> Balancer {
         Balancer::with_policy(settings, seed, Rc::new(Policy::default()))
     }
 
-    /// One that decides by this policy.
+    /// A balancer with this policy, whose random draws follow from `seed`.
     pub fn with_policy(settings: &Settings, seed: u64, policy: Rc<Policy>) -> Balancer {
         Balancer {
             zone_failures: ZoneFailureDetector::new(&policy),
@@ -129,7 +115,7 @@
             region: settings.region.clone(),
             regions: settings.zones.clone(),
             bounds: settings.bounds.clone(),
-            number: 0,
+            configuration_number: 0,
             document: None,
             configuration: None,
             upstreams: UpstreamTable::default(),
@@ -141,7 +127,7 @@
             last_control_heartbeat: f64::NEG_INFINITY,
             control_nodes: Vec::new(),
             tiers: HashMap::new(),
-            retry_budgets_by_service: HashMap::new(),
+            retry_budgets: HashMap::new(),
             prefill_demands: HashMap::new(),
             prefill_queues: PrefillQueues::default(),
             idle_distrusted_until: HashMap::new(),
@@ -157,13 +143,13 @@
         }
     }
 
-    /// The settings were read again. Upstreams that are listed already are where the settings now say.
+    /// Takes over settings that were read again; also upstreams that are listed already get their zone's new region.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.bounds = settings.bounds.clone();
         self.regions = settings.zones.clone();
         let listed: Vec<usize> = self.upstreams.listed().collect();
-        for place in listed {
-            let upstream = self.upstreams.get_mut(place);
+        for index in listed {
+            let upstream = self.upstreams.get_mut(index);
             upstream.region = self
                 .regions
                 .get(&upstream.entry.zone)
@@ -172,452 +158,37 @@
         }
     }
 
-    /// It has what it needs to serve.
+    /// Whether this proxy has what it needs to serve, and is not draining.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.upstreams_received && !self.draining
     }
 
+    /// What the control plane is told of this proxy.
     pub fn state(&self) -> ProxyState {
-        let version = self
-            .configuration
-            .as_ref()
-            .map_or(0, |configuration| configuration.version);
         ProxyState {
             ready: self.is_ready(),
             leaving: self.draining,
-            version,
+            version: self.configuration_version(),
             open: self.open_requests,
         }
     }
 
-    /// Takes what the control plane tells. Nothing goes back to a lower number.
-    pub fn apply(&mut self, now: Millis, frame: ToProxy) -> ApplyOutcome {
-        match frame {
-            ToProxy::Configuration {
-                number, document, ..
-            } => {
-                if self.document.is_none() || number > self.number {
-                    match Document::parse(document.as_bytes()) {
-                        Ok(document) => return self.adopt(now, number, document),
-                        Err(invalid) => {
-                            log::error!("a configuration from control can't be read: {invalid}")
-                        }
-                    }
-                }
-            }
-            ToProxy::Changes {
-                from_number,
-                number,
-                version,
-                items,
-                fields,
-            } => {
-                if number > self.number {
-                    let held = self
-                        .document
-                        .as_ref()
-                        .filter(|_| from_number == self.number);
-                    match held.map(|held| held.apply(version, &items, &fields)) {
-                        Some(Ok(document)) => return self.adopt(now, number, document),
-                        _ => return ApplyOutcome::NeedsFullConfiguration,
-                    }
-                }
-            }
-            ToProxy::Evacuated { number, zones } => {
-                if number >= self.evacuated_number {
-                    self.evacuated_number = number;
-                    self.evacuated_zones = zones.into_iter().collect();
-                }
-            }
-            ToProxy::Upstreams {
-                whole,
-                entries,
-                gone,
-                ..
-            } => {
-                self.state_changed |= !self.upstreams_received;
-                self.upstreams_received = true;
-                if whole {
-                    let named: HashSet<&str> = entries
-                        .iter()
-                        .map(|entry| entry.identifier.as_str())
-                        .collect();
-                    let listed: Vec<usize> = self.upstreams.listed().collect();
-                    for place in listed {
-                        if !named.contains(self.upstreams.get(place).entry.identifier.as_str()) {
-                            self.upstreams.get_mut(place).listed = false;
-                        }
-                    }
-                }
-                for entry in entries {
-                    let region = self.regions.get(&entry.zone).cloned().unwrap_or_default();
-                    self.upstreams.list(entry, &region, now);
-                }
-                for identifier in gone {
-                    self.upstreams.remove(&identifier);
-                }
-                self.upstreams.sweep();
-            }
-            ToProxy::Census {
-                control_nodes,
-                proxies,
-                ..
-            } => {
-                self.proxy_count = proxies.max(1);
-                self.proxy_count_known = true;
-                self.last_control_heartbeat = now;
-                self.control_nodes = control_nodes;
-            }
-            ToProxy::Beat { attached: true } => self.last_control_heartbeat = now,
-            ToProxy::PromptsSent(sent) => self.prefill_queues.told(now, &sent, &self.policy),
-            ToProxy::Welcome { .. } | ToProxy::Beat { attached: false } => {}
-        }
-        ApplyOutcome::Applied
-    }
-
-    fn adopt(&mut self, now: Millis, number: u64, document: Document) -> ApplyOutcome {
-        match Configuration::read(&document) {
-            Ok(configuration) => {
-                log::info!("configuration {} in force", configuration.version);
-                let before = self
-                    .configuration
-                    .as_ref()
-                    .map_or(0, |before| before.version);
-                let forward = configuration.version > before && number > self.number;
-                check(Invariant::GoesForward, forward || before == 0, || {
-                    format!(
-                        "version {} of number {number} behind {before}",
-                        configuration.version
-                    )
-                });
-                self.number = number;
-                self.first_byte_latencies.retain(|(name, _), _| {
-                    configuration.routes.iter().any(|route| route.name == *name)
-                });
-                self.document = Some(document);
-                self.configuration = Some(Rc::new(configuration));
-                self.state_changed = true;
-                self.forget_services(now);
-            }
-            Err(invalid) => log::error!("a configuration from control is invalid: {invalid}"),
-        }
-        ApplyOutcome::Applied
+    /// Draws a number from 0 to 1.
+    pub fn draw_fraction(&mut self) -> f64 {
+        self.rng.gen()
     }
 
-    /// What is kept of services that the configuration does not have goes; what their requests earned, and the repeats that used it,
-    /// with its window: a service may come back within it.
-    fn forget_services(&mut self, now: Millis) {
-        let Some(configuration) = &self.configuration else {
-            return;
-        };
-        let span = self.bounds.retry_window_s * 1000.0;
-        self.retry_budgets_by_service.retain(|name, budget| {
-            configuration.service(name).is_some() || budget.is_used(now, span)
-        });
-        self.idle_distrusted_until
-            .retain(|name, _| configuration.service(name).is_some());
-        self.remote_last_used
-            .retain(|(name, _), _| configuration.service(name).is_some());
-        self.tiers
-            .retain(|name, _| configuration.service(name).is_some());
-        self.prefill_demands
-            .retain(|name, _| configuration.service(name).is_some());
-        self.prefill_queues
-            .retain_services(|name| configuration.service(name).is_some());
-    }
-
-    /// Among how many proxies a bound over all is shared, as far as this one may rely on it.
-    fn quota_proxy_count(&self, now: Millis) -> u32 {
-        match now - self.last_control_heartbeat <= PROXY_COUNT_LEASE_MS {
-            true => self.proxy_count,
-            false => self.proxy_count.max(FALLBACK_PROXY_COUNT),
-        }
-    }
-
-    /// Sends a second that a cold upstream gets from this proxy at most.
-    pub fn slow_start_quota(&self, now: Millis, place: usize) -> u32 {
-        let upstream = self.upstreams.get(place);
-        let service = self
-            .configuration
-            .as_ref()
-            .and_then(|all| all.service(&upstream.entry.service));
-        let rate = service.map_or(0.0, |service| service.cold_rate_s);
-        if rate <= 0.0 {
-            return u32::MAX;
-        }
-        let bound = rate * self.bounds.cold_overshoot + self.bounds.cold_slack;
-        share(
-            bound,
-            self.quota_proxy_count(now),
-            mix64(self.proxy_hash ^ upstream.hash),
-        )
-    }
-
-    /// Connections to one upstream that this proxy may hold.
-    pub fn connection_quota(&self, place: usize) -> usize {
-        let service = self.upstreams.get(place).entry.service.as_str();
-        let service = self
-            .configuration
+    /// Version of the configuration in force; 0 before the first.
+    fn configuration_version(&self) -> u64 {
+        self.configuration
             .as_ref()
-            .and_then(|all| all.service(service));
-        let limit = service.map_or(100.0, |service| f64::from(service.connection_limit));
-        // What an upstream does not take it resets, and no rule is broken: until the number is known a usual one serves.
-        let proxies = if self.proxy_count_known {
-            f64::from(self.proxy_count)
-        } else {
-            INITIAL_CONNECTION_PROXIES
-        };
-        ((limit * CONNECTION_LIMIT_USED / proxies) as usize).max(1)
-    }
-
-    /// Services of which requests and repeats are proxy_count_known.
-    pub fn retry_budgets(&self) -> usize {
-        self.retry_budgets_by_service.len()
-    }
-
-    /// A request for a service came.
-    pub fn request_arrived(&mut self, now: Millis, request: &ProxyRequest) {
-        let span = self.bounds.retry_window_s * 1000.0;
-        self.retry_budgets_by_service
-            .entry(request.service.clone())
-            .or_default()
-            .request(now, span);
-        self.note_prompt(now, request);
-    }
-
-    fn note_prompt(&mut self, now: Millis, request: &ProxyRequest) {
-        let Some(TokenCounts { prompt, .. }) = request.token_counts else {
-            return;
-        };
-        let homes = &request.route.home_regions;
-        let nothing_seen = || PrefillDemand::new(&self.policy);
-        let mix = self
-            .prefill_demands
-            .entry(request.service.clone())
-            .or_insert_with(nothing_seen);
-        if request.shared_tokens() >= self.policy.long_prompt_tokens {
-            let own = prompt.saturating_sub(request.shared_tokens()) as f64;
-            mix.long_prompt(now, own);
-        } else {
-            mix.other_request(now, homes, prompt as f64);
-        }
-    }
-
-    /// Whether the shared budget has one more send beyond the first; it is proxy_count_known if so.
-    pub fn withdraw_retry(&mut self, now: Millis, service: &str) -> bool {
-        let quota_proxy_count = self.quota_proxy_count(now);
-        let bounds = &self.bounds;
-        let (span, ratio, slack) = (
-            bounds.retry_window_s * 1000.0,
-            bounds.retry_budget_ratio,
-            bounds.retry_budget_slack,
-        );
-        let budget = self
-            .retry_budgets_by_service
-            .entry(service.to_owned())
-            .or_default();
-        budget.repeat(now, span, ratio, slack, quota_proxy_count)
-    }
-
-    /// A request goes to an upstream.
-    pub fn send_started(&mut self, place: usize) {
-        self.upstreams.get_mut(place).own += 1;
-    }
-
-    /// A request that goes to an upstream has a long prompt: how long that takes to read there; none where it is short.
-    pub fn long_prompt_sent(
-        &mut self,
-        now: Millis,
-        request: &ProxyRequest,
-        place: usize,
-    ) -> Option<PrefillEstimate> {
-        let is_long = request.shared_tokens() >= self.policy.long_prompt_tokens;
-        is_long.then(|| {
-            self.prefill_queues
-                .sent(now, request, self.upstreams.get(place), &self.policy)
-        })
-    }
-
-    /// Long prefill_demands that this proxy sent and that control was not told of yet.
-    pub fn take_prompt_reports(&mut self) -> Vec<PromptSent> {
-        self.prefill_queues.take_untold()
-    }
-
-    /// A send is over.
-    pub fn send_finished(&mut self, now: Millis, place: usize, ended: SendOutcome) {
-        let rest_until = now + self.policy.rejection_backoff_ms;
-        let upstream = self.upstreams.get_mut(place);
-        check(Invariant::SendsAreCounted, upstream.own > 0, || {
-            format!("none is under way at {}", upstream.entry.identifier)
-        });
-        upstream.own = upstream.own.saturating_sub(1);
-        match ended {
-            SendOutcome::Completed => upstream.run.succeeded(),
-            SendOutcome::Rejected => upstream.backoff_until = rest_until,
-            SendOutcome::ServerError => upstream.backoff_until = rest_until,
-            // Where the way is not known yet, a failure says that it was not waited for long enough.
-            SendOutcome::ConnectionFailed
-                if self.region_round_trips.get(&upstream.region).is_none()
-                    && upstream.last_seen_at.is_infinite() =>
-            {
-                upstream.backoff_until = rest_until;
-                upstream.next_probe = now;
-            }
-            SendOutcome::ConnectionFailed => {
-                upstream.run.failed();
-                upstream.backoff_until = rest_until;
-                upstream.next_probe = now;
-                self.record_failure(now, place);
-            }
-            SendOutcome::Cancelled => {}
-        }
-        if !self.upstreams.get(place).listed {
-            self.upstreams.sweep();
-        }
-    }
-
-    /// Bytes of an answer came.
-    pub fn upstream_seen(&mut self, now: Millis, place: usize) {
-        let upstream = self.upstreams.get_mut(place);
-        upstream.last_seen_at = now;
-        self.zone_failures.heard(&upstream.entry.zone);
-    }
-
-    /// A way to the upstream and back took `elapsed` ms.
-    pub fn record_round_trip(&mut self, now: Millis, place: usize, elapsed: Millis) {
-        let region = &self.upstreams.get(place).region;
-        self.region_round_trips
-            .sample(now, region, elapsed, &self.policy);
-    }
-
-    /// The smoothed round trip to a region in ms, once it was measured.
-    #[must_use]
-    pub fn region_round_trip(&self, region: &str) -> Option<Millis> {
-        self.region_round_trips.get(region)
-    }
-
-    /// A connection to the upstream did not come up in its time.
-    pub fn connect_timed_out(&mut self, now: Millis, place: usize) {
-        let region = &self.upstreams.get(place).region;
-        self.region_round_trips.timed_out(now, region);
-    }
-
-    /// How long this request waits for a connection to the upstream, in ms.
-    pub fn connect_timeout(&self, request: &ProxyRequest, place: usize) -> Millis {
-        let upstream = self.upstreams.get(place);
-        let own = self.policy.connect_timeout_ms + 2.0 * upstream.average.get().unwrap_or(0.0);
-        let aim = request.route.target_latency_ms;
-        self.region_round_trips
-            .connect_timeout(&upstream.region, aim, &self.policy)
-            .max(own)
-    }
-
-    /// How long a probe of the upstream waits for its answer, in ms.
-    pub fn probe_timeout(&self, now: Millis, place: usize) -> Millis {
-        let upstream = self.upstreams.get(place);
-        self.region_round_trips.probe_timeout(
-            now,
-            &upstream.region,
-            upstream.average.get(),
-            &self.policy,
-        )
-    }
-
-    /// An upstream failed. Once its zone looks lost, those in use there are asked at once.
-    fn record_failure(&mut self, now: Millis, place: usize) {
-        let entry = &self.upstreams.get(place).entry;
-        if !self
-            .zone_failures
-            .failed(now, &entry.zone, &entry.identifier)
-        {
-            return;
-        }
-        let zone = entry.zone.clone();
-        log::info!("nothing is heard of zone {zone}");
-        let listed: Vec<usize> = self.upstreams.listed().collect();
-        for place in listed {
-            let upstream = self.upstreams.get_mut(place);
-            if upstream.entry.zone == zone {
-                upstream.next_probe = upstream.next_probe.min(now);
-            }
-        }
-    }
-
-    /// Whether the zone of this upstream looks lost.
-    pub(crate) fn is_in_failed_zone(&self, now: Millis, place: usize) -> bool {
-        self.policy.zone_failure_detection
-            && self
-                .zone_failures
-                .is_silent(now, &self.upstreams.get(place).entry.zone)
-    }
-
-    /// Whether it was heard so lately that an idle connection to it will do for what may run only once.
-    pub fn trusts_idle_connections(&self, now: Millis, place: usize) -> bool {
-        let upstream = self.upstreams.get(place);
-        let distrusted = self.idle_distrusted_until.get(&upstream.entry.service);
-        upstream.run.is_empty()
-            && now - upstream.last_seen_at <= self.policy.idle_trust_ms
-            && distrusted.is_none_or(|until| now >= *until)
-    }
-
-    /// An idle connection to the upstream broke without a word when it was used again: those of its service are not trusted
-    /// with what may run only once for a while.
-    pub fn idle_connection_failed(&mut self, now: Millis, place: usize) {
-        let service = self.upstreams.get(place).entry.service.clone();
-        self.idle_distrusted_until
-            .insert(service, now + self.policy.idle_distrust_ms);
-    }
-
-    /// An answer said how loaded its upstream is, or how long it stays cold.
-    pub fn load_reported(
-        &mut self,
-        now: Millis,
-        place: usize,
-        load: Option<ServerLoad>,
-        cold_ms: Option<Millis>,
-    ) {
-        let upstream = self.upstreams.get_mut(place);
-        if let Some(load) = load {
-            upstream.told(load, now);
-        }
-        if let Some(cold) = cold_ms {
-            upstream.cold(cold, now);
-        }
-    }
-
-    /// The first part of an answer came after `elapsed` ms; `estimate`: what a long prompt was to take.
-    pub fn first_byte_received(
-        &mut self,
-        request: &ProxyRequest,
-        place: usize,
-        elapsed: Millis,
-        estimate: Option<&PrefillEstimate>,
-    ) {
-        let region = &self.upstreams.get(place).region;
-        if let Some(estimate) = estimate {
-            let trip = self.region_round_trips.get(region).unwrap_or(0.0);
-            self.prefill_queues
-                .answered(&request.service, estimate, elapsed - trip, &self.policy);
-        }
-        let far = *region != self.region;
-        self.first_byte_latencies
-            .entry((request.route.name.clone(), far))
-            .or_default()
-            .add(elapsed);
+            .map_or(0, |configuration| configuration.version)
     }
 
-    /// So long an upstream may be silent before the request is offered to another as well, in ms.
-    pub fn hedge_delay(&self, request: &ProxyRequest, place: usize) -> Millis {
-        let far = self.upstreams.get(place).region != self.region;
-        let latency = self
-            .first_byte_latencies
-            .get(&(request.route.name.clone(), far))
-            .copied()
-            .unwrap_or_default();
-        let trip = self
-            .region_round_trips
-            .get(&self.upstreams.get(place).region)
-            .unwrap_or(0.0);
-        latency.hedge_delay(request.route.target_latency_ms, trip, &self.policy)
+    /// Indices of the listed upstreams of a service.
+    fn upstreams_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = usize> + 'a {
+        self.upstreams
+            .listed()
+            .filter(move |index| self.upstreams.get(*index).entry.service == service)
     }
 }
--- a/crates/sandtrack-proxy/src/placement/prefill_demand.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill_demand.rs
@@ -1,11 +1,11 @@
-//! What upstreams of a service have to read: long prompts, which may be read anywhere, beside requests that are bound to
-//! regions. From it follows the weight of each region's upstreams as ones that keep long prompts, so that each upstream reads
-//! about as much as any other. Every proxy observes its own clients only; their mix stands for all. Pure.
+//! Tokens that the upstreams of a service have to prefill: those of long prompts, which may be prefilled anywhere, and those
+//! of requests that are bound to regions. From them follows each region's weight for long prompts, so that every upstream
+//! prefills about as much as any other. A proxy sees its own clients only; their mix stands for all.
 use crate::policy::Policy;
 use sandtrack_tiers::Millis;
 use std::collections::{BTreeMap, HashMap};
 
-/// A sum that fades.
+/// A sum of amounts that decays exponentially with time.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingSum {
     sum: f64,
@@ -13,25 +13,26 @@
 }
 
 impl DecayingSum {
-    fn add(&mut self, now: Millis, amount: f64, memory: Millis) {
-        self.sum = self.get(now, memory) + amount;
+    fn add(&mut self, now: Millis, amount: f64, time_constant: Millis) {
+        self.sum = self.get(now, time_constant) + amount;
         self.at = now;
     }
 
-    fn get(&self, now: Millis, memory: Millis) -> f64 {
-        self.sum * (-(now - self.at).max(0.0) / memory).exp()
+    fn get(&self, now: Millis, time_constant: Millis) -> f64 {
+        self.sum * (-(now - self.at).max(0.0) / time_constant).exp()
     }
 }
 
-/// Tokens to read for one service, as far as this proxy sees.
+/// Tokens to prefill for one service, as far as this proxy sees.
 #[derive(Clone, Debug)]
 pub struct PrefillDemand {
-    /// See [`Policy::prefill_demand_decay_ms`].
-    memory: Millis,
+    /// [`Policy::prefill_demand_decay_ms`].
+    time_constant: Millis,
+    /// Tokens of long prompts.
     long: DecayingSum,
-    /// By region, of other requests that are bound to it.
+    /// Tokens of other requests by the region that they are bound to.
     bound: HashMap<String, DecayingSum>,
-    /// How many requests all this was seen of.
+    /// Number of requests of both kinds.
     requests: DecayingSum,
 }
 
@@ -42,78 +43,82 @@
 }
 
 impl PrefillDemand {
-    /// One that has seen nothing.
+    /// A demand of which nothing was seen.
     #[must_use]
     pub fn new(policy: &Policy) -> PrefillDemand {
         PrefillDemand {
-            memory: policy.prefill_demand_decay_ms,
+            time_constant: policy.prefill_demand_decay_ms,
             long: DecayingSum::default(),
             bound: HashMap::new(),
             requests: DecayingSum::default(),
         }
     }
 
-    /// A long prompt came, of which so many tokens are to be read.
-    pub fn long_prompt(&mut self, now: Millis, tokens: f64) {
-        self.long.add(now, tokens, self.memory);
-        self.requests.add(now, 1.0, self.memory);
+    /// A long prompt arrived, of which `tokens` are to be prefilled.
+    pub fn record_long_prompt(&mut self, now: Millis, tokens: f64) {
+        self.long.add(now, tokens, self.time_constant);
+        self.requests.add(now, 1.0, self.time_constant);
     }
 
-    /// Another request came, of so many tokens, bound to these regions; none: any may serve it.
-    pub fn other_request(&mut self, now: Millis, homes: &[String], tokens: f64) {
-        self.requests.add(now, 1.0, self.memory);
-        for home in homes {
-            let part = tokens / homes.len() as f64;
+    /// Another request arrived, of so many tokens, bound to these regions (to none: any may serve it).
+    pub fn record_bound_request(&mut self, now: Millis, home_regions: &[String], tokens: f64) {
+        self.requests.add(now, 1.0, self.time_constant);
+        for region in home_regions {
+            let part = tokens / home_regions.len() as f64;
             self.bound
-                .entry(home.clone())
+                .entry(region.clone())
                 .or_default()
-                .add(now, part, self.memory);
+                .add(now, part, self.time_constant);
         }
     }
 
-    /// Weight of each region's upstreams as keepers of long prompts, 1 at most: what is left of the mean load of an upstream
-    /// when it has read what is bound to its region. `upstreams`: how many there are in each region.
+    /// Weight of each region's upstreams for long prompts, 1 at most: the fraction of the mean load of an upstream that is
+    /// left after it has prefilled what is bound to its region. `upstreams`: how many there are in each region.
     #[must_use]
-    pub fn weights<'a>(
+    pub fn region_weights<'a>(
         &self,
         now: Millis,
         upstreams: &BTreeMap<&'a str, usize>,
         prior: WeightPrior,
     ) -> BTreeMap<&'a str, f64> {
-        let requests = self.requests.get(now, self.memory);
+        let requests = self.requests.get(now, self.time_constant);
         let evidence = requests / (requests + prior.requests).max(f64::MIN_POSITIVE);
-        let bound = |region: &str| {
-            self.bound
-                .get(region)
-                .map_or(0.0, |tokens| tokens.get(now, self.memory))
-        };
-        let total = self.long.get(now, self.memory)
-            + upstreams.keys().map(|region| bound(region)).sum::<f64>();
+        let total = self.long.get(now, self.time_constant)
+            + upstreams
+                .keys()
+                .map(|region| self.bound_tokens(now, region))
+                .sum::<f64>();
         let mean = total / upstreams.values().sum::<usize>().max(1) as f64;
         let weight = |region: &str, count: usize| {
-            let left = mean - bound(region) / count.max(1) as f64;
-            let seen = if mean > 0.0 {
+            let left = mean - self.bound_tokens(now, region) / count.max(1) as f64;
+            let measured = if mean > 0.0 {
                 (left / mean).clamp(prior.least, 1.0)
             } else {
                 prior.weight
             };
-            prior.weight + evidence * (seen - prior.weight)
+            prior.weight + evidence * (measured - prior.weight)
         };
         upstreams
             .iter()
             .map(|(region, count)| (*region, weight(region, *count)))
             .collect()
     }
+
+    fn bound_tokens(&self, now: Millis, region: &str) -> f64 {
+        self.bound
+            .get(region)
+            .map_or(0.0, |tokens| tokens.get(now, self.time_constant))
+    }
 }
 
-/// What a proxy holds of the weights before it has seen enough. What it sees of few requests differs from what others see,
-/// and then they read one prompt at several places: its weights are drawn towards the usual one.
+/// What a proxy assumes of the weights before it has seen enough. What one proxy sees of few requests differs from what
+/// others see, and then one prompt would be prefilled at several upstreams: measured weights are drawn towards the prior.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightPrior {
-    /// The usual weight ...
+    /// The prior weight.
     pub weight: f64,
-    /// ... as if it had been seen of so many requests.
+    /// Number of requests that the prior counts for.
     pub requests: f64,
-    /// No weight that was seen counts as less.
+    /// Lower bound of a measured weight.
     pub least: f64,
 }
--- a/crates/sandtrack-proxy/src/placement/prefill_queue.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill_queue.rs
@@ -1,27 +1,28 @@
-//! What upstreams have to read before the next long prompt, and which shared prefixes they have read: estimates from this proxy's own
-//! sends and from those that other proxies tell of. Pure.
+//! Prefill backlog of each upstream, and which upstreams hold which prompt prefixes in their KV cache: estimates from this
+//! proxy's own sends and from the reports of other proxies.
 //!
-//! A queue counted in requests says little where one prompt has a hundred times the tokens of another; here it is counted in tokens,
-//! as time at a rate that is learned from first parts of answers.
+//! A queue counted in requests says little where one prompt has a hundred times the tokens of another; here it is counted in
+//! tokens, and turned into time by a prefill rate that is learned from the time to the first token.
 use crate::placement::upstreams::Upstream;
 use crate::policy::Policy;
 use crate::request::ProxyRequest;
 use sandtrack_protocol::frames::PromptSent;
 use sandtrack_tiers::Millis;
+use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Prefixes that are remembered at most; the ones unused longest give way.
+/// Prefixes that are remembered at most; the least recently used half is dropped then.
 const MAX_PREFIXES: usize = 8192;
-/// Backlogs that are remembered before those that are over are swept.
+/// Number of backlogs from which on the empty ones are dropped.
 const BACKLOG_SWEEP_THRESHOLD: usize = 1024;
-/// Sends that wait to be told to control at most; the largest are kept.
+/// Sends that wait to be reported at most; the largest prompts are kept.
 const MAX_PENDING_REPORTS: usize = 16;
-/// Least weight of a new sample in the rate; the first ones weigh as much as those before them together.
+/// Least weight of a new sample in the prefill rate; each of the first ones counts as much as any before it.
 const MIN_RATE_WEIGHT: f64 = 0.1;
-/// A sample counts as this many rates at most, and as its inverse at least.
+/// A sample counts as the rate times this at most, and as the rate divided by it at least.
 const MAX_RATE_CHANGE: f64 = 2.0;
 
-/// Tokens still to be read at an upstream, as of a time.
+/// Tokens that an upstream still had to prefill at a time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backlog {
     tokens: f64,
@@ -29,69 +30,74 @@
 }
 
 impl Backlog {
-    fn left(&self, now: Millis, rate: f64) -> f64 {
+    /// Tokens that are left now.
+    fn remaining(&self, now: Millis, rate: f64) -> f64 {
         (self.tokens - (now - self.at).max(0.0) * rate).max(0.0)
     }
 }
 
-/// Who has read a prefix, and when it was used last.
+/// The owners of a prefix, and when it was last used.
 #[derive(Clone, Debug, Default)]
 struct Prefix {
-    readers: Vec<Reader>,
-    used: Millis,
+    owners: Vec<PrefixOwner>,
+    used_at: Millis,
 }
 
-/// An upstream that reads a prefix, and when it is done.
+/// An upstream that holds a prefix in its KV cache, or will once it has prefilled it.
 #[derive(Clone, Copy, Debug)]
-struct Reader {
+struct PrefixOwner {
+    /// [`upstream_key`] of it.
     upstream: u32,
-    done_at: Millis,
+    prefilled_at: Millis,
 }
 
-/// Tokens a ms that an upstream reads, and of how many samples that was learned.
+/// Prefill rate of a service's upstreams, in tokens per ms.
 #[derive(Clone, Copy, Debug)]
-struct Rate {
+struct PrefillRate {
     mean: f64,
+    /// Number of samples, the default rate counted as one.
     samples: f64,
 }
 
-/// What it takes until an upstream has read a prompt.
+/// What it takes an upstream to prefill a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillEstimate {
-    /// Its shared prefix was read there before, or is being read.
-    pub kept: bool,
-    /// Tokens of it that are to be read.
+    /// The upstream owns the shared prefix: it has prefilled it, or is doing so.
+    pub is_cached: bool,
+    /// Tokens of the prompt that are to be prefilled.
     pub tokens: f64,
-    /// Time until all before it is read, in ms.
-    pub ahead: Millis,
-    /// Time until all before it and itself are read, in ms.
-    pub time: Millis,
+    /// Time until the upstream's backlog is done, in ms.
+    pub queueing_time: Millis,
+    /// Time until the backlog and the prompt itself are done, in ms.
+    pub total_time: Millis,
 }
 
-/// The work of upstreams as far as this proxy knows.
+/// Prefill backlogs, prefix owners and prefill rates, as far as this proxy knows.
 #[derive(Clone, Debug, Default)]
 pub struct PrefillQueues {
+    /// By [`upstream_key`].
     backlogs: HashMap<u32, Backlog>,
+    /// By [`prefix_key`].
     prefixes: HashMap<u32, Prefix>,
     /// By service.
-    rates: HashMap<String, Rate>,
-    /// Own sends that control was not told of yet.
-    untold: Vec<PromptSent>,
+    rates: HashMap<String, PrefillRate>,
+    /// Own sends that were not reported yet.
+    pending_reports: Vec<PromptSent>,
 }
 
-/// The short number by which proxies tell each other of an upstream; the same at all.
+/// The key by which proxies name an upstream in their reports; the same at all.
 #[must_use]
 pub fn upstream_key(upstream: &Upstream) -> u32 {
-    (upstream.hash >> 32) as u32
+    (upstream.name_hash >> 32) as u32
 }
 
-/// The same of a request's shared prefix.
+/// The key by which proxies name a request's shared prefix in their reports; the same at all.
 #[must_use]
 pub fn prefix_key(request: &ProxyRequest) -> u32 {
     (request.shared_key() >> 32) as u32
 }
 
-/// All tokens of a prompt.
+/// Tokens of the whole prompt: the larger of what `Token-Counts` and the parts of the prefix say.
 fn prompt_tokens(request: &ProxyRequest) -> f64 {
     let listed: u64 = request.prompt_parts.iter().map(|part| part.tokens).sum();
     request
@@ -100,7 +106,7 @@
 }
 
 impl PrefillQueues {
-    /// Tokens a ms that upstreams of a service read.
+    /// Prefill rate of a service's upstreams, in tokens per ms.
     #[must_use]
     pub fn rate(&self, service: &str, policy: &Policy) -> f64 {
         self.rates
@@ -108,23 +114,25 @@
             .map_or(policy.default_prefill_rate, |rate| rate.mean)
     }
 
-    /// The upstreams that have read the shared prefix of this request, or read it now.
-    fn readers(&self, request: &ProxyRequest) -> &[Reader] {
+    fn owners(&self, request: &ProxyRequest) -> &[PrefixOwner] {
         self.prefixes
             .get(&prefix_key(request))
-            .map_or(&[], |prefix| &prefix.readers)
+            .map_or(&[], |prefix| &prefix.owners)
     }
 
-    /// Tells of each upstream whether it is known to have read the shared prefix of this request; the prefix is looked up once.
-    pub fn keeps<'a>(&'a self, request: &ProxyRequest) -> impl Fn(&Upstream) -> bool + 'a {
-        let readers = self.readers(request);
+    /// A predicate that says whether an upstream owns the shared prefix of this request. The prefix is looked up once.
+    pub fn prefix_owner_filter<'a>(
+        &'a self,
+        request: &ProxyRequest,
+    ) -> impl Fn(&Upstream) -> bool + 'a {
+        let owners = self.owners(request);
         move |upstream| {
             let key = upstream_key(upstream);
-            readers.iter().any(|reader| reader.upstream == key)
+            owners.iter().any(|owner| owner.upstream == key)
         }
     }
 
-    /// What it takes until this upstream has read the request's prompt.
+    /// What it takes this upstream to prefill the request's prompt.
     #[must_use]
     pub fn estimate(
         &self,
@@ -134,35 +142,34 @@
         policy: &Policy,
     ) -> PrefillEstimate {
         let key = upstream_key(upstream);
-        let reader = self
-            .readers(request)
+        let owner = self
+            .owners(request)
             .iter()
-            .find(|reader| reader.upstream == key);
-        // While one reads it, a second request that it takes up beside the first reads it as well.
-        let is_read = reader.is_some_and(|reader| now >= reader.done_at);
-        let shared = if is_read {
+            .find(|owner| owner.upstream == key);
+        // While the prefix is being prefilled, a second request that the engine takes up beside the first prefills it too.
+        let is_prefilled = owner.is_some_and(|owner| now >= owner.prefilled_at);
+        let cached_tokens = if is_prefilled {
             request.shared_tokens() as f64
         } else {
             0.0
         };
-        let tokens = (prompt_tokens(request) - shared).max(0.0);
-        let kept = reader.is_some();
+        let tokens = (prompt_tokens(request) - cached_tokens).max(0.0);
         let rate = self.rate(&request.service, policy);
-        let ahead = self
+        let queueing_time = self
             .backlogs
             .get(&key)
-            .map_or(0.0, |backlog| backlog.left(now, rate))
+            .map_or(0.0, |backlog| backlog.remaining(now, rate))
             / rate;
         PrefillEstimate {
-            kept,
+            is_cached: owner.is_some(),
             tokens,
-            ahead,
-            time: ahead + tokens / rate,
+            queueing_time,
+            total_time: queueing_time + tokens / rate,
         }
     }
 
-    /// This proxy sends a request with a long prompt to the upstream. What was estimated for it.
-    pub fn sent(
+    /// This proxy sends a request with a long prompt to the upstream. Returns the estimate as of before.
+    pub fn enqueue(
         &mut self,
         now: Millis,
         request: &ProxyRequest,
@@ -175,74 +182,75 @@
             prefix: prefix_key(request),
             tokens: estimate.tokens as u32,
         };
-        self.note(now, &sent, self.rate(&request.service, policy));
-        self.untold.push(sent);
-        if self.untold.len() > MAX_PENDING_REPORTS {
-            self.untold
-                .sort_unstable_by_key(|sent| std::cmp::Reverse(sent.tokens));
-            self.untold.truncate(MAX_PENDING_REPORTS);
+        self.record(now, &sent, self.rate(&request.service, policy));
+        self.pending_reports.push(sent);
+        if self.pending_reports.len() > MAX_PENDING_REPORTS {
+            self.pending_reports
+                .sort_unstable_by_key(|sent| Reverse(sent.tokens));
+            self.pending_reports.truncate(MAX_PENDING_REPORTS);
         }
         estimate
     }
 
-    /// Other proxies sent long prompts.
-    pub fn told(&mut self, now: Millis, sent: &[PromptSent], policy: &Policy) {
-        // Whose service it is is not told: services of long prompts are few and alike enough.
-        let rate = self
+    /// Other proxies reported that they sent long prompts.
+    pub fn apply_reports(&mut self, now: Millis, reports: &[PromptSent], policy: &Policy) {
+        // Reports do not name the service: services with long prompts are few, and their rates alike enough.
+        let slowest = self
             .rates
             .values()
             .map(|rate| rate.mean)
             .fold(f64::NAN, f64::min);
-        let rate = if rate.is_nan() {
+        let rate = if slowest.is_nan() {
             policy.default_prefill_rate
         } else {
-            rate
+            slowest
         };
-        for sent in sent {
-            self.note(now, sent, rate);
+        for sent in reports {
+            self.record(now, sent, rate);
         }
     }
 
-    fn note(&mut self, now: Millis, sent: &PromptSent, rate: f64) {
+    fn record(&mut self, now: Millis, sent: &PromptSent, rate: f64) {
         if self.backlogs.len() >= BACKLOG_SWEEP_THRESHOLD {
             self.backlogs
-                .retain(|_, backlog| backlog.left(now, rate) > 0.0);
+                .retain(|_, backlog| backlog.remaining(now, rate) > 0.0);
         }
         let backlog = self.backlogs.entry(sent.upstream).or_default();
         *backlog = Backlog {
-            tokens: backlog.left(now, rate) + f64::from(sent.tokens),
+            tokens: backlog.remaining(now, rate) + f64::from(sent.tokens),
             at: now,
         };
-        let done_at = now + backlog.tokens / rate;
-        self.make_room();
+        let prefilled_at = now + backlog.tokens / rate;
+        self.evict_prefixes();
         let prefix = self.prefixes.entry(sent.prefix).or_default();
-        prefix.used = now;
-        if !prefix
-            .readers
-            .iter()
-            .any(|reader| reader.upstream == sent.upstream)
-        {
-            prefix.readers.push(Reader {
+        prefix.used_at = now;
+        let is_owner = |owner: &PrefixOwner| owner.upstream == sent.upstream;
+        if !prefix.owners.iter().any(is_owner) {
+            prefix.owners.push(PrefixOwner {
                 upstream: sent.upstream,
-                done_at,
+                prefilled_at,
             });
         }
     }
 
-    /// Forgets the half of the prefixes that was unused longest once there are too many.
-    fn make_room(&mut self) {
+    /// Drops the least recently used half of the prefixes once there are too many.
+    fn evict_prefixes(&mut self) {
         if self.prefixes.len() < MAX_PREFIXES {
             return;
         }
-        let mut used: Vec<Millis> = self.prefixes.values().map(|prefix| prefix.used).collect();
-        used.sort_unstable_by(f64::total_cmp);
-        let median = used[used.len() / 2];
-        self.prefixes.retain(|_, prefix| prefix.used > median);
+        let mut used_at: Vec<Millis> = self
+            .prefixes
+            .values()
+            .map(|prefix| prefix.used_at)
+            .collect();
+        used_at.sort_unstable_by(f64::total_cmp);
+        let median = used_at[used_at.len() / 2];
+        self.prefixes.retain(|_, prefix| prefix.used_at > median);
     }
 
-    /// The first part of an answer came `elapsed` ms after its request was written, the way there and back left out, and
-    /// this was estimated when it was sent.
-    pub fn answered(
+    /// The first token of a response arrived `elapsed` ms after its request was written, the round trip left out, where
+    /// `estimate` was made when it was sent: a sample of the service's prefill rate.
+    pub fn record_first_token(
         &mut self,
         service: &str,
         estimate: &PrefillEstimate,
@@ -250,12 +258,12 @@
         policy: &Policy,
     ) {
         let before = self.rate(service, policy);
-        let tokens = estimate.time * before;
+        let tokens = estimate.total_time * before;
         if tokens < policy.long_prompt_tokens as f64 || elapsed <= 0.0 {
             return;
         }
         let sample = (tokens / elapsed).clamp(before / MAX_RATE_CHANGE, before * MAX_RATE_CHANGE);
-        let rate = self.rates.entry(service.to_owned()).or_insert(Rate {
+        let rate = self.rates.entry(service.to_owned()).or_insert(PrefillRate {
             mean: before,
             samples: 1.0,
         });
@@ -263,12 +271,12 @@
         rate.mean += (sample - rate.mean) * (1.0 / rate.samples).max(MIN_RATE_WEIGHT);
     }
 
-    /// What control is to be told of own sends.
-    pub fn take_untold(&mut self) -> Vec<PromptSent> {
-        std::mem::take(&mut self.untold)
+    /// Takes the reports of own sends that are due to the other proxies.
+    pub fn take_reports(&mut self) -> Vec<PromptSent> {
+        std::mem::take(&mut self.pending_reports)
     }
 
-    /// Keeps only the rates of these services.
+    /// Drops the rates of services that are not configured.
     pub fn retain_services(&mut self, is_configured: impl Fn(&str) -> bool) {
         self.rates.retain(|service, _| is_configured(service));
     }
--- a/crates/sandtrack-proxy/src/placement/selection.rs
+++ b/crates/sandtrack-proxy/src/placement/selection.rs
@@ -1,62 +1,62 @@
-//! Where a request goes. The design's ordinary path (`sandtrack_tiers`): a random pick in the lowest tier that has an
-//! upstream which may take the send, less those far above the mean of own requests. What may take a send is this file's:
-//! home regions, evacuated zones, draining, cold budgets, room, and where a long prompt's shared parts already are. Pure.
+//! Selection of the upstream that a request goes to. The design's ordinary path (`sandtrack_tiers`) picks at random in the
+//! lowest latency tier that has an eligible upstream, and skips those with far more requests in flight than the mean. Which
+//! upstreams are eligible is decided here: home regions, evacuated zones, draining, slow start, capacity. Long prompts go by
+//! prefix cache affinity instead (`prefix_affinity`), and each proxy uses only a subset of the upstreams (`subset`).
 mod prefix_affinity;
+mod subset;
 
-use crate::hashing::mix64;
 use crate::placement::balancer::Balancer;
 use crate::request::ProxyRequest;
-use rand::Rng;
-use sandtrack_tiers::{crowd_limit, ladder, lowest, Millis};
-use std::collections::{BTreeSet, HashSet};
+use sandtrack_tiers::{group_by_tier, overload_limit, pick_in_lowest, Millis};
+use std::collections::HashSet;
+
+/// Length of the window in which sends to an upstream in slow start are counted, in ms: a second, and what two sends may
+/// come closer together on their way.
+const SLOW_START_WINDOW_MS: Millis = 1050.0;
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
+    /// To the upstream with this index.
     Send(usize),
-    /// None has room now; one may soon.
+    /// No upstream has capacity now; one may soon.
     Wait,
-    /// None may take it at all, as far as is known.
+    /// No known upstream may serve it at all.
     Unavailable,
 }
 
-/// Upstreams that may serve a request, narrowed step by step.
+/// Candidates for a request, narrowed step by step.
 struct Candidates(Vec<usize>);
 
 impl Candidates {
-    /// Those of which this holds; all where it holds of none.
-    fn prefer(self, holds: impl Fn(usize) -> bool) -> Candidates {
+    /// Those that fulfil a condition; all where none does.
+    fn prefer(self, condition: impl Fn(usize) -> bool) -> Candidates {
         let preferred: Vec<usize> = self
             .0
             .iter()
             .copied()
-            .filter(|place| holds(*place))
+            .filter(|index| condition(*index))
             .collect();
-        match preferred.is_empty() {
-            true => self,
-            false => Candidates(preferred),
+        if preferred.is_empty() {
+            self
+        } else {
+            Candidates(preferred)
         }
     }
 }
 
-impl Balancer {
-    /// Whether upstream `place` may ever take it, as the list, orders and homes have it.
-    fn may_serve(&self, request: &ProxyRequest, place: usize) -> bool {
-        let upstream = self.upstreams.get(place);
-        let entry = &upstream.entry;
-        let homes = &request.route.home_regions;
-        upstream.listed
-            && !entry.draining
-            && entry.service == request.service
-            && !self.evacuated_zones.contains(&entry.zone)
-            && (homes.is_empty() || homes.contains(&upstream.region))
-            && request
-                .model
-                .as_ref()
-                .is_none_or(|model| entry.models.is_empty() || entry.models.contains(model))
-    }
+/// One request's choice: what stays the same while sets of candidates are tried in turn.
+struct Choice<'a> {
+    now: Millis,
+    request: &'a ProxyRequest,
+    /// Its prompt is long: it goes by prefix cache affinity.
+    is_long: bool,
+    /// See [`Balancer::prefill_upstreams`].
+    prefill_upstreams: HashSet<usize>,
+}
 
-    /// Places a request that was not yet at any of `tried`.
+impl Balancer {
+    /// Chooses an upstream for a request, if possible none of those in `tried`, to which it was sent before.
     pub fn choose_upstream(
         &mut self,
         now: Millis,
@@ -66,237 +66,172 @@
         let mut able: Vec<usize> = self
             .upstreams
             .listed()
-            .filter(|place| self.may_serve(request, *place))
+            .filter(|index| self.may_serve(request, *index))
             .collect();
+        // The table gives them in no order; a draw has to mean the same upstream in each run.
         able.sort_unstable();
         if able.is_empty() {
             return Placement::Unavailable;
         }
-        // Where all look bad, the signs are more likely wrong than all of them dead.
+        // Where all look unhealthy, the signs are more likely wrong than all upstreams dead.
         let Candidates(usable) = Candidates(able)
-            .prefer(|place| !tried.contains(&place))
-            .prefer(|place| self.upstreams.get(place).run.is_healthy())
-            .prefer(|place| !self.is_in_failed_zone(now, place));
+            .prefer(|index| !tried.contains(&index))
+            .prefer(|index| self.upstreams.get(index).failures.is_healthy())
+            .prefer(|index| !self.is_in_failed_zone(now, index));
         let is_long = request.shared_tokens() >= self.policy.long_prompt_tokens;
         if is_long {
             self.long_prompt_at = Some(now);
         }
-        let prefill_upstreams = self.prefill_upstreams(now, &request.service);
-        let subset = if is_long {
-            usable.clone()
+        let choice = Choice {
+            now,
+            request,
+            is_long,
+            prefill_upstreams: self.prefill_upstreams(now, &request.service),
+        };
+        self.choose_among(&choice, &usable)
+    }
+
+    /// Tries the subset first, then all usable upstreams, and only then their queues.
+    fn choose_among(&mut self, choice: &Choice<'_>, usable: &[usize]) -> Placement {
+        let subset = if choice.is_long {
+            usable.to_vec()
         } else {
-            self.subset(&usable, &prefill_upstreams)
+            self.subset(usable, &choice.prefill_upstreams)
         };
-        // Where the subset has no slot free all others are looked at, and only then what queues.
-        for (among, queue) in [
-            (&subset, 0.0),
-            (&usable, 0.0),
-            (&usable, self.policy.max_queue_ratio),
-        ] {
-            if let Some(place) = self.place_among(now, request, among, &prefill_upstreams, queue) {
-                if !is_long {
-                    self.record_remote_use(now, place);
+        let max_queue = self.policy.max_queue_ratio;
+        for (candidates, queue_ratio) in [(&*subset, 0.0), (usable, 0.0), (usable, max_queue)] {
+            if let Some(index) = self.pick_with_capacity(choice, candidates, queue_ratio) {
+                if !choice.is_long {
+                    self.record_remote_use(choice.now, index);
                 }
-                return Placement::Send(place);
+                return Placement::Send(index);
             }
         }
         Placement::Wait
     }
 
-    fn record_remote_use(&mut self, now: Millis, place: usize) {
-        let upstream = self.upstreams.get(place);
+    /// Whether the list, evacuations and the route's home regions let this upstream serve the request.
+    fn may_serve(&self, request: &ProxyRequest, index: usize) -> bool {
+        let upstream = self.upstreams.get(index);
+        let entry = &upstream.entry;
+        let homes = &request.route.home_regions;
+        upstream.listed
+            && !entry.draining
+            && entry.service == request.service
+            && !self.evacuated_zones.contains(&entry.zone)
+            && (homes.is_empty() || homes.contains(&upstream.region))
+            && request
+                .model
+                .as_ref()
+                .is_none_or(|model| entry.models.is_empty() || entry.models.contains(model))
+    }
+
+    fn record_remote_use(&mut self, now: Millis, index: usize) {
+        let upstream = self.upstreams.get(index);
         if upstream.region != self.region {
             let used = (upstream.entry.service.clone(), upstream.region.clone());
             self.remote_last_used.insert(used, now);
         }
     }
 
-    /// Of each region the upstreams that this proxy uses, and probes: with many of them, few connections and probes for
-    /// each pair. Drawn by rendezvous hashing, so that each upstream is in as many circles as another, and when one goes
-    /// only its place is filled anew.
-    ///
-    /// Those that read long prompts (`prefill_upstreams`) come last.
-    pub fn subset(&self, usable: &[usize], prefill_upstreams: &HashSet<usize>) -> Vec<usize> {
-        let mut ranked: Vec<usize> = usable.to_vec();
-        ranked.sort_unstable_by_key(|place| {
-            let draw = mix64(self.proxy_hash ^ self.upstreams.get(*place).hash);
-            (prefill_upstreams.contains(place), std::cmp::Reverse(draw))
-        });
-        let mut taken: Vec<(&str, usize)> = Vec::new();
-        let mut subset = Vec::new();
-        for place in ranked {
-            let region = self.upstreams.get(place).region.as_str();
-            let most = match region == self.region {
-                true => self.policy.local_subset_size,
-                false => self.policy.remote_subset_size,
-            };
-            match taken.iter_mut().find(|(name, _)| *name == region) {
-                Some((_, count)) if *count >= most => continue,
-                Some((_, count)) => *count += 1,
-                None => taken.push((region, 1)),
-            }
-            subset.push(place);
-        }
-        subset.sort_unstable();
-        subset
-    }
-
-    fn place_among(
+    /// Picks one of the candidates that has capacity, its queue filled up to `queue_ratio` times its slots.
+    fn pick_with_capacity(
         &mut self,
-        now: Millis,
-        request: &ProxyRequest,
-        among: &[usize],
-        prefill_upstreams: &HashSet<usize>,
-        queue: f64,
+        choice: &Choice<'_>,
+        candidates: &[usize],
+        queue_ratio: f64,
     ) -> Option<usize> {
-        let able: Vec<usize> = among
+        let now = choice.now;
+        let accepting: Vec<usize> = candidates
             .iter()
             .copied()
-            .filter(|place| self.may_start(now, *place))
+            .filter(|index| self.is_accepting(now, *index))
             .collect();
-        let roomy: Vec<usize> = able
+        let with_capacity: Vec<usize> = accepting
             .into_iter()
-            .filter(|place| self.room(now, *place, queue))
+            .filter(|index| self.has_capacity(now, *index, queue_ratio))
             .collect();
-        let place = self.draw(now, request, &roomy, prefill_upstreams)?;
-        let upstream = self.upstreams.get_mut(place);
+        let index = self.pick(choice, &with_capacity)?;
+        let upstream = self.upstreams.get_mut(index);
         if upstream.is_in_slow_start(now) {
-            upstream.slow_start_sends.note(now);
+            upstream.slow_start_sends.record(now);
         }
-        Some(place)
+        Some(index)
     }
 
-    /// It does not rest, and bears one more while cold.
-    fn may_start(&mut self, now: Millis, place: usize) -> bool {
-        let share = self.slow_start_quota(now, place);
-        let upstream = self.upstreams.get_mut(place);
+    /// Whether it is not backing off, and its slow start leaves room for one more send.
+    fn is_accepting(&mut self, now: Millis, index: usize) -> bool {
+        let quota = self.slow_start_quota(now, index);
+        let upstream = self.upstreams.get_mut(index);
         if now < upstream.backoff_until {
             return false;
         }
         !upstream.is_in_slow_start(now)
-            || (upstream.slow_start_sends.count(now, 1050.0) as u32) < share
+            || (upstream.slow_start_sends.count(now, SLOW_START_WINDOW_MS) as u32) < quota
     }
 
-    fn room(&self, now: Millis, place: usize, queue: f64) -> bool {
-        let upstream = self.upstreams.get(place);
-        self.load(now, place) + 1.0 <= upstream.slots() * (1.0 + queue)
+    fn has_capacity(&self, now: Millis, index: usize, queue_ratio: f64) -> bool {
+        let upstream = self.upstreams.get(index);
+        let load = upstream.load(now, self.policy.reported_load_decay_ms);
+        load + 1.0 <= upstream.slots() * (1.0 + queue_ratio)
     }
 
-    /// Requests at the upstream, as far as is known.
-    fn load(&self, now: Millis, place: usize) -> f64 {
-        self.upstreams
-            .get(place)
-            .load(now, self.policy.reported_load_decay_ms)
-    }
-
-    /// Regions by how many routes to the service are bound to them: what others can't leave is kept free of what can.
-    fn bound(&self, service: &str, region: &str) -> usize {
-        let routes = self
-            .configuration
-            .as_ref()
-            .map(|all| all.routes.iter())
-            .into_iter()
-            .flatten();
-        let to_it = routes.filter(|route| route.split.iter().any(|(name, _)| name == service));
-        to_it
-            .filter(|route| route.home_regions.iter().any(|home| home == region))
-            .count()
-    }
-
-    /// The upstreams that read long prompts where no region is free of requests that are bound to it: a long prompt is read
-    /// in pieces between the tokens of others, so that spread over all it would hold up every stream of the region. The
-    /// same for all proxies, but for what they believe dead. Empty where a region is free, or there are no long prompts.
-    pub(crate) fn prefill_upstreams(&self, now: Millis, service: &str) -> HashSet<usize> {
-        if self
-            .long_prompt_at
-            .is_none_or(|at| now - at > self.policy.prefill_isolation_ms)
-        {
-            return HashSet::new();
-        }
-        let serving = |place: &usize| {
-            let upstream = self.upstreams.get(*place);
-            upstream.entry.service == service
-                && !upstream.entry.draining
-                && !self.evacuated_zones.contains(&upstream.entry.zone)
-                && upstream.run.is_healthy()
-        };
-        let mut serving: Vec<usize> = self.upstreams.listed().filter(serving).collect();
-        let region = |place: &usize| self.upstreams.get(*place).region.as_str();
-        serving.sort_unstable_by_key(|place| std::cmp::Reverse(self.upstreams.get(*place).hash));
-        let regions: BTreeSet<&str> = serving.iter().map(region).collect();
-        let bounds: Vec<(&str, usize)> = regions
-            .into_iter()
-            .map(|region| (region, self.bound(service, region)))
-            .collect();
-        let least = bounds.iter().map(|(_, bound)| *bound).min().unwrap_or(0);
-        if least == 0 {
-            return HashSet::new();
-        }
-        serving.retain(|place| bounds.contains(&(region(place), least)));
-        serving.truncate(serving.len() / self.policy.prefill_upstreams_divisor.max(1));
-        serving.into_iter().collect()
-    }
-
-    fn draw(
-        &mut self,
-        now: Millis,
-        request: &ProxyRequest,
-        able: &[usize],
-        prefill_upstreams: &HashSet<usize>,
-    ) -> Option<usize> {
-        if able.is_empty() {
+    fn pick(&mut self, choice: &Choice<'_>, candidates: &[usize]) -> Option<usize> {
+        if candidates.is_empty() {
             return None;
         }
-        let long = request.shared_tokens() >= self.policy.long_prompt_tokens;
-        let apart: Vec<usize> = able
+        // Long prompts keep to the prefill upstreams and all others off them, where there are such.
+        let separated: Vec<usize> = candidates
             .iter()
             .copied()
-            .filter(|place| prefill_upstreams.contains(place) == long)
+            .filter(|index| choice.prefill_upstreams.contains(index) == choice.is_long)
             .collect();
-        let able = if prefill_upstreams.is_empty() || apart.is_empty() {
-            able
+        let candidates = if choice.prefill_upstreams.is_empty() || separated.is_empty() {
+            candidates
         } else {
-            &apart
+            &separated
         };
-        if long {
-            return self.choose_prefix_owner(now, request, able);
+        if choice.is_long {
+            self.pick_prefix_owner(choice.now, choice.request, candidates)
+        } else {
+            self.pick_in_lowest_tier(choice.now, candidates)
         }
-        let region = self.region.clone();
+    }
+
+    /// A random pick in the lowest latency tier, that of the own region first; overloaded ones are skipped.
+    fn pick_in_lowest_tier(&mut self, now: Millis, candidates: &[usize]) -> Option<usize> {
+        let region = self.region.as_str();
         let (upstreams, policy) = (&self.upstreams, &self.policy);
-        let rank = |place: usize| {
-            let upstream = upstreams.get(place);
-            let tier = upstream.average.get().map(|_| upstream.membership.tier);
+        let rank = |index: usize| {
+            let upstream = upstreams.get(index);
+            let tier = upstream.probe_time.get().map(|_| upstream.tier.tier);
             (
                 upstream.region != region,
                 tier.filter(|_| policy.latency_tiers),
             )
         };
-        let load = |place: usize| {
+        let load = |index: usize| {
             upstreams
-                .get(place)
+                .get(index)
                 .load(now, policy.reported_load_decay_ms)
         };
-        let limit = match policy.skip_overloaded {
-            true => crowd_limit(able.iter().map(|place| load(*place) as usize)),
-            false => f64::INFINITY,
+        let limit = if policy.skip_overloaded {
+            overload_limit(candidates.iter().map(|index| load(*index) as usize))
+        } else {
+            f64::INFINITY
         };
-        let tiers = ladder(able.iter().copied(), rank);
-        lowest(&mut self.rng, &tiers, |members| {
-            let near: Vec<usize> = members
+        let tiers = group_by_tier(candidates.iter().copied(), rank);
+        pick_in_lowest(&mut self.rng, &tiers, |members| {
+            let below_limit: Vec<usize> = members
                 .iter()
                 .copied()
-                .filter(|place| load(*place) < limit)
+                .filter(|index| load(*index) < limit)
                 .collect();
-            if near.is_empty() {
+            if below_limit.is_empty() {
                 members.to_vec()
             } else {
-                near
+                below_limit
             }
         })
     }
-
-    /// Draws a number from 0 to 1.
-    pub fn draw_fraction(&mut self) -> f64 {
-        self.rng.gen()
-    }
 }
--- a/crates/sandtrack-proxy/src/placement/selection/prefix_affinity.rs
+++ b/crates/sandtrack-proxy/src/placement/selection/prefix_affinity.rs
@@ -1,7 +1,9 @@
-//! Where long prompts go: to the upstream that has read their shared prefix while it can begin in time. Pure.
+//! Prefix cache affinity: a long prompt goes to an upstream that holds its shared prefix in the KV cache, while that one can
+//! begin in time.
 use crate::hashing::mix64;
 use crate::placement::balancer::Balancer;
 use crate::placement::prefill_demand::{PrefillDemand, WeightPrior};
+use crate::placement::prefill_queue::PrefillEstimate;
 use crate::request::ProxyRequest;
 use sandtrack_tiers::Millis;
 use std::collections::BTreeMap;
@@ -9,123 +11,151 @@
 /// How well an upstream suits a long prompt; the first is best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum OwnerClass {
-    /// It has read the shared prefix, and is to begin in time.
+    /// It owns the shared prefix, and is estimated to begin in time.
     CachedInTime,
-    /// It is to begin in time with the whole prompt, and is among those that all proxies compare.
+    /// It is estimated to begin in time with the whole prompt, and is among the candidates of all proxies.
     InTime,
-    /// It is to begin in time with the whole prompt, and only proxies of its region compare it.
+    /// It is estimated to begin in time with the whole prompt, and is a candidate only of proxies of its region.
     LocalInTime,
-    /// It is to begin late.
+    /// It is estimated to begin late.
     Late,
 }
 
 /// An upstream that is compared for a long prompt.
 struct Candidate {
-    place: usize,
-    /// All proxies compare it, by its rank.
-    is_chosen: bool,
+    upstream: usize,
+    /// It is a candidate of all proxies, by its rank.
+    is_global: bool,
+}
+
+/// Weight of each region's upstreams.
+struct RegionWeights<'a>(BTreeMap<&'a str, f64>);
+
+impl RegionWeights<'_> {
+    fn get(&self, region: &str) -> f64 {
+        self.0.get(region).copied().unwrap_or(1.0)
+    }
 }
 
 impl Balancer {
-    /// The departure for long shared prefixes: of a few upstreams, found by weighted rendezvous hashing, the one that is
-    /// estimated to give a first token in time with the least to read. Proxies that know the same choose the same one, wherever
-    /// it is, and reading a prefix once more costs engines ten times what the request costs on its way to another region; but
-    /// where those that have read it can't begin in time, another one reads it as well.
-    pub(super) fn choose_prefix_owner(
+    /// Picks the upstream for a long prompt: of a few, found by weighted rendezvous hashing, the one that is estimated to give
+    /// the first token in time with the least to prefill. Proxies that know the same pick the same one, wherever it is, since
+    /// prefilling a prefix once more costs engines ten times what the way to another region costs the request; but where its
+    /// owners can't begin in time, another upstream prefills it as well.
+    pub(super) fn pick_prefix_owner(
         &self,
         now: Millis,
         request: &ProxyRequest,
-        able: &[usize],
+        eligible: &[usize],
     ) -> Option<usize> {
-        let weights = self.region_weights(now, &request.service, able);
-        let weight = |place: usize| {
-            weights
-                .get(self.upstreams.get(place).region.as_str())
-                .copied()
-                .unwrap_or(1.0)
-        };
-        let limit = request.route.target_latency_ms * self.policy.first_token_target_ratio;
-        let cost = |candidate: &Candidate| {
-            let upstream = self.upstreams.get(candidate.place);
-            let estimate = self
-                .prefill_queues
-                .estimate(now, request, upstream, &self.policy);
-            let trip = self.region_round_trips.get(&upstream.region).unwrap_or(0.0);
-            let time = estimate.time + self.policy.first_token_round_trips * trip;
-            let class = match (time <= limit, estimate.kept, candidate.is_chosen) {
-                (true, true, _) => OwnerClass::CachedInTime,
-                (true, false, true) => OwnerClass::InTime,
-                (true, false, false) => OwnerClass::LocalInTime,
-                (false, _, _) => OwnerClass::Late,
-            };
-            // While all are in time the way there counts for nothing: all proxies are to choose the same one. What is bound to a
-            // region leaves only a part of its upstreams' time.
-            let cost = match class {
-                OwnerClass::Late => time - estimate.time + estimate.time / weight(candidate.place),
-                OwnerClass::CachedInTime => estimate.time,
-                // A proxy that has just started does not know who has read what: the first by rank is the likeliest.
-                OwnerClass::InTime | OwnerClass::LocalInTime => {
-                    (estimate.ahead - self.policy.idle_backlog_ms).max(0.0)
-                        / weight(candidate.place)
-                }
-            };
-            (class, cost)
-        };
-        let candidates = self.prefix_owner_candidates(request, able, &weight);
-        let costs = candidates
-            .iter()
-            .map(|candidate| (cost(candidate), candidate.place));
-        // Of those alike the first by rank.
+        let weights = self.region_weights(now, &request.service, eligible);
+        let candidates = self.prefix_owner_candidates(request, eligible, &weights);
+        let costs = candidates.iter().map(|candidate| {
+            let cost = self.prefix_owner_cost(now, request, candidate, &weights);
+            (cost, candidate.upstream)
+        });
+        // Of equal ones the first by rank.
         let least = costs
             .min_by(|(one, _), (other, _)| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
-        least.map(|(_, place)| place)
+        least.map(|(_, upstream)| upstream)
+    }
+
+    /// Class of a candidate, and its cost within the class in ms.
+    fn prefix_owner_cost(
+        &self,
+        now: Millis,
+        request: &ProxyRequest,
+        candidate: &Candidate,
+        weights: &RegionWeights<'_>,
+    ) -> (OwnerClass, f64) {
+        let upstream = self.upstreams.get(candidate.upstream);
+        let estimate = self
+            .prefill_queues
+            .estimate(now, request, upstream, &self.policy);
+        let round_trip = self.region_round_trips.get(&upstream.region).unwrap_or(0.0);
+        let time = estimate.total_time + self.policy.first_token_round_trips * round_trip;
+        let limit = request.route.target_latency_ms * self.policy.first_token_target_ratio;
+        let class = match (time <= limit, estimate.is_cached, candidate.is_global) {
+            (true, true, _) => OwnerClass::CachedInTime,
+            (true, false, true) => OwnerClass::InTime,
+            (true, false, false) => OwnerClass::LocalInTime,
+            (false, _, _) => OwnerClass::Late,
+        };
+        let weight = weights.get(&upstream.region);
+        (class, self.cost_in_class(class, time, &estimate, weight))
+    }
+
+    /// While all candidates are in time the round trip counts for nothing, as all proxies are to pick the same one. The
+    /// upstreams of a region with bound requests have only a fraction (`weight`) of their time for long prompts.
+    fn cost_in_class(
+        &self,
+        class: OwnerClass,
+        time: Millis,
+        estimate: &PrefillEstimate,
+        weight: f64,
+    ) -> f64 {
+        match class {
+            OwnerClass::Late => time - estimate.total_time + estimate.total_time / weight,
+            OwnerClass::CachedInTime => estimate.total_time,
+            // A proxy that has just started does not know the owners: the first by rank is the likeliest.
+            OwnerClass::InTime | OwnerClass::LocalInTime => {
+                (estimate.queueing_time - self.policy.idle_backlog_ms).max(0.0) / weight
+            }
+        }
     }
 
-    /// The upstreams that are compared for a long prompt, by rank: the first of all, those that have read its prefix, and the
-    /// first of the own region.
+    /// The upstreams that are compared for a long prompt, by rank: the first of all, the owners of its prefix, and the first
+    /// of the own region.
     fn prefix_owner_candidates(
         &self,
         request: &ProxyRequest,
-        able: &[usize],
-        weight: &impl Fn(usize) -> f64,
+        eligible: &[usize],
+        weights: &RegionWeights<'_>,
     ) -> Vec<Candidate> {
         let key = request.shared_key();
-        let keeps = self.prefill_queues.keeps(request);
-        // Weighted rendezvous hashing: a share of the draws in proportion to the weight, and few move when one goes.
-        let rank = |place: usize| {
-            let draw =
-                (mix64(key ^ self.upstreams.get(place).hash) >> 11) as f64 / (1u64 << 53) as f64;
-            -(draw.max(f64::MIN_POSITIVE)).ln() / weight(place)
-        };
-        let mut ranked: Vec<(f64, usize)> =
-            able.iter().map(|place| (rank(*place), *place)).collect();
+        let owns_prefix = self.prefill_queues.prefix_owner_filter(request);
+        let mut ranked: Vec<(f64, usize)> = eligible
+            .iter()
+            .map(|index| (self.rendezvous_rank(key, *index, weights), *index))
+            .collect();
         ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        let choices = self.policy.prefix_owner_candidates.max(1);
-        let mut near_choices = 0;
+        let count = self.policy.prefix_owner_candidates.max(1);
+        let mut local_count = 0;
         let mut candidates = Vec::new();
-        for (at, (_, place)) in ranked.into_iter().enumerate() {
-            let upstream = self.upstreams.get(place);
-            let is_near = upstream.region == self.region && near_choices < choices;
-            near_choices += usize::from(is_near);
-            let is_chosen = at < choices;
-            if is_chosen || is_near || keeps(upstream) {
-                candidates.push(Candidate { place, is_chosen });
+        for (rank, (_, index)) in ranked.into_iter().enumerate() {
+            let upstream = self.upstreams.get(index);
+            let is_local = upstream.region == self.region && local_count < count;
+            local_count += usize::from(is_local);
+            let is_global = rank < count;
+            if is_global || is_local || owns_prefix(upstream) {
+                candidates.push(Candidate {
+                    upstream: index,
+                    is_global,
+                });
             }
         }
         candidates
     }
 
-    /// Weight of each region's upstreams as keepers. Regions to which as few routes are bound as to any other weigh 1.
-    fn region_weights(&self, now: Millis, service: &str, able: &[usize]) -> BTreeMap<&str, f64> {
+    /// Rank of an upstream for a prefix by weighted rendezvous hashing, the lowest first: an upstream is first for a fraction
+    /// of all prefixes in proportion to its weight, and few prefixes move when one is removed.
+    fn rendezvous_rank(&self, key: u64, index: usize, weights: &RegionWeights<'_>) -> f64 {
+        let upstream = self.upstreams.get(index);
+        // The upper 53 bits, as a fraction of 1.
+        let draw = (mix64(key ^ upstream.name_hash) >> 11) as f64 / (1u64 << 53) as f64;
+        -(draw.max(f64::MIN_POSITIVE)).ln() / weights.get(&upstream.region)
+    }
+
+    /// Weight of each region's upstreams for long prompts. Regions to which as few routes are bound as to any other weigh 1.
+    fn region_weights(&self, now: Millis, service: &str, eligible: &[usize]) -> RegionWeights<'_> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        for place in able {
-            *counts
-                .entry(self.upstreams.get(*place).region.as_str())
-                .or_default() += 1;
+        for index in eligible {
+            let region = self.upstreams.get(*index).region.as_str();
+            *counts.entry(region).or_default() += 1;
         }
         let least = counts
             .keys()
-            .map(|region| self.bound(service, region))
+            .map(|region| self.bound_routes(service, region))
             .min()
             .unwrap_or(0);
         let prior = WeightPrior {
@@ -134,13 +164,13 @@
             least: self.policy.min_region_weight,
         };
         let nothing_seen = PrefillDemand::new(&self.policy);
-        let seen = self.prefill_demands.get(service).unwrap_or(&nothing_seen);
-        let mut weights = seen.weights(now, &counts, prior);
+        let demand = self.prefill_demands.get(service).unwrap_or(&nothing_seen);
+        let mut weights = demand.region_weights(now, &counts, prior);
         for (region, weight) in &mut weights {
-            if self.bound(service, region) == least {
+            if self.bound_routes(service, region) == least {
                 *weight = 1.0;
             }
         }
-        weights
+        RegionWeights(weights)
     }
 }
--- a/crates/sandtrack-proxy/src/placement/zone_health.rs
+++ b/crates/sandtrack-proxy/src/placement/zone_health.rs
@@ -1,16 +1,18 @@
-//! Which zones look lost as a whole: where several upstreams of a zone failed of late and none of it was heard since, the
-//! others are taken for lost too, before each has cost a request. Pure; folded from probes and sends.
+//! Failure detection for whole zones: where several upstreams of a zone failed lately and none was seen since, the others are
+//! taken for failed too, before each of them has cost a request.
 use crate::policy::Policy;
 use sandtrack_tiers::Millis;
 use std::collections::HashMap;
 
-/// When upstreams failed last, by zone and identifier, since any upstream of the zone was heard.
+/// Failures of upstreams by zone.
 #[derive(Clone, Debug)]
 pub struct ZoneFailureDetector {
-    failed: HashMap<String, HashMap<String, Millis>>,
-    /// See [`Policy::zone_failure_threshold`] and [`Policy::zone_failure_window_ms`].
-    failures: usize,
-    counts_for: Millis,
+    /// When each upstream last failed, by zone and identifier, since any upstream of the zone was seen.
+    failed_at: HashMap<String, HashMap<String, Millis>>,
+    /// [`Policy::zone_failure_threshold`].
+    threshold: usize,
+    /// [`Policy::zone_failure_window_ms`].
+    window: Millis,
 }
 
 impl Default for ZoneFailureDetector {
@@ -20,37 +22,38 @@
 }
 
 impl ZoneFailureDetector {
-    /// One that has heard of no failure.
+    /// A detector without any failure.
     #[must_use]
     pub fn new(policy: &Policy) -> ZoneFailureDetector {
-        let (failures, counts_for) = (policy.zone_failure_threshold, policy.zone_failure_window_ms);
         ZoneFailureDetector {
-            failed: HashMap::new(),
-            failures,
-            counts_for,
+            failed_at: HashMap::new(),
+            threshold: policy.zone_failure_threshold,
+            window: policy.zone_failure_window_ms,
         }
     }
 
-    /// A probe or a send to this upstream failed. Whether its zone counts as silent from now on.
-    pub fn failed(&mut self, now: Millis, zone: &str, identifier: &str) -> bool {
-        let was_silent = self.is_silent(now, zone);
-        let failed = self.failed.entry(zone.to_owned()).or_default();
-        failed.retain(|_, at| now - *at <= self.counts_for);
-        failed.insert(identifier.to_owned(), now);
-        !was_silent && self.is_silent(now, zone)
+    /// A probe of this upstream or a send to it failed. Returns whether its zone counts as failed from now on, and did not
+    /// before.
+    pub fn upstream_failed(&mut self, now: Millis, zone: &str, identifier: &str) -> bool {
+        let had_failed = self.has_failed(now, zone);
+        let window = self.window;
+        let failed_at = self.failed_at.entry(zone.to_owned()).or_default();
+        failed_at.retain(|_, at| now - *at <= window);
+        failed_at.insert(identifier.to_owned(), now);
+        !had_failed && self.has_failed(now, zone)
     }
 
-    /// An upstream of the zone was heard.
-    pub fn heard(&mut self, zone: &str) {
-        self.failed.remove(zone);
+    /// Bytes arrived from an upstream of the zone.
+    pub fn upstream_seen(&mut self, zone: &str) {
+        self.failed_at.remove(zone);
     }
 
-    /// Whether the zone looks lost.
+    /// Whether the zone counts as failed.
     #[must_use]
-    pub fn is_silent(&self, now: Millis, zone: &str) -> bool {
-        let counts = |at: &&Millis| now - **at <= self.counts_for;
-        self.failed
+    pub fn has_failed(&self, now: Millis, zone: &str) -> bool {
+        let is_recent = |at: &&Millis| now - **at <= self.window;
+        self.failed_at
             .get(zone)
-            .is_some_and(|failed| failed.values().filter(counts).count() >= self.failures)
+            .is_some_and(|failed_at| failed_at.values().filter(is_recent).count() >= self.threshold)
     }
 }
--- a/crates/sandtrack-proxy/src/probing.rs
+++ b/crates/sandtrack-proxy/src/probing.rs
@@ -1,4 +1,5 @@
 //! Health probes: asks upstreams that are due, each in a task of its own.
+use crate::placement::balancer::DueProbe;
 use crate::placement::upstreams::ServerLoad;
 use crate::pool::connect;
 use crate::shared::Shared;
@@ -20,7 +21,12 @@
     loop {
         let now = shared.clock.now();
         let due = shared.balancer.borrow_mut().probes_due(now);
-        for (place, address, path) in due {
+        for DueProbe {
+            upstream: place,
+            address,
+            path,
+        } in due
+        {
             let probing = shared.clone();
             shared
                 .executor
--- a/crates/sandtrack-proxy/tests/common/mod.rs
+++ b/crates/sandtrack-proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, a configuration, upstreams, and an balancer that knows them.
+//! What the tests share: settings, a configuration, upstreams, and a balancer that knows them.
 #![allow(dead_code)]
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
 use sandtrack_protocol::settings::Settings;
@@ -42,7 +42,24 @@
     }
 }
 
-/// An balancer of zone a with the configuration above and these upstreams, one of twelve proxies.
+/// Three upstreams of a service in each of two zones of the own region, five in the other region.
+pub fn fleet() -> Vec<UpstreamEntry> {
+    let mut all = Vec::new();
+    for (zone, count) in [("a", 3), ("b", 3), ("c", 5)] {
+        all.extend((0..count).map(|at| entry(&format!("{zone}{at}"), "model", zone)));
+    }
+    all
+}
+
+/// Index of a listed upstream.
+pub fn index_of(balancer: &Balancer, identifier: &str) -> usize {
+    balancer
+        .upstreams
+        .index_of(identifier)
+        .expect("it is listed")
+}
+
+/// A balancer of zone a with the configuration above and these upstreams, one of twelve proxies.
 pub fn balancer(entries: Vec<UpstreamEntry>) -> Balancer {
     let mut balancer = Balancer::new(&settings(), 1);
     let document = CONFIGURATION.to_owned();
@@ -76,13 +93,14 @@
 
 /// A probe of every upstream is answered after what its zone takes: a 1 ms, b 2 ms, c 110 ms.
 pub fn probe_all(balancer: &mut Balancer, now: f64) {
-    for (place, _, _) in balancer.probes_due(now) {
-        let elapsed = match balancer.upstreams.get(place).entry.zone.as_str() {
+    for probe in balancer.probes_due(now) {
+        let index = probe.upstream;
+        let elapsed = match balancer.upstreams.get(index).entry.zone.as_str() {
             "a" => 1.0,
             "b" => 2.0,
             _ => 110.0,
         };
-        balancer.probe_finished(now, place, Some(elapsed));
+        balancer.probe_finished(now, index, Some(elapsed));
     }
 }
 
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/drawn_fleets.rs
@@ -21,7 +21,7 @@
 }
 
 impl Fleet {
-    fn drawn(seed: u64) -> Fleet {
+    fn picked(seed: u64) -> Fleet {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut entries: Vec<UpstreamEntry> = Vec::new();
         let slots = random.gen_range(1..=96);
@@ -36,13 +36,13 @@
         let mut balancer = balancer(entries);
         let way = [1.0, 10.0, 75.0, 300.0][random.gen_range(0..4)];
         let all: Vec<usize> = balancer.upstreams.listed().collect();
-        for place in all {
-            let trip = if balancer.upstreams.get(place).region == "north" {
+        for index in all {
+            let trip = if balancer.upstreams.get(index).region == "north" {
                 1.0
             } else {
                 2.0 * way
             };
-            balancer.probe_finished(0.0, place, Some(trip));
+            balancer.probe_finished(0.0, index, Some(trip));
         }
         let evacuated: BTreeSet<&str> = ZONES
             .iter()
@@ -75,8 +75,8 @@
     }
 
     /// Whether an upstream may serve the request, by the rules alone.
-    fn may_serve(&self, request: &ProxyRequest, place: usize) -> bool {
-        let upstream = self.balancer.upstreams.get(place);
+    fn may_serve(&self, request: &ProxyRequest, index: usize) -> bool {
+        let upstream = self.balancer.upstreams.get(index);
         let homes = &request.route.home_regions;
         !upstream.entry.draining
             && !self.evacuated.contains(upstream.entry.zone.as_str())
@@ -87,7 +87,7 @@
         self.balancer
             .upstreams
             .listed()
-            .filter(|place| self.may_serve(request, *place))
+            .filter(|index| self.may_serve(request, *index))
             .collect()
     }
 }
@@ -103,29 +103,34 @@
 }
 
 #[test]
-fn nobody_waits_while_one_that_may_serve_has_room_and_nothing_goes_where_it_may_not() {
+fn no_request_waits_while_an_eligible_upstream_has_capacity_and_none_goes_to_another() {
     for seed in 0..FLEETS {
-        let mut fleet = Fleet::drawn(seed);
+        let mut fleet = Fleet::picked(seed);
         for step in 0..300 {
             let now = 10.0 * f64::from(step);
             let request = fleet.request();
             let able = fleet.able(&request);
             let loads: Vec<(usize, f64)> = able
                 .iter()
-                .map(|place| (*place, fleet.balancer.upstreams.get(*place).own as f64))
+                .map(|index| {
+                    (
+                        *index,
+                        fleet.balancer.upstreams.get(*index).in_flight as f64,
+                    )
+                })
                 .collect();
-            let slots = |place: usize| fleet.balancer.upstreams.get(place).slots();
+            let slots = |index: usize| fleet.balancer.upstreams.get(index).slots();
             let has_room = loads
                 .iter()
-                .any(|(place, load)| load + 1.0 <= slots(*place) * 1.5);
+                .any(|(index, load)| load + 1.0 <= slots(*index) * 1.5);
             match fleet.balancer.choose_upstream(now, &request, &[]) {
-                Placement::Send(place) => {
+                Placement::Send(index) => {
                     assert!(
-                        fleet.may_serve(&request, place),
+                        fleet.may_serve(&request, index),
                         "fleet {seed}, step {step}"
                     );
-                    fleet.balancer.send_started(place);
-                    fleet.balancer.long_prompt_sent(now, &request, place);
+                    fleet.balancer.send_started(index);
+                    fleet.balancer.long_prompt_sent(now, &request, index);
                 }
                 Placement::Wait => {
                     assert!(!has_room, "fleet {seed}, step {step}: it waits beside room")
@@ -137,22 +142,22 @@
 }
 
 #[test]
-fn a_prefix_is_read_once_while_all_is_well() {
+fn a_prefix_is_prefilled_once_while_nothing_fails() {
     for seed in 0..FLEETS {
-        let mut fleet = Fleet::drawn(seed);
+        let mut fleet = Fleet::picked(seed);
         let mut readers: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
         for step in 0..120 {
             // Far enough from each other for each to be read before the next one comes.
             let now = 3000.0 * f64::from(step);
             let prefix = fleet.random.gen_range(1..20);
             let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placement::Send(place) = fleet.balancer.choose_upstream(now, &letter, &[]) {
-                fleet.balancer.send_started(place);
-                fleet.balancer.long_prompt_sent(now, &letter, place);
+            if let Placement::Send(index) = fleet.balancer.choose_upstream(now, &letter, &[]) {
+                fleet.balancer.send_started(index);
+                fleet.balancer.long_prompt_sent(now, &letter, index);
                 fleet
                     .balancer
-                    .send_finished(now + 500.0, place, SendOutcome::Completed);
-                readers.entry(prefix).or_default().insert(place);
+                    .send_finished(now + 500.0, index, SendOutcome::Completed);
+                readers.entry(prefix).or_default().insert(index);
             }
         }
         assert!(
@@ -163,42 +168,42 @@
 }
 
 #[test]
-fn a_lost_zone_is_left_within_two_failures() {
+fn a_failed_zone_is_avoided_after_two_failures() {
     for seed in 0..FLEETS {
-        let mut fleet = Fleet::drawn(seed);
+        let mut fleet = Fleet::picked(seed);
         let request = letter(&fleet.balancer, 3, 10_000);
         let able = fleet.able(&request);
         let zone =
-            |fleet: &Fleet, place: usize| fleet.balancer.upstreams.get(place).entry.zone.clone();
-        let Some(lost) = able.first().map(|place| zone(&fleet, *place)) else {
+            |fleet: &Fleet, index: usize| fleet.balancer.upstreams.get(index).entry.zone.clone();
+        let Some(lost) = able.first().map(|index| zone(&fleet, *index)) else {
             continue;
         };
         let (in_lost, others): (Vec<usize>, Vec<usize>) = able
             .into_iter()
-            .partition(|place| zone(&fleet, *place) == lost);
+            .partition(|index| zone(&fleet, *index) == lost);
         if in_lost.len() < 2 || others.is_empty() {
             continue;
         }
-        for place in &in_lost[..2] {
-            fleet.balancer.send_started(*place);
+        for index in &in_lost[..2] {
+            fleet.balancer.send_started(*index);
             fleet
                 .balancer
-                .send_finished(100.0, *place, SendOutcome::ConnectionFailed);
+                .send_finished(100.0, *index, SendOutcome::ConnectionFailed);
         }
         for prefix in 1..40 {
             let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placement::Send(place) = fleet.balancer.choose_upstream(300.0, &letter, &[]) {
-                assert_ne!(zone(&fleet, place), lost, "fleet {seed}");
+            if let Placement::Send(index) = fleet.balancer.choose_upstream(300.0, &letter, &[]) {
+                assert_ne!(zone(&fleet, index), lost, "fleet {seed}");
             }
         }
     }
 }
 
 #[test]
-fn load_within_the_own_region_is_even_and_one_far_above_the_mean_gets_nothing_more() {
+fn load_within_the_own_region_is_even_and_an_overloaded_upstream_gets_nothing_more() {
     let mut played = 0;
     for seed in 0..FLEETS {
-        let mut fleet = Fleet::drawn(seed);
+        let mut fleet = Fleet::picked(seed);
         let request = request(
             &fleet.balancer,
             "/tags/1",
@@ -208,7 +213,7 @@
         let used = able.len().min(fleet.balancer.policy.local_subset_size);
         let slots = able
             .first()
-            .map_or(0.0, |place| fleet.balancer.upstreams.get(*place).slots());
+            .map_or(0.0, |index| fleet.balancer.upstreams.get(*index).slots());
         // A quarter of the places of those that it uses, beside one that is half full.
         let (count, held) = ((used as f64 * slots / 4.0) as usize, (slots / 2.0) as usize);
         let Placement::Send(crowded) = fleet.balancer.choose_upstream(0.0, &request, &[]) else {
@@ -220,11 +225,11 @@
         played += 1;
         (0..held).for_each(|_| fleet.balancer.send_started(crowded));
         for _ in 0..count {
-            if let Placement::Send(place) = fleet.balancer.choose_upstream(1.0, &request, &[]) {
-                fleet.balancer.send_started(place);
+            if let Placement::Send(index) = fleet.balancer.choose_upstream(1.0, &request, &[]) {
+                fleet.balancer.send_started(index);
             }
         }
-        let own = |place: &usize| fleet.balancer.upstreams.get(*place).own as f64;
+        let own = |index: &usize| fleet.balancer.upstreams.get(*index).in_flight as f64;
         let mean = count as f64 / used as f64;
         let added = own(&crowded) - held as f64;
         assert!(
@@ -233,7 +238,7 @@
         );
         let most = able
             .iter()
-            .filter(|place| **place != crowded)
+            .filter(|index| **index != crowded)
             .map(own)
             .fold(0.0, f64::max);
         assert!(
--- a/crates/sandtrack-proxy/tests/idle_connection_trust.rs
+++ b/crates/sandtrack-proxy/tests/idle_connection_trust.rs
@@ -1,6 +1,6 @@
-//! Idle connections for what may run only once.
+//! Idle connections for non-idempotent requests.
 mod common;
-use common::{balancer, entry};
+use common::{balancer, entry, index_of};
 use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 
 /// Two upstreams of one service and one of another.
@@ -12,21 +12,14 @@
     ])
 }
 
-fn place_of(balancer: &Balancer, identifier: &str) -> usize {
-    balancer
-        .upstreams
-        .index_of(identifier)
-        .expect("it is listed")
-}
-
 #[test]
-fn an_upstream_is_proven_alive_for_a_while_after_it_was_heard() {
+fn idle_connections_are_trusted_for_a_while_after_their_upstream_was_seen() {
     let mut balancer = known();
-    let (one, other) = (place_of(&balancer, "m1"), place_of(&balancer, "m2"));
+    let (one, other) = (index_of(&balancer, "m1"), index_of(&balancer, "m2"));
     let lasts = balancer.policy.idle_trust_ms;
     assert!(
         !balancer.trusts_idle_connections(1000.0, one),
-        "nothing was heard yet"
+        "never seen yet"
     );
     balancer.upstream_seen(1000.0, one);
     assert!(balancer.trusts_idle_connections(1000.0 + lasts, one));
@@ -36,35 +29,35 @@
     );
     assert!(
         !balancer.trusts_idle_connections(1000.0, other),
-        "another one was heard"
+        "another one was seen"
     );
 }
 
 #[test]
-fn one_that_failed_since_is_not_proven_alive() {
+fn idle_connections_are_not_trusted_after_a_failure() {
     let mut balancer = known();
-    let place = place_of(&balancer, "m1");
-    balancer.upstream_seen(1000.0, place);
-    balancer.send_started(place);
-    balancer.send_finished(1010.0, place, SendOutcome::ConnectionFailed);
-    assert!(!balancer.trusts_idle_connections(1020.0, place));
+    let index = index_of(&balancer, "m1");
+    balancer.upstream_seen(1000.0, index);
+    balancer.send_started(index);
+    balancer.send_finished(1010.0, index, SendOutcome::ConnectionFailed);
+    assert!(!balancer.trusts_idle_connections(1020.0, index));
 }
 
 #[test]
-fn an_idle_connection_that_broke_without_a_word_is_a_warning_for_its_whole_service() {
+fn an_idle_connection_found_closed_is_a_warning_for_its_whole_service() {
     let mut balancer = known();
     let lasts = balancer.policy.idle_distrust_ms;
-    let places = ["m1", "m2", "p1"].map(|identifier| place_of(&balancer, identifier));
-    places
+    let indices = ["m1", "m2", "p1"].map(|identifier| index_of(&balancer, identifier));
+    indices
         .iter()
-        .for_each(|place| balancer.upstream_seen(1000.0, *place));
-    balancer.idle_connection_failed(1000.0, places[0]);
+        .for_each(|index| balancer.upstream_seen(1000.0, *index));
+    balancer.idle_connection_failed(1000.0, indices[0]);
     let proven = |balancer: &Balancer, now: f64| {
-        places.map(|place| balancer.trusts_idle_connections(now, place))
+        indices.map(|index| balancer.trusts_idle_connections(now, index))
     };
     assert_eq!(proven(&balancer, 1100.0), [false, false, true]);
-    places
+    indices
         .iter()
-        .for_each(|place| balancer.upstream_seen(1000.0 + lasts, *place));
+        .for_each(|index| balancer.upstream_seen(1000.0 + lasts, *index));
     assert_eq!(proven(&balancer, 1000.0 + lasts), [true, true, true]);
 }
--- a/crates/sandtrack-proxy/tests/placement.rs
+++ b/crates/sandtrack-proxy/tests/placement.rs
@@ -1,43 +1,32 @@
-//! Where requests go.
+//! Selection of upstreams.
 mod common;
-use common::{balancer, entry, probe_all, request};
+use common::{balancer, entry, fleet, index_of, probe_all, request};
 use sandtrack_protocol::frames::ToProxy;
-use sandtrack_proxy::placement::balancer::SendOutcome;
+use sandtrack_proxy::placement::balancer::{ApplyOutcome, Balancer, SendOutcome};
 use sandtrack_proxy::placement::selection::Placement;
+use sandtrack_proxy::request::ProxyRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn fleet() -> Vec<sandtrack_protocol::frames::UpstreamEntry> {
-    let mut all = Vec::new();
-    for (zone, count) in [("a", 3), ("b", 3), ("c", 5)] {
-        all.extend((0..count).map(|at| entry(&format!("{zone}{at}"), "model", zone)));
-    }
-    all
-}
-
 /// How often each upstream is drawn for requests that end at once.
-fn draws(
-    balancer: &mut sandtrack_proxy::placement::balancer::Balancer,
-    target: &str,
-    count: usize,
-) -> BTreeMap<String, usize> {
-    let mut drawn = BTreeMap::new();
+fn picks(balancer: &mut Balancer, target: &str, count: usize) -> BTreeMap<String, usize> {
+    let mut picked = BTreeMap::new();
     let request = request(balancer, target, &[]);
     for _ in 0..count {
-        if let Placement::Send(place) = balancer.choose_upstream(1000.0, &request, &[]) {
-            *drawn
-                .entry(balancer.upstreams.get(place).entry.identifier.clone())
+        if let Placement::Send(index) = balancer.choose_upstream(1000.0, &request, &[]) {
+            *picked
+                .entry(balancer.upstreams.get(index).entry.identifier.clone())
                 .or_default() += 1;
         }
     }
-    drawn
+    picked
 }
 
 /// Places of the upstreams in the own region.
-fn places_in_north(balancer: &sandtrack_proxy::placement::balancer::Balancer) -> Vec<usize> {
+fn indices_in_north(balancer: &Balancer) -> Vec<usize> {
     let upstreams = &balancer.upstreams;
     upstreams
         .listed()
-        .filter(|place| upstreams.get(*place).region == "north")
+        .filter(|index| upstreams.get(*index).region == "north")
         .collect()
 }
 
@@ -45,38 +34,42 @@
 fn a_random_pick_in_the_nearest_tier_of_the_own_region() {
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
-    let drawn = draws(&mut balancer, "/letters/1", 600);
-    assert_eq!(drawn.len(), 6, "{drawn:?}");
-    assert!(drawn.values().all(|count| *count > 60), "{drawn:?}");
-    assert!(drawn.keys().all(|name| !name.starts_with('c')), "{drawn:?}");
+    let picked = picks(&mut balancer, "/letters/1", 600);
+    assert_eq!(picked.len(), 6, "{picked:?}");
+    assert!(picked.values().all(|count| *count > 60), "{picked:?}");
+    assert!(
+        picked.keys().all(|name| !name.starts_with('c')),
+        "{picked:?}"
+    );
 }
 
 #[test]
-fn the_far_region_serves_once_the_near_one_has_no_room_but_never_a_request_with_another_home() {
+fn the_remote_region_serves_once_the_own_one_has_no_capacity_but_never_a_request_with_another_home()
+{
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
     let (letter, tag) = (
         request(&balancer, "/letters/1", &[]),
         request(&balancer, "/tags/1", &[]),
     );
-    let near = places_in_north(&balancer);
+    let near = indices_in_north(&balancer);
     near.iter()
-        .for_each(|place| (0..4).for_each(|_| balancer.send_started(*place)));
-    let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+        .for_each(|index| (0..4).for_each(|_| balancer.send_started(*index)));
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
         panic!("the far region has room")
     };
-    assert_eq!(balancer.upstreams.get(place).region, "south");
-    let Placement::Send(place) = balancer.choose_upstream(1000.0, &tag, &[]) else {
+    assert_eq!(balancer.upstreams.get(index).region, "south");
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &tag, &[]) else {
         panic!("the near one queues")
     };
-    assert_eq!(balancer.upstreams.get(place).region, "north");
+    assert_eq!(balancer.upstreams.get(index).region, "north");
     near.iter()
-        .for_each(|place| (0..9).for_each(|_| balancer.send_started(*place)));
+        .for_each(|index| (0..9).for_each(|_| balancer.send_started(*index)));
     assert_eq!(balancer.choose_upstream(1000.0, &tag, &[]), Placement::Wait);
 }
 
 #[test]
-fn draining_gone_and_evacuated_ones_get_nothing() {
+fn draining_removed_and_evacuated_upstreams_get_nothing() {
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
     let mut draining = entry("a0", "model", "a");
@@ -97,8 +90,11 @@
             zones: vec!["b".to_owned()],
         },
     );
-    let drawn = draws(&mut balancer, "/letters/1", 100);
-    assert_eq!(drawn.keys().map(String::as_str).collect::<Vec<_>>(), ["a2"]);
+    let picked = picks(&mut balancer, "/letters/1", 100);
+    assert_eq!(
+        picked.keys().map(String::as_str).collect::<Vec<_>>(),
+        ["a2"]
+    );
     // An order that is older than what is known takes nothing back.
     balancer.apply(
         1.0,
@@ -107,7 +103,7 @@
             zones: Vec::new(),
         },
     );
-    assert_eq!(draws(&mut balancer, "/letters/1", 100).len(), 1);
+    assert_eq!(picks(&mut balancer, "/letters/1", 100).len(), 1);
     balancer.apply(
         1.0,
         ToProxy::Evacuated {
@@ -115,31 +111,31 @@
             zones: Vec::new(),
         },
     );
-    assert_eq!(draws(&mut balancer, "/letters/1", 100).len(), 4);
+    assert_eq!(picks(&mut balancer, "/letters/1", 100).len(), 4);
 }
 
 #[test]
-fn two_failures_make_one_unhealthy_a_probe_restores_it_and_where_all_are_all_serve() {
+fn two_failures_make_an_upstream_unhealthy_a_probe_restores_it_and_where_all_are_all_serve() {
     let mut balancer = balancer(vec![entry("a0", "model", "a"), entry("a1", "model", "a")]);
     probe_all(&mut balancer, 0.0);
-    let place = balancer.upstreams.index_of("a0").expect("it is listed");
+    let index = index_of(&balancer, "a0");
     for _ in 0..2 {
-        balancer.send_started(place);
-        balancer.send_finished(10.0, place, SendOutcome::ConnectionFailed);
+        balancer.send_started(index);
+        balancer.send_finished(10.0, index, SendOutcome::ConnectionFailed);
     }
-    assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 1);
-    let other = balancer.upstreams.index_of("a1").expect("it is listed");
+    assert_eq!(picks(&mut balancer, "/letters/1", 50).len(), 1);
+    let other = index_of(&balancer, "a1");
     for _ in 0..2 {
         balancer.send_started(other);
         balancer.send_finished(10.0, other, SendOutcome::ConnectionFailed);
     }
-    assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 2);
+    assert_eq!(picks(&mut balancer, "/letters/1", 50).len(), 2);
     probe_all(&mut balancer, 2000.0);
-    assert!(balancer.upstreams.get(place).run.is_healthy());
+    assert!(balancer.upstreams.get(index).failures.is_healthy());
 }
 
 #[test]
-fn a_cold_one_gets_the_share_of_one_proxy_in_any_second() {
+fn an_upstream_in_slow_start_gets_the_quota_of_one_proxy_in_any_second() {
     let mut cold = entry("a0", "model", "a");
     cold.cold_remaining_ms = 60_000;
     let mut balancer = balancer(vec![cold]);
@@ -163,79 +159,68 @@
     assert!(sends.len() >= 8, "{}", sends.len());
 }
 
-/// Control counts one that it does not hear for 30 s; then others get its share.
+/// Requests sent within the second that begins at `from`, one of which arrives each millisecond.
+fn sent_within_a_second(balancer: &mut Balancer, request: &ProxyRequest, from: f64) -> usize {
+    (0..1000)
+        .map(|step| from + f64::from(step))
+        .filter(|now| {
+            let placement = balancer.choose_upstream(*now, request, &[]);
+            matches!(placement, Placement::Send(_))
+        })
+        .count()
+}
+
+/// Control counts a proxy that it does not hear for 30 s; then others get its quota.
 #[test]
-fn a_share_ends_where_control_was_not_heard_for_long() {
-    let mut cold = entry("a0", "model", "a");
-    cold.cold_remaining_ms = 120_000;
-    let mut balancer = balancer(vec![cold]);
+fn a_quota_shrinks_where_control_sent_no_heartbeat_for_long() {
+    let mut warming_up = entry("a0", "model", "a");
+    warming_up.cold_remaining_ms = 120_000;
+    let mut balancer = balancer(vec![warming_up]);
     let letter = request(&balancer, "/letters/1", &[]);
-    let mut sent_within = |from: f64| {
-        let steps = (0..1000).map(|step| from + f64::from(step));
-        steps
-            .filter(|now| {
-                matches!(
-                    balancer.choose_upstream(*now, &letter, &[]),
-                    Placement::Send(_)
-                )
-            })
-            .count()
-    };
-    assert_eq!(sent_within(20_000.0), 4, "a twelfth of the bound");
-    assert!(sent_within(29_000.0) <= 1, "as if there were a hundred");
+    assert_eq!(
+        sent_within_a_second(&mut balancer, &letter, 20_000.0),
+        4,
+        "a twelfth of the limit"
+    );
+    assert!(
+        sent_within_a_second(&mut balancer, &letter, 29_000.0) <= 1,
+        "as if there were a hundred"
+    );
     balancer.apply(40_000.0, ToProxy::Beat { attached: false });
-    let mut sent_within = |from: f64| {
-        let steps = (0..1000).map(|step| from + f64::from(step));
-        steps
-            .filter(|now| {
-                matches!(
-                    balancer.choose_upstream(*now, &letter, &[]),
-                    Placement::Send(_)
-                )
-            })
-            .count()
-    };
     assert!(
-        sent_within(41_000.0) <= 1,
-        "a control node that hears no majority does not know either"
+        sent_within_a_second(&mut balancer, &letter, 41_000.0) <= 1,
+        "a control node without contact to a majority does not know either"
     );
     balancer.apply(50_000.0, ToProxy::Beat { attached: true });
-    let steps = (0..1000).map(|step| 51_000.0 + f64::from(step));
-    let sent = steps
-        .filter(|now| {
-            matches!(
-                balancer.choose_upstream(*now, &letter, &[]),
-                Placement::Send(_)
-            )
-        })
-        .count();
-    assert_eq!(sent, 4, "control counts it again");
+    assert_eq!(
+        sent_within_a_second(&mut balancer, &letter, 51_000.0),
+        4,
+        "control counts it again"
+    );
 }
 
 #[test]
-fn long_shared_parts_go_to_one_upstream_that_all_proxies_agree_on() {
+fn long_shared_prefixes_go_to_one_upstream_that_all_proxies_agree_on() {
     let mut first = balancer(fleet());
     let mut second = balancer(fleet().into_iter().rev().collect());
     probe_all(&mut first, 0.0);
     probe_all(&mut second, 0.0);
-    let mut keepers: BTreeMap<String, usize> = BTreeMap::new();
+    let mut owners: BTreeMap<String, usize> = BTreeMap::new();
     for key in 1..=700 {
         let prefix = format!("{key:x}:13300,ff{key:x}:3720");
         // Their own parts differ, the shared one counts.
         let letter = request(&first, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-        let name = |balancer: &mut sandtrack_proxy::placement::balancer::Balancer| match balancer
-            .choose_upstream(1.0, &letter, &[])
-        {
-            Placement::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
+        let name = |balancer: &mut Balancer| match balancer.choose_upstream(1.0, &letter, &[]) {
+            Placement::Send(index) => balancer.upstreams.get(index).entry.identifier.clone(),
             other => panic!("{other:?}"),
         };
         let home = name(&mut first);
         assert!((0..5).all(|_| name(&mut first) == home) && name(&mut second) == home);
-        *keepers.entry(home).or_default() += 1;
+        *owners.entry(home).or_default() += 1;
     }
     // Tags are bound to the north, and nothing was seen of them: one there keeps half of what one in the south does, within a
     // quarter.
-    assert_kept(&keepers, 0.5);
+    assert_owned(&owners, 0.5);
     // Much has to be read of them: now it keeps a third, as both agree.
     let tag = request(
         &first,
@@ -245,7 +230,7 @@
     for balancer in [&mut first, &mut second] {
         (0..20_000).for_each(|_| balancer.request_arrived(1.0, &tag));
     }
-    keepers.clear();
+    owners.clear();
     for key in 1..=700 {
         let letter = request(
             &first,
@@ -254,22 +239,22 @@
         );
         let homes = [&mut first, &mut second].map(|balancer| {
             match balancer.choose_upstream(1.0, &letter, &[]) {
-                Placement::Send(place) => balancer.upstreams.get(place).entry.identifier.clone(),
+                Placement::Send(index) => balancer.upstreams.get(index).entry.identifier.clone(),
                 other => panic!("{other:?}"),
             }
         });
         assert_eq!(homes[0], homes[1]);
-        *keepers.entry(homes[0].clone()).or_default() += 1;
+        *owners.entry(homes[0].clone()).or_default() += 1;
     }
-    assert_kept(&keepers, 0.35);
+    assert_owned(&owners, 0.35);
 }
 
 /// One in the north keeps so much of what one in the south does, within a quarter; and in each region all keep alike, within
 /// a half.
-fn assert_kept(keepers: &BTreeMap<String, usize>, expected: f64) {
-    assert_eq!(keepers.len(), 11, "{keepers:?}");
+fn assert_owned(owners: &BTreeMap<String, usize>, expected: f64) {
+    assert_eq!(owners.len(), 11, "{owners:?}");
     let counts = |south: bool| -> Vec<f64> {
-        let of_it = keepers
+        let of_it = owners
             .iter()
             .filter(|(name, _)| name.starts_with('c') == south);
         of_it.map(|(_, count)| *count as f64).collect()
@@ -279,13 +264,13 @@
     let ratio = mean(&north) / mean(&south);
     assert!(
         (0.75..=1.25).contains(&(ratio / expected)),
-        "{ratio} {keepers:?}"
+        "{ratio} {owners:?}"
     );
     for side in [&south, &north] {
         assert!(
             side.iter()
                 .all(|count| (0.5..=1.5).contains(&(count / mean(side)))),
-            "{keepers:?}"
+            "{owners:?}"
         );
     }
 }
@@ -315,7 +300,7 @@
     };
     assert_eq!(
         balancer.apply(1.0, changes),
-        sandtrack_proxy::placement::balancer::ApplyOutcome::NeedsFullConfiguration
+        ApplyOutcome::NeedsFullConfiguration
     );
     let changes = ToProxy::Changes {
         from_number: 3,
@@ -324,10 +309,7 @@
         items: Vec::new(),
         fields: Vec::new(),
     };
-    assert_eq!(
-        balancer.apply(1.0, changes),
-        sandtrack_proxy::placement::balancer::ApplyOutcome::Applied
-    );
+    assert_eq!(balancer.apply(1.0, changes), ApplyOutcome::Applied);
     assert_eq!(
         balancer.configuration.as_ref().map(|all| all.version),
         Some(9)
@@ -335,8 +317,8 @@
 }
 
 #[test]
-fn until_the_proxies_are_counted_connections_suffice_to_serve_and_cold_ones_are_spared() {
-    let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&common::settings(), 1);
+fn until_the_number_of_proxies_is_known_connections_suffice_and_slow_start_is_respected() {
+    let mut balancer = Balancer::new(&common::settings(), 1);
     let document = common::CONFIGURATION.to_owned();
     balancer.apply(
         0.0,
@@ -356,12 +338,9 @@
             gone: Vec::new(),
         },
     );
-    let place = |balancer: &sandtrack_proxy::placement::balancer::Balancer, name| {
-        balancer.upstreams.index_of(name).expect("it is listed")
-    };
-    assert_eq!(balancer.connection_quota(place(&balancer, "a0")), 21);
-    assert_eq!(balancer.connection_quota(place(&balancer, "p0")), 7);
-    assert!(balancer.slow_start_quota(0.0, place(&balancer, "a0")) <= 1);
+    assert_eq!(balancer.connection_quota(index_of(&balancer, "a0")), 21);
+    assert_eq!(balancer.connection_quota(index_of(&balancer, "p0")), 7);
+    assert!(balancer.slow_start_quota(0.0, index_of(&balancer, "a0")) <= 1);
     balancer.apply(
         0.0,
         ToProxy::Census {
@@ -370,11 +349,11 @@
             rank: 0,
         },
     );
-    assert_eq!(balancer.connection_quota(place(&balancer, "a0")), 9);
+    assert_eq!(balancer.connection_quota(index_of(&balancer, "a0")), 9);
 }
 
 #[test]
-fn with_many_upstreams_a_proxy_uses_and_probes_few_and_all_are_used_alike() {
+fn with_many_upstreams_a_proxy_uses_and_probes_a_subset_and_all_are_used_alike() {
     let entries: Vec<_> = (0..120)
         .map(|at| entry(&format!("a{at}"), "model", "a"))
         .collect();
@@ -383,7 +362,7 @@
         let settings = common::SETTINGS.replace("front-a-1", &format!("front-a-{proxy}"));
         let settings = sandtrack_protocol::settings::Settings::parse(settings.into_bytes())
             .expect("good settings");
-        let mut balancer = sandtrack_proxy::placement::balancer::Balancer::new(&settings, proxy);
+        let mut balancer = Balancer::new(&settings, proxy);
         let document = common::CONFIGURATION.to_owned();
         balancer.apply(
             0.0,
@@ -402,11 +381,11 @@
                 gone: Vec::new(),
             },
         );
-        let circle = balancer.policy.local_subset_size;
-        assert_eq!(balancer.probes_due(0.0).len(), circle);
-        let drawn = draws(&mut balancer, "/letters/1", 100);
-        assert!(drawn.len() <= circle, "{drawn:?}");
-        drawn
+        let subset_size = balancer.policy.local_subset_size;
+        assert_eq!(balancer.probes_due(0.0).len(), subset_size);
+        let picked = picks(&mut balancer, "/letters/1", 100);
+        assert!(picked.len() <= subset_size, "{picked:?}");
+        picked
             .into_keys()
             .for_each(|name| *uses.entry(name).or_default() += 1);
     }
@@ -419,22 +398,22 @@
 }
 
 #[test]
-fn one_of_the_circle_that_fails_is_replaced_probed_on_and_comes_back() {
+fn an_upstream_of_the_subset_that_fails_is_replaced_probed_on_and_comes_back() {
     let entries: Vec<_> = (0..40)
         .map(|at| entry(&format!("a{at}"), "model", "a"))
         .collect();
     let mut balancer = balancer(entries);
     probe_all(&mut balancer, 0.0);
-    let before: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
+    let before: BTreeSet<String> = picks(&mut balancer, "/letters/1", 200)
         .into_keys()
         .collect();
     let lost = before.first().cloned().expect("some are used");
-    let place = balancer.upstreams.index_of(&lost).expect("it is listed");
+    let index = index_of(&balancer, &lost);
     for _ in 0..2 {
-        balancer.send_started(place);
-        balancer.send_finished(10.0, place, SendOutcome::ConnectionFailed);
+        balancer.send_started(index);
+        balancer.send_finished(10.0, index, SendOutcome::ConnectionFailed);
     }
-    let after: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
+    let after: BTreeSet<String> = picks(&mut balancer, "/letters/1", 200)
         .into_keys()
         .collect();
     assert_eq!(before.difference(&after).collect::<Vec<_>>(), [&lost]);
@@ -442,16 +421,16 @@
     assert!(balancer
         .probes_due(500.0)
         .iter()
-        .any(|(probed, _, _)| *probed == place));
-    balancer.probe_finished(501.0, place, Some(1.0));
-    let again: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
+        .any(|probe| probe.upstream == index));
+    balancer.probe_finished(501.0, index, Some(1.0));
+    let again: BTreeSet<String> = picks(&mut balancer, "/letters/1", 200)
         .into_keys()
         .collect();
     assert!(again.contains(&lost));
 }
 
 #[test]
-fn a_circle_without_room_is_no_reason_to_refuse() {
+fn a_subset_without_capacity_is_no_reason_to_reject() {
     let entries: Vec<_> = (0..20)
         .map(|at| entry(&format!("a{at}"), "model", "a"))
         .collect();
@@ -460,10 +439,10 @@
     let letter = request(&balancer, "/letters/1", &[]);
     // Twenty upstreams of four slots, half as many again queue.
     for at in 0..120 {
-        let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+        let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
             panic!("no room after {at}")
         };
-        balancer.send_started(place);
+        balancer.send_started(index);
     }
     assert_eq!(
         balancer.choose_upstream(1000.0, &letter, &[]),
@@ -471,49 +450,43 @@
     );
 }
 
+/// Takes all probes that are under way for lost.
+fn forget_probes(balancer: &mut Balancer) {
+    let all = balancer.upstreams.all_mut();
+    all.iter_mut().for_each(|upstream| upstream.probing = false);
+}
+
 #[test]
 fn another_region_is_probed_only_while_requests_go_there() {
     let mut balancer = balancer(fleet());
-    let far = |balancer: &mut sandtrack_proxy::placement::balancer::Balancer, now: f64| {
+    let far = |balancer: &mut Balancer, now: f64| {
         let due = balancer.probes_due(now);
         due.iter()
-            .filter(|(place, ..)| balancer.upstreams.get(*place).region == "south")
+            .filter(|probe| balancer.upstreams.get(probe.upstream).region == "south")
             .count()
     };
     assert_eq!(far(&mut balancer, 0.0), 1, "one measures the way");
-    let south = balancer.upstreams.index_of("c0").expect("it is listed");
+    let south = index_of(&balancer, "c0");
     balancer.probe_finished(50.0, south, Some(110.0));
-    balancer
-        .upstreams
-        .all_mut()
-        .iter_mut()
-        .for_each(|upstream| upstream.probing = false);
+    forget_probes(&mut balancer);
     assert_eq!(far(&mut balancer, 60.0), 0, "nothing goes there");
-    let near = places_in_north(&balancer);
+    let near = indices_in_north(&balancer);
     near.iter()
-        .for_each(|place| (0..4).for_each(|_| balancer.send_started(*place)));
+        .for_each(|index| (0..4).for_each(|_| balancer.send_started(*index)));
     let letter = request(&balancer, "/letters/1", &[]);
-    let Placement::Send(place) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
         panic!("the far region has room")
     };
-    assert_eq!(balancer.upstreams.get(place).region, "south");
+    assert_eq!(balancer.upstreams.get(index).region, "south");
     assert_eq!(
         far(&mut balancer, 1001.0),
         balancer.policy.remote_subset_size - 1,
         "all but the one that was just probed"
     );
     let over = 1000.0 + balancer.policy.remote_probe_window_ms;
-    balancer
-        .upstreams
-        .all_mut()
-        .iter_mut()
-        .for_each(|upstream| upstream.probing = false);
+    forget_probes(&mut balancer);
     assert!(far(&mut balancer, over) > 0);
-    balancer
-        .upstreams
-        .all_mut()
-        .iter_mut()
-        .for_each(|upstream| upstream.probing = false);
+    forget_probes(&mut balancer);
     assert_eq!(
         far(&mut balancer, over + 1.0),
         0,
@@ -522,32 +495,32 @@
 }
 
 #[test]
-fn a_long_prompt_goes_to_another_region_by_the_way_there_as_probes_or_connections_told_it() {
-    let keeper_regions = |trip: Option<f64>| {
+fn a_long_prompt_goes_to_another_region_by_the_round_trip_that_was_measured() {
+    let owner_regions = |trip: Option<f64>| {
         let mut balancer = balancer(fleet());
         if let Some(trip) = trip {
-            let south = balancer.upstreams.index_of("c0").expect("it is listed");
+            let south = index_of(&balancer, "c0");
             balancer.record_round_trip(1.0, south, trip);
         }
         let mut regions = BTreeSet::new();
         for key in 1..=200 {
             let prefix = format!("{key:x}:13300,ff:3720");
             let letter = request(&balancer, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-            if let Placement::Send(place) = balancer.choose_upstream(1.0, &letter, &[]) {
-                regions.insert(balancer.upstreams.get(place).region.clone());
+            if let Placement::Send(index) = balancer.choose_upstream(1.0, &letter, &[]) {
+                regions.insert(balancer.upstreams.get(index).region.clone());
             }
         }
         regions.len()
     };
     assert_eq!(
-        keeper_regions(None),
+        owner_regions(None),
         2,
         "one that was never reached is tried"
     );
-    assert_eq!(keeper_regions(Some(110.0)), 2);
+    assert_eq!(owner_regions(Some(110.0)), 2);
     assert_eq!(
-        keeper_regions(Some(700.0)),
+        owner_regions(Some(700.0)),
         1,
-        "two such ways take more than the aim, and near ones are free"
+        "two such round trips take more than the latency target, and local upstreams are free"
     );
 }
--- a/crates/sandtrack-proxy/tests/policy.rs
+++ b/crates/sandtrack-proxy/tests/policy.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_can_not_be_set_is_named() {
+fn constants_that_can_not_be_set_are_named() {
     assert_eq!(
         Policy::with("circle_far"),
         Err(PolicyError::Malformed("circle_far".to_owned()))
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_pause_between_failing_probes_doubles_up_to_its_bound() {
+fn the_interval_between_failing_probes_doubles_up_to_its_bound() {
     let policy = Policy {
         suspect_probe_interval_ms: 300.0,
         max_suspect_probe_interval_ms: 1000.0,
--- a/crates/sandtrack-proxy/tests/prefill_demand.rs
+++ b/crates/sandtrack-proxy/tests/prefill_demand.rs
@@ -1,4 +1,4 @@
-//! Weights of regions as keepers of long prompts, by what there is to read.
+//! Weights of regions for long prompts, by the demand for prefill.
 use sandtrack_proxy::placement::prefill_demand::{PrefillDemand, WeightPrior};
 use std::collections::BTreeMap;
 
@@ -20,22 +20,22 @@
 
 /// So many long prompts of these tokens, and as many requests bound to regions.
 fn seen(count: usize, long: f64, bound: &[(&[&str], f64)]) -> PrefillDemand {
-    let mut mix = PrefillDemand::default();
+    let mut demand = PrefillDemand::default();
     for _ in 0..count {
-        mix.long_prompt(0.0, long);
-        bound
-            .iter()
-            .for_each(|(regions, tokens)| mix.other_request(0.0, &homes(regions), *tokens));
+        demand.record_long_prompt(0.0, long);
+        bound.iter().for_each(|(regions, tokens)| {
+            demand.record_bound_request(0.0, &homes(regions), *tokens)
+        });
     }
-    mix
+    demand
 }
 
 fn weights(
-    mix: &PrefillDemand,
+    demand: &PrefillDemand,
     upstreams: &[(&'static str, usize)],
     prior: WeightPrior,
 ) -> BTreeMap<&'static str, f64> {
-    mix.weights(0.0, &upstreams.iter().copied().collect(), prior)
+    demand.region_weights(0.0, &upstreams.iter().copied().collect(), prior)
 }
 
 #[test]
@@ -54,8 +54,8 @@
 #[test]
 fn a_region_weighs_what_its_bound_requests_leave_of_the_mean() {
     // Of 400 tokens 100 are bound to one of two like regions: a mean of 20 an upstream, 10 of them taken in the north.
-    let mix = seen(50, 300.0, &[(&["north"], 100.0)]);
-    let weights = weights(&mix, &[("north", 10), ("south", 10)], NO_PRIOR);
+    let demand = seen(50, 300.0, &[(&["north"], 100.0)]);
+    let weights = weights(&demand, &[("north", 10), ("south", 10)], NO_PRIOR);
     assert!(
         (weights["north"] - 0.5).abs() < 1e-9 && (weights["south"] - 1.0).abs() < 1e-9,
         "{weights:?}"
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_region_that_has_more_than_its_part_to_do_weighs_the_least() {
-    let mix = seen(10_000, 100.0, &[(&["north"], 900.0)]);
-    let weights = weights(&mix, &[("north", 10), ("south", 10)], PRIOR);
+fn an_overloaded_region_has_the_least_weight() {
+    let demand = seen(10_000, 100.0, &[(&["north"], 900.0)]);
+    let weights = weights(&demand, &[("north", 10), ("south", 10)], PRIOR);
     assert!((weights["north"] - 0.35).abs() < 0.01, "{weights:?}");
 }
 
 #[test]
-fn little_evidence_leaves_the_usual_weight() {
+fn little_evidence_leaves_the_prior_weight() {
     let upstreams = [("north", 10), ("south", 10)];
     assert_eq!(
         weights(&PrefillDemand::default(), &upstreams, PRIOR)["north"],
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn what_was_seen_long_ago_fades() {
-    let mut mix = seen(100, 100.0, &[(&["north"], 900.0)]);
-    (0..100).for_each(|_| mix.long_prompt(120_000.0, 100.0));
+fn old_demand_decays() {
+    let mut demand = seen(100, 100.0, &[(&["north"], 900.0)]);
+    (0..100).for_each(|_| demand.record_long_prompt(120_000.0, 100.0));
     let upstreams: BTreeMap<&str, usize> = [("north", 10), ("south", 10)].into_iter().collect();
-    assert!(mix.weights(120_000.0, &upstreams, NO_PRIOR)["north"] > 0.6);
+    assert!(demand.region_weights(120_000.0, &upstreams, NO_PRIOR)["north"] > 0.6);
 }
--- a/crates/sandtrack-proxy/tests/request.rs
+++ b/crates/sandtrack-proxy/tests/request.rs
@@ -23,18 +23,18 @@
 fn the_service_is_drawn_by_weight() {
     let balancer = balancer(Vec::new());
     let configuration = balancer.configuration.clone().expect("there is one");
-    let drawn = |draw: f64| {
+    let picked = |draw: f64| {
         ProxyRequest::decode(&configuration, head("/slips/1", &[]), Vec::new(), 0.0, draw)
             .map(|request| request.service)
     };
-    assert_eq!(drawn(0.0).as_deref(), Ok("printer"));
-    assert_eq!(drawn(0.899).as_deref(), Ok("printer"));
-    assert_eq!(drawn(0.901).as_deref(), Ok("model"));
-    assert_eq!(drawn(1.0).as_deref(), Ok("model"));
+    assert_eq!(picked(0.0).as_deref(), Ok("printer"));
+    assert_eq!(picked(0.899).as_deref(), Ok("printer"));
+    assert_eq!(picked(0.901).as_deref(), Ok("model"));
+    assert_eq!(picked(1.0).as_deref(), Ok("model"));
 }
 
 #[test]
-fn its_time_is_what_the_client_waits_and_not_over_the_routes() {
+fn the_deadline_is_the_clients_and_not_over_the_routes_time_out() {
     let balancer = balancer(Vec::new());
     assert_eq!(
         request(&balancer, "/tags/1", &[("Deadline-Remaining", "2500")]).time_left(500.0),
--- a/crates/sandtrack-tiers/src/probe.rs
+++ b/crates/sandtrack-tiers/src/probe.rs
@@ -1,80 +1,87 @@
-//! What probes teach of one upstream, and when they are sent.
+//! Health checks of one upstream: its smoothed latency, its failures in a row, and when it is probed.
 use crate::Millis;
 use rand::Rng;
 
-/// Weight of a new probe time in the average, a fraction (ours, the start value: three probes of memory).
-pub const WEIGHT: f64 = 0.3;
-/// A sample counts as this many averages at most, and one under its inverse replaces the average (design).
-pub const CAP: f64 = 4.0;
-/// The cap is never below this, ms (design).
-pub const CAP_FLOOR: Millis = 2.0;
-/// Failures in a row that make an upstream unhealthy, a count (design).
-pub const FAILURES: u32 = 2;
-/// Longest gap between two probes of an upstream, jitter included, ms (design).
+/// Weight of a new sample in the smoothed latency, a fraction (ours: about three probes of memory).
+pub const SMOOTHING_WEIGHT: f64 = 0.3;
+/// A sample counts as this many times the average at most; one under its inverse replaces the average
+/// (design).
+pub const MAX_SAMPLE_RATIO: f64 = 4.0;
+/// The bound on a sample is never below this, in ms (design).
+pub const MIN_SAMPLE_CAP_MS: Millis = 2.0;
+/// Failures in a row that make an upstream unhealthy (design).
+pub const UNHEALTHY_FAILURES: u32 = 2;
+/// Longest interval between two probes of an upstream, jitter included, in ms (design).
 pub const MAX_PROBE_INTERVAL_MS: Millis = 5000.0;
-/// Share of each gap that is drawn at random, a fraction: balancers must not probe in step (ours).
-pub const JITTER: f64 = 0.25;
+/// Part of each interval that is random, a fraction: balancers must not probe in step (ours).
+pub const PROBE_JITTER: f64 = 0.25;
 
-/// Smoothed probe time; nothing before the first sample.
+/// Smoothed latency of an upstream's probes; none before the first sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Smoothed(Option<Millis>);
+pub struct SmoothedLatency(Option<Millis>);
 
-impl Smoothed {
+impl SmoothedLatency {
+    /// The average in ms; `None` before the first sample.
     pub fn get(self) -> Option<Millis> {
         self.0
     }
 
-    /// A probe was answered after `elapsed` ms: capped above, replaced by a far quicker sample.
+    /// Adds a sample of `elapsed` ms: a far slower one is capped, a far quicker one replaces the average.
     pub fn sample(&mut self, elapsed: Millis) {
         self.0 = Some(match self.0 {
             None => elapsed,
-            Some(average) if elapsed < average / CAP => elapsed,
+            Some(average) if elapsed < average / MAX_SAMPLE_RATIO => elapsed,
             Some(average) => {
-                let capped = elapsed.min((average * CAP).max(CAP_FLOOR));
-                average + WEIGHT * (capped - average)
+                let cap = (average * MAX_SAMPLE_RATIO).max(MIN_SAMPLE_CAP_MS);
+                let capped = elapsed.min(cap);
+                average + SMOOTHING_WEIGHT * (capped - average)
             }
         });
     }
 }
 
-/// Failures in a row of one upstream: failed probes and connects (design), send resets and time-outs (ours).
+/// Consecutive failures of an upstream: failed probes and connections (design), sends that were reset or
+/// timed out (ours).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConsecutiveFailures(u32);
 
 impl ConsecutiveFailures {
+    /// Whether there are too few to make the upstream unhealthy.
     pub fn is_healthy(self) -> bool {
-        self.0 < FAILURES
+        self.0 < UNHEALTHY_FAILURES
     }
 
+    /// Whether the last probe or send succeeded.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// One failure more; whether it is this one that makes the upstream unhealthy.
+    /// Adds a failure. Returns whether it is this one that makes the upstream unhealthy.
     pub fn failed(&mut self) -> bool {
         self.0 = self.0.saturating_add(1);
-        self.0 == FAILURES
+        self.0 == UNHEALTHY_FAILURES
     }
 
-    /// One success restores an upstream (design).
+    /// A success ends the run: it makes an upstream healthy at once (design).
     pub fn succeeded(&mut self) {
         self.0 = 0;
     }
 
-    /// Healthy still, and the next failure ends that: under suspicion, or on trial after it was unhealthy.
-    pub fn one_short(&mut self) {
-        self.0 = FAILURES - 1;
+    /// Healthy, but the next failure makes it unhealthy: for an upstream under suspicion, or one that was
+    /// unhealthy until now.
+    pub fn put_on_trial(&mut self) {
+        self.0 = UNHEALTHY_FAILURES - 1;
     }
 }
 
-/// A factor from 1 to 1 + [`JITTER`]; takes one draw.
+/// A random factor from 1 to 1 + [`PROBE_JITTER`]; takes one draw.
 pub fn jitter(rng: &mut impl Rng) -> f64 {
-    1.0 + JITTER * rng.gen::<f64>()
+    1.0 + PROBE_JITTER * rng.gen::<f64>()
 }
 
-/// When an upstream is probed, ms: at once if it never was, else `interval` ms or a little less after `last`,
-/// never over [`MAX_PROBE_INTERVAL_MS`]. Takes one draw, none for the first.
-pub fn next_probe(
+/// When an upstream is probed next, in ms: at once if it never was, else `interval` ms or a little less after
+/// the probe at `last`, never over [`MAX_PROBE_INTERVAL_MS`]. Takes one draw, none for the first probe.
+pub fn next_probe_at(
     rng: &mut impl Rng,
     now: Millis,
     last: Option<Millis>,
--- a/crates/sandtrack-tiers/tests/probe.rs
+++ b/crates/sandtrack-tiers/tests/probe.rs
@@ -1,10 +1,10 @@
 use assert_matches::assert_matches;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
-use sandtrack_tiers::*;
+use sandtrack_tiers::{next_probe_at, ConsecutiveFailures, Millis, SmoothedLatency};
 
 fn smoothed(samples: &[Millis]) -> Millis {
-    let mut average = Smoothed::default();
+    let mut average = SmoothedLatency::default();
     assert_matches!(average.get(), None);
     samples.iter().for_each(|sample| average.sample(*sample));
     average.get().unwrap()
@@ -35,41 +35,47 @@
 }
 
 #[test]
-fn two_failures_in_a_row_make_unhealthy_and_one_success_restores() {
-    let mut run = ConsecutiveFailures::default();
-    assert!(run.is_healthy() && run.is_empty());
-    assert!(!run.failed());
-    assert!(run.is_healthy() && !run.is_empty());
-    run.succeeded();
+fn two_consecutive_failures_make_unhealthy_and_one_success_restores() {
+    let mut failures = ConsecutiveFailures::default();
+    assert!(failures.is_healthy() && failures.is_empty());
+    assert!(!failures.failed());
+    assert!(failures.is_healthy() && !failures.is_empty());
+    failures.succeeded();
     assert!(
-        !run.failed() && run.is_healthy(),
+        !failures.failed() && failures.is_healthy(),
         "a success between them ends the run"
     );
-    assert!(run.failed() && !run.is_healthy(), "the second in a row");
-    assert!(!run.failed() && !run.is_healthy(), "told only once");
-    run.succeeded();
-    assert!(run.is_healthy() && run.is_empty());
+    assert!(
+        failures.failed() && !failures.is_healthy(),
+        "the second in a row"
+    );
+    assert!(
+        !failures.failed() && !failures.is_healthy(),
+        "told only once"
+    );
+    failures.succeeded();
+    assert!(failures.is_healthy() && failures.is_empty());
 }
 
 #[test]
-fn one_short_of_unhealthy_is_healthy_until_the_next_failure() {
-    let mut run = ConsecutiveFailures::default();
-    run.one_short();
-    assert!(run.is_healthy() && !run.is_empty());
-    assert!(run.failed() && !run.is_healthy());
-    run.one_short();
-    assert!(run.is_healthy());
+fn an_upstream_on_trial_is_healthy_until_the_next_failure() {
+    let mut failures = ConsecutiveFailures::default();
+    failures.put_on_trial();
+    assert!(failures.is_healthy() && !failures.is_empty());
+    assert!(failures.failed() && !failures.is_healthy());
+    failures.put_on_trial();
+    assert!(failures.is_healthy());
 }
 
 #[test]
 fn the_first_probe_is_due_at_once_and_takes_no_draw() {
     let (mut rng, untouched) = (Pcg32::seed_from_u64(7), Pcg32::seed_from_u64(7));
-    assert_eq!(next_probe(&mut rng, 123.0, None, 400.0), 123.0);
+    assert_eq!(next_probe_at(&mut rng, 123.0, None, 400.0), 123.0);
     assert_eq!(rng, untouched);
 }
 
 #[test]
-fn further_probes_come_after_the_interval_or_a_little_sooner_and_never_over_5_s_apart() {
+fn later_probes_come_after_the_interval_or_a_little_sooner_and_never_over_5_s_apart() {
     let mut rng = Pcg32::seed_from_u64(8);
     for (interval, most) in [
         (400.0, 400.0),
@@ -78,7 +84,7 @@
         (f64::INFINITY, 5000.0),
     ] {
         let gaps: Vec<Millis> = (0..1000)
-            .map(|_| next_probe(&mut rng, 250.0, Some(100.0), interval) - 100.0)
+            .map(|_| next_probe_at(&mut rng, 250.0, Some(100.0), interval) - 100.0)
             .collect();
         assert!(
             gaps.iter().all(|gap| (most / 1.25..=most).contains(gap)),
