--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/figures.rs
@@ -61,12 +61,12 @@
         (
             "proxies_known",
             "Proxies among which bounds are shared",
-            u64::from(balancer.proxies),
+            u64::from(balancer.proxy_count),
         ),
         (
             "zones_evacuated",
             "Zones that get nothing",
-            balancer.evacuated.len() as u64,
+            balancer.evacuated_zones.len() as u64,
         ),
         (
             "up_seconds",
@@ -92,8 +92,8 @@
         let seen = services.entry(&upstream.entry.service).or_default();
         seen.listed += 1;
         seen.draining += u64::from(upstream.entry.draining);
-        seen.unhealthy += u64::from(!upstream.run.is_healthy());
-        seen.own += upstream.own;
+        seen.unhealthy += u64::from(!upstream.failures.is_healthy());
+        seen.own += upstream.in_flight;
     }
     const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
     text.family(
--- a/crates/sandtrack-proxy/src/placement/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -1,166 +1,155 @@
-//! The balancer: what a proxy knows, folded from what the control plane, its probes and its sends tell. Decisions on it are
-//! in `placement`. Pure: time comes in, nothing is read or written here.
-mod probes;
-
-use crate::placement::budget::{share, RetryBudget};
-use crate::placement::pace::Pace;
-use crate::placement::prefill::{Estimate, Prefill};
-use crate::placement::prompt_mix::PromptMix;
-use crate::placement::region_trips::RegionTrips;
-use crate::placement::upstreams::{Load, Table};
-use crate::placement::zone_outlook::ZoneOutlook;
+//! The balancer: everything that this proxy knows for its decisions on requests, kept up to date from three sources, each in
+//! a module of its own: frames of the control plane (`control_updates`), health checks (`health_checks`), and this
+//! proxy's own sends (`sends`). `quotas` derives this proxy's share of global limits from it and `timeouts` how long to
+//! wait for an upstream; which upstream a request goes to is decided in [`super::selection`].
+//!
+//! It performs no I/O and reads no clock: the caller passes the time.
+mod control_updates;
+mod health_checks;
+mod quotas;
+mod sends;
+mod timeouts;
+
+pub use control_updates::ApplyOutcome;
+pub use health_checks::DueProbe;
+pub use sends::SendOutcome;
+
+use crate::hashing::hash_name;
+use crate::placement::budget::RetryBudget;
+use crate::placement::first_byte_latency::FirstByteLatency;
+use crate::placement::prefill_demand::PrefillDemand;
+use crate::placement::prefill_queue::PrefillQueues;
+use crate::placement::region_round_trips::RegionRoundTrips;
+use crate::placement::upstreams::UpstreamTable;
+use crate::placement::zone_health::ZoneFailureDetector;
 use crate::policy::Policy;
-use crate::request::{hash, mix, ProxyRequest};
-use rand::SeedableRng;
+use quotas::FALLBACK_PROXY_COUNT;
+use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::configuration::Configuration;
 use sandtrack_protocol::document::Document;
-use sandtrack_protocol::frames::{PromptSent, ProxyState, ToProxy};
+use sandtrack_protocol::frames::ProxyState;
 use sandtrack_protocol::settings::{Bounds, Settings};
 use sandtrack_tiers::{Millis, Tiers};
-use std::collections::{HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
-/// For so long after control was heard this proxy keeps its share of the bounds that hold over all proxies, in ms. Control
-/// counts one that it does not hear for longer (`KEPT_MS` of `sandtrack_control::membership`), also with a frame under way.
-const SHARE_LEASE: Millis = 25_000.0;
-/// Among so many a proxy shares that does not know how many there are: more than most fleets have.
-const UNKNOWN: u32 = 100;
-/// Proxies that share an upstream's connections until their number is told, and the part of its limit that is used (ours).
-const USUAL: f64 = 16.0;
-const CONNECTIONS_USED: f64 = 0.9;
-
-/// How a send ended, as far as the upstream is judged by it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Answered,
-    /// It said that it is full, or another upstream has the address.
-    TurnedAway,
-    /// A 5xx of its own, or bytes that are no answer.
-    Faulty,
-    /// The connection failed or broke.
-    Broken,
-    /// This side gave it up: its client left, or its time was over.
-    GivenUp,
-}
-
-impl Ended {
-    /// Its name in logs and figures.
-    pub fn name(self) -> &'static str {
-        match self {
-            Ended::Answered => "answered",
-            Ended::TurnedAway => "turned_away",
-            Ended::Faulty => "faulty",
-            Ended::Broken => "broken",
-            Ended::GivenUp => "given_up",
-        }
-    }
-}
-
-/// What came from the control plane that a proxy must answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Folded {
-    Taken,
-    /// The change does not fit what is held: the whole configuration is wanted.
-    WantConfiguration,
-}
-
+/// State of one proxy's load balancing. Upstreams are named by their index in [`Balancer::upstreams`].
 pub struct Balancer {
-    /// The constants that decisions go by.
+    /// Constants of the decisions.
     pub policy: Rc<Policy>,
+    /// Zone of this proxy.
     pub zone: String,
+    /// Region of this proxy.
     pub region: String,
-    regions: std::collections::BTreeMap<String, String>,
+    /// Region of each zone, from the settings.
+    regions: BTreeMap<String, String>,
+    /// Limits that hold over all proxies together.
     pub bounds: Bounds,
-    /// Number of the last committed change that is in force here.
-    number: u64,
+    /// Number of the committed change that the configuration in force reflects.
+    configuration_number: u64,
+    /// The configuration in force, as it was received: the base of the next change.
     document: Option<Document>,
+    /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
-    pub upstreams: Table,
-    listed_once: bool,
+    /// Known upstreams.
+    pub upstreams: UpstreamTable,
+    /// Whether any list of upstreams was received.
+    upstreams_received: bool,
+    /// Number of the committed change that `evacuated_zones` reflects.
     evacuated_number: u64,
-    pub evacuated: HashSet<String>,
-    pub proxies: u32,
-    /// It was told how many proxies there are.
-    counted: bool,
-    /// When a control node that hears a majority, and so counts this proxy, was heard last.
-    heard_control: Millis,
+    /// Zones that are sent nothing, by order of an operator.
+    pub evacuated_zones: HashSet<String>,
+    /// How many proxies there are, as the control plane counts them.
+    pub proxy_count: u32,
+    /// Whether `proxy_count` was received rather than assumed.
+    proxy_count_known: bool,
+    /// Last heartbeat of a control node that is in contact with a majority, and so counts this proxy.
+    last_control_heartbeat: Millis,
+    /// Addresses of the control nodes, as the control plane gave them.
     pub control_nodes: Vec<String>,
+    /// Latency tiers of each service's upstreams.
     tiers: HashMap<String, Tiers>,
-    retries: HashMap<String, RetryBudget>,
-    /// By service.
-    pub(crate) prompts: HashMap<String, PromptMix>,
-    pub(crate) prefill: Prefill,
-    zones: ZoneOutlook,
+    /// Budget of sends beyond the first, by service.
+    retry_budgets: HashMap<String, RetryBudget>,
+    /// Tokens that upstreams have to prefill, by service.
+    pub(super) prefill_demands: HashMap<String, PrefillDemand>,
+    /// Prefill backlog and cached prefixes of each upstream.
+    pub(super) prefill_queues: PrefillQueues,
+    /// Failures of whole zones.
+    zone_failures: ZoneFailureDetector,
     /// Until when idle connections to a service's upstreams are not trusted, by service.
     idle_distrusted_until: HashMap<String, Millis>,
-    pub(crate) region_trips: RegionTrips,
-    /// When a request went by the circle to another region, by service and region.
-    pub(crate) far_used: HashMap<(String, String), Millis>,
-    /// By route, and whether the upstream is in another region.
-    paces: HashMap<(String, bool), Pace>,
+    /// Round trips to each region.
+    pub(super) region_round_trips: RegionRoundTrips,
+    /// When this proxy last sent to another region within its subset, by service and region.
+    pub(super) remote_last_used: HashMap<(String, String), Millis>,
+    /// Time to first byte by route, and whether the upstream is in another region.
+    first_byte_latencies: HashMap<(String, bool), FirstByteLatency>,
     /// When a request with a long prompt was placed last.
     pub long_prompt_at: Option<Millis>,
+    /// Source of all random draws.
     pub rng: Pcg32,
-    /// Tells proxies apart where a share is under one.
-    pub(crate) identity: u64,
-    pub leaving: bool,
-    pub open: u32,
-    /// Set when something changed that the control plane is told at once.
-    pub changed: bool,
+    /// Hash of this proxy's name: seeds its subset of upstreams, and picks which proxies get a quota that is under one each.
+    pub(super) proxy_hash: u64,
+    /// Whether this proxy is draining: it finishes open requests and takes no new connections.
+    pub draining: bool,
+    /// Client requests in progress.
+    pub open_requests: u32,
+    /// Set when [`Balancer::state`] changed in a way that the control plane should learn at once.
+    pub state_changed: bool,
 }
 
 impl Balancer {
-    /// One that decides by the default policy.
+    /// A balancer with the default policy.
     pub fn new(settings: &Settings, seed: u64) -> Balancer {
         Balancer::with_policy(settings, seed, Rc::new(Policy::default()))
     }
 
-    /// One that decides by this policy.
+    /// A balancer with this policy, whose random draws follow from `seed`.
     pub fn with_policy(settings: &Settings, seed: u64, policy: Rc<Policy>) -> Balancer {
         Balancer {
-            zones: ZoneOutlook::new(&policy),
+            zone_failures: ZoneFailureDetector::new(&policy),
             policy,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             regions: settings.zones.clone(),
             bounds: settings.bounds.clone(),
-            number: 0,
+            configuration_number: 0,
             document: None,
             configuration: None,
-            upstreams: Table::default(),
-            listed_once: false,
+            upstreams: UpstreamTable::default(),
+            upstreams_received: false,
             evacuated_number: 0,
-            evacuated: HashSet::new(),
-            proxies: UNKNOWN,
-            counted: false,
-            heard_control: f64::NEG_INFINITY,
+            evacuated_zones: HashSet::new(),
+            proxy_count: FALLBACK_PROXY_COUNT,
+            proxy_count_known: false,
+            last_control_heartbeat: f64::NEG_INFINITY,
             control_nodes: Vec::new(),
             tiers: HashMap::new(),
-            retries: HashMap::new(),
-            prompts: HashMap::new(),
-            prefill: Prefill::default(),
+            retry_budgets: HashMap::new(),
+            prefill_demands: HashMap::new(),
+            prefill_queues: PrefillQueues::default(),
             idle_distrusted_until: HashMap::new(),
-            region_trips: RegionTrips::default(),
-            far_used: HashMap::new(),
-            paces: HashMap::new(),
+            region_round_trips: RegionRoundTrips::default(),
+            remote_last_used: HashMap::new(),
+            first_byte_latencies: HashMap::new(),
             long_prompt_at: None,
             rng: Pcg32::seed_from_u64(seed),
-            identity: hash(&settings.node_name),
-            leaving: false,
-            open: 0,
-            changed: false,
+            proxy_hash: hash_name(&settings.node_name),
+            draining: false,
+            open_requests: 0,
+            state_changed: false,
         }
     }
 
-    /// The settings were read again. Upstreams that are listed already are where the settings now say.
-    pub fn settings_changed(&mut self, settings: &Settings) {
+    /// Takes over settings that were read again; also upstreams that are listed already get their zone's new region.
+    pub fn apply_settings(&mut self, settings: &Settings) {
         self.bounds = settings.bounds.clone();
         self.regions = settings.zones.clone();
         let listed: Vec<usize> = self.upstreams.listed().collect();
-        for place in listed {
-            let upstream = self.upstreams.get_mut(place);
+        for index in listed {
+            let upstream = self.upstreams.get_mut(index);
             upstream.region = self
                 .regions
                 .get(&upstream.entry.zone)
@@ -169,431 +158,37 @@
         }
     }
 
-    /// It has what it needs to serve.
+    /// Whether this proxy has what it needs to serve, and is not draining.
     pub fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.listed_once && !self.leaving
+        self.configuration.is_some() && self.upstreams_received && !self.draining
     }
 
+    /// What the control plane is told of this proxy.
     pub fn state(&self) -> ProxyState {
-        let version = self
-            .configuration
-            .as_ref()
-            .map_or(0, |configuration| configuration.version);
         ProxyState {
             ready: self.is_ready(),
-            draining: self.leaving,
-            version,
-            requests_in_flight: self.open,
+            draining: self.draining,
+            version: self.configuration_version(),
+            requests_in_flight: self.open_requests,
         }
     }
 
-    /// Takes what the control plane tells. Nothing goes back to a lower number.
-    pub fn fold(&mut self, now: Millis, frame: ToProxy) -> Folded {
-        match frame {
-            ToProxy::Configuration {
-                number, document, ..
-            } => {
-                if self.document.is_none() || number > self.number {
-                    match Document::parse(document.as_bytes()) {
-                        Ok(document) => return self.adopt(now, number, document),
-                        Err(invalid) => {
-                            log::error!("a configuration from control can't be read: {invalid}")
-                        }
-                    }
-                }
-            }
-            ToProxy::Changes {
-                from_number,
-                number,
-                version,
-                items,
-                fields,
-            } => {
-                if number > self.number {
-                    let held = self
-                        .document
-                        .as_ref()
-                        .filter(|_| from_number == self.number);
-                    match held.map(|held| held.apply(version, &items, &fields)) {
-                        Some(Ok(document)) => return self.adopt(now, number, document),
-                        _ => return Folded::WantConfiguration,
-                    }
-                }
-            }
-            ToProxy::Evacuated { number, zones } => {
-                if number >= self.evacuated_number {
-                    self.evacuated_number = number;
-                    self.evacuated = zones.into_iter().collect();
-                }
-            }
-            ToProxy::Upstreams {
-                is_complete,
-                entries,
-                removed,
-                ..
-            } => {
-                self.changed |= !self.listed_once;
-                self.listed_once = true;
-                if is_complete {
-                    let named: HashSet<&str> = entries
-                        .iter()
-                        .map(|entry| entry.identifier.as_str())
-                        .collect();
-                    let listed: Vec<usize> = self.upstreams.listed().collect();
-                    for place in listed {
-                        if !named.contains(self.upstreams.get(place).entry.identifier.as_str()) {
-                            self.upstreams.get_mut(place).listed = false;
-                        }
-                    }
-                }
-                for entry in entries {
-                    let region = self.regions.get(&entry.zone).cloned().unwrap_or_default();
-                    self.upstreams.list(entry, &region, now);
-                }
-                for identifier in removed {
-                    self.upstreams.gone(&identifier);
-                }
-                self.upstreams.sweep();
-            }
-            ToProxy::Census {
-                control_nodes,
-                proxies,
-                ..
-            } => {
-                self.proxies = proxies.max(1);
-                self.counted = true;
-                self.heard_control = now;
-                self.control_nodes = control_nodes;
-            }
-            ToProxy::Heartbeat { attached: true } => self.heard_control = now,
-            ToProxy::PromptsSent(sent) => self.prefill.told(now, &sent, &self.policy),
-            ToProxy::Welcome { .. } | ToProxy::Heartbeat { attached: false } => {}
-        }
-        Folded::Taken
-    }
-
-    fn adopt(&mut self, now: Millis, number: u64, document: Document) -> Folded {
-        match Configuration::read(&document) {
-            Ok(configuration) => {
-                log::info!("configuration {} in force", configuration.version);
-                let before = self
-                    .configuration
-                    .as_ref()
-                    .map_or(0, |before| before.version);
-                let forward = configuration.version > before && number > self.number;
-                check(Invariant::GoesForward, forward || before == 0, || {
-                    format!(
-                        "version {} of number {number} behind {before}",
-                        configuration.version
-                    )
-                });
-                self.number = number;
-                self.paces.retain(|(name, _), _| {
-                    configuration.routes.iter().any(|route| route.name == *name)
-                });
-                self.document = Some(document);
-                self.configuration = Some(Rc::new(configuration));
-                self.changed = true;
-                self.forget_services(now);
-            }
-            Err(invalid) => log::error!("a configuration from control is invalid: {invalid}"),
-        }
-        Folded::Taken
+    /// Draws a number from 0 to 1.
+    pub fn draw_fraction(&mut self) -> f64 {
+        self.rng.gen()
     }
 
-    /// What is kept of services that the configuration does not have goes; what their requests earned, and the repeats that used it,
-    /// with its window: a service may come back within it.
-    fn forget_services(&mut self, now: Millis) {
-        let Some(configuration) = &self.configuration else {
-            return;
-        };
-        let span = self.bounds.retry_window_s * 1000.0;
-        self.retries.retain(|name, budget| {
-            configuration.service(name).is_some() || budget.is_used(now, span)
-        });
-        self.idle_distrusted_until
-            .retain(|name, _| configuration.service(name).is_some());
-        self.far_used
-            .retain(|(name, _), _| configuration.service(name).is_some());
-        self.tiers
-            .retain(|name, _| configuration.service(name).is_some());
-        self.prompts
-            .retain(|name, _| configuration.service(name).is_some());
-        self.prefill
-            .retain_services(|name| configuration.service(name).is_some());
-    }
-
-    /// Among how many proxies a bound over all is shared, as far as this one may rely on it.
-    fn sharers(&self, now: Millis) -> u32 {
-        match now - self.heard_control <= SHARE_LEASE {
-            true => self.proxies,
-            false => self.proxies.max(UNKNOWN),
-        }
-    }
-
-    /// Sends a second that a cold upstream gets from this proxy at most.
-    pub fn cold_share(&self, now: Millis, place: usize) -> u32 {
-        let upstream = self.upstreams.get(place);
-        let service = self
-            .configuration
-            .as_ref()
-            .and_then(|all| all.service(&upstream.entry.service));
-        let rate = service.map_or(0.0, |service| service.slow_start_rate_per_s);
-        if rate <= 0.0 {
-            return u32::MAX;
-        }
-        let bound = rate * self.bounds.cold_overshoot + self.bounds.cold_slack;
-        share(bound, self.sharers(now), mix(self.identity ^ upstream.hash))
-    }
-
-    /// Connections to one upstream that this proxy may hold.
-    pub fn connection_share(&self, place: usize) -> usize {
-        let service = self.upstreams.get(place).entry.service.as_str();
-        let service = self
-            .configuration
+    /// Version of the configuration in force; 0 before the first.
+    fn configuration_version(&self) -> u64 {
+        self.configuration
             .as_ref()
-            .and_then(|all| all.service(service));
-        let limit = service.map_or(100.0, |service| f64::from(service.connection_limit));
-        // What an upstream does not take it resets, and no rule is broken: until the number is known a usual one serves.
-        let proxies = if self.counted {
-            f64::from(self.proxies)
-        } else {
-            USUAL
-        };
-        ((limit * CONNECTIONS_USED / proxies) as usize).max(1)
-    }
-
-    /// Services of which requests and repeats are counted.
-    pub fn remembered_services(&self) -> usize {
-        self.retries.len()
-    }
-
-    /// A request for a service came.
-    pub fn came(&mut self, now: Millis, request: &ProxyRequest) {
-        let span = self.bounds.retry_window_s * 1000.0;
-        self.retries
-            .entry(request.service.clone())
-            .or_default()
-            .request(now, span);
-        self.note_prompt(now, request);
-    }
-
-    fn note_prompt(&mut self, now: Millis, request: &ProxyRequest) {
-        let Some((prompt, _)) = request.tokens else {
-            return;
-        };
-        let homes = &request.route.home_regions;
-        let nothing_seen = || PromptMix::new(&self.policy);
-        let mix = self
-            .prompts
-            .entry(request.service.clone())
-            .or_insert_with(nothing_seen);
-        if request.shared_tokens() >= self.policy.kept_tokens {
-            let own = prompt.saturating_sub(request.shared_tokens()) as f64;
-            mix.long_prompt(now, own);
-        } else {
-            mix.other_request(now, homes, prompt as f64);
-        }
-    }
-
-    /// Whether the shared budget has one more send beyond the first; it is counted if so.
-    pub fn may_repeat(&mut self, now: Millis, service: &str) -> bool {
-        let sharers = self.sharers(now);
-        let bounds = &self.bounds;
-        let (span, ratio, slack) = (
-            bounds.retry_window_s * 1000.0,
-            bounds.retry_budget_ratio,
-            bounds.retry_budget_slack,
-        );
-        let budget = self.retries.entry(service.to_owned()).or_default();
-        budget.repeat(now, span, ratio, slack, sharers)
-    }
-
-    /// A request goes to an upstream.
-    pub fn sent(&mut self, place: usize) {
-        self.upstreams.get_mut(place).own += 1;
-    }
-
-    /// A request that goes to an upstream has a long prompt: how long that takes to read there; none where it is short.
-    pub fn prompt_sent(
-        &mut self,
-        now: Millis,
-        request: &ProxyRequest,
-        place: usize,
-    ) -> Option<Estimate> {
-        let is_long = request.shared_tokens() >= self.policy.kept_tokens;
-        is_long.then(|| {
-            self.prefill
-                .sent(now, request, self.upstreams.get(place), &self.policy)
-        })
-    }
-
-    /// Long prompts that this proxy sent and that control was not told of yet.
-    pub fn take_prompts_sent(&mut self) -> Vec<PromptSent> {
-        self.prefill.take_untold()
-    }
-
-    /// A send is over.
-    pub fn ended(&mut self, now: Millis, place: usize, ended: Ended) {
-        let rest_until = now + self.policy.rest_ms;
-        let upstream = self.upstreams.get_mut(place);
-        check(Invariant::SendsAreCounted, upstream.own > 0, || {
-            format!("none is under way at {}", upstream.entry.identifier)
-        });
-        upstream.own = upstream.own.saturating_sub(1);
-        match ended {
-            Ended::Answered => upstream.run.succeeded(),
-            Ended::TurnedAway => upstream.rests_until = rest_until,
-            Ended::Faulty => upstream.rests_until = rest_until,
-            // Where the way is not known yet, a failure says that it was not waited for long enough.
-            Ended::Broken
-                if self.region_trips.get(&upstream.region).is_none()
-                    && upstream.heard_at.is_infinite() =>
-            {
-                upstream.rests_until = rest_until;
-                upstream.next_probe = now;
-            }
-            Ended::Broken => {
-                upstream.run.failed();
-                upstream.rests_until = rest_until;
-                upstream.next_probe = now;
-                self.note_failure(now, place);
-            }
-            Ended::GivenUp => {}
-        }
-        if !self.upstreams.get(place).listed {
-            self.upstreams.sweep();
-        }
-    }
-
-    /// Bytes of an answer came.
-    pub fn heard(&mut self, now: Millis, place: usize) {
-        let upstream = self.upstreams.get_mut(place);
-        upstream.heard_at = now;
-        self.zones.heard(&upstream.entry.zone);
-    }
-
-    /// A way to the upstream and back took `elapsed` ms.
-    pub fn note_trip(&mut self, now: Millis, place: usize, elapsed: Millis) {
-        let region = &self.upstreams.get(place).region;
-        self.region_trips.sample(now, region, elapsed, &self.policy);
-    }
-
-    /// The smoothed round trip to a region in ms, once it was measured.
-    #[must_use]
-    pub fn region_trip(&self, region: &str) -> Option<Millis> {
-        self.region_trips.get(region)
-    }
-
-    /// A connection to the upstream did not come up in its time.
-    pub fn connect_timed_out(&mut self, now: Millis, place: usize) {
-        let region = &self.upstreams.get(place).region;
-        self.region_trips.timed_out(now, region);
-    }
-
-    /// How long this request waits for a connection to the upstream, in ms.
-    pub fn connect_timeout(&self, request: &ProxyRequest, place: usize) -> Millis {
-        let upstream = self.upstreams.get(place);
-        let own = self.policy.connect_patience_ms + 2.0 * upstream.average.get().unwrap_or(0.0);
-        let aim = request.route.target_latency_ms;
-        self.region_trips
-            .connect_timeout(&upstream.region, aim, &self.policy)
-            .max(own)
-    }
-
-    /// How long a probe of the upstream waits for its answer, in ms.
-    pub fn probe_timeout(&self, now: Millis, place: usize) -> Millis {
-        let upstream = self.upstreams.get(place);
-        self.region_trips
-            .probe_timeout(now, &upstream.region, upstream.average.get(), &self.policy)
-    }
-
-    /// An upstream failed. Once its zone looks lost, those in use there are asked at once.
-    fn note_failure(&mut self, now: Millis, place: usize) {
-        let entry = &self.upstreams.get(place).entry;
-        if !self.zones.failed(now, &entry.zone, &entry.identifier) {
-            return;
-        }
-        let zone = entry.zone.clone();
-        log::info!("nothing is heard of zone {zone}");
-        let listed: Vec<usize> = self.upstreams.listed().collect();
-        for place in listed {
-            let upstream = self.upstreams.get_mut(place);
-            if upstream.entry.zone == zone {
-                upstream.next_probe = upstream.next_probe.min(now);
-            }
-        }
-    }
-
-    /// Whether the zone of this upstream looks lost.
-    pub(crate) fn is_in_silent_zone(&self, now: Millis, place: usize) -> bool {
-        self.policy.zone_outlook
-            && self
-                .zones
-                .is_silent(now, &self.upstreams.get(place).entry.zone)
-    }
-
-    /// Whether it was heard so lately that an idle connection to it will do for what may run only once.
-    pub fn is_proven_alive(&self, now: Millis, place: usize) -> bool {
-        let upstream = self.upstreams.get(place);
-        let distrusted = self.idle_distrusted_until.get(&upstream.entry.service);
-        upstream.run.is_empty()
-            && now - upstream.heard_at <= self.policy.proven_alive_ms
-            && distrusted.is_none_or(|until| now >= *until)
-    }
-
-    /// An idle connection to the upstream broke without a word when it was used again: those of its service are not trusted
-    /// with what may run only once for a while.
-    pub fn idle_connection_broke(&mut self, now: Millis, place: usize) {
-        let service = self.upstreams.get(place).entry.service.clone();
-        self.idle_distrusted_until
-            .insert(service, now + self.policy.idle_distrust_ms);
-    }
-
-    /// An answer said how loaded its upstream is, or how long it stays cold.
-    pub fn told(&mut self, now: Millis, place: usize, load: Option<Load>, cold_ms: Option<Millis>) {
-        let upstream = self.upstreams.get_mut(place);
-        if let Some(load) = load {
-            upstream.told(load, now);
-        }
-        if let Some(cold) = cold_ms {
-            upstream.cold(cold, now);
-        }
-    }
-
-    /// The first part of an answer came after `elapsed` ms; `estimate`: what a long prompt was to take.
-    pub fn paced(
-        &mut self,
-        request: &ProxyRequest,
-        place: usize,
-        elapsed: Millis,
-        estimate: Option<&Estimate>,
-    ) {
-        let region = &self.upstreams.get(place).region;
-        if let Some(estimate) = estimate {
-            let trip = self.region_trips.get(region).unwrap_or(0.0);
-            self.prefill
-                .answered(&request.service, estimate, elapsed - trip, &self.policy);
-        }
-        let far = *region != self.region;
-        self.paces
-            .entry((request.route.name.clone(), far))
-            .or_default()
-            .add(elapsed);
+            .map_or(0, |configuration| configuration.version)
     }
 
-    /// So long an upstream may be silent before the request is offered to another as well, in ms.
-    pub fn patience(&self, request: &ProxyRequest, place: usize) -> Millis {
-        let far = self.upstreams.get(place).region != self.region;
-        let pace = self
-            .paces
-            .get(&(request.route.name.clone(), far))
-            .copied()
-            .unwrap_or_default();
-        let trip = self
-            .region_trips
-            .get(&self.upstreams.get(place).region)
-            .unwrap_or(0.0);
-        pace.patience(request.route.target_latency_ms, trip, &self.policy)
+    /// Indices of the listed upstreams of a service.
+    fn upstreams_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = usize> + 'a {
+        self.upstreams
+            .listed()
+            .filter(move |index| self.upstreams.get(*index).entry.service == service)
     }
 }
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -6,7 +6,7 @@
     SESSION_TIMEOUT_MS,
 };
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::placement::balancer::{Balancer, Folded};
+use sandtrack_proxy::placement::balancer::{ApplyOutcome, Balancer};
 use sandtrack_proxy::session_policy::{candidates, judge_welcome, Accepted, Standing};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -257,7 +257,7 @@
             if let ToProxy::Heartbeat { attached } = &frame {
                 session.standing.beat(now, *attached);
             }
-            if self.balancer.fold(now, frame) == Folded::WantConfiguration {
+            if self.balancer.apply(now, frame) == ApplyOutcome::NeedsFullConfiguration {
                 wishes.push(Wish::Send {
                     number,
                     bytes: bytes(&ToControl::WantConfiguration),
