--- a/crates/sandtrack-control/src/directory.rs
+++ b/crates/sandtrack-control/src/directory.rs
@@ -1,17 +1,17 @@
 //! The directory: tells clients which proxies to go to. It is pure; the membership says who is there.
-use crate::control::Reply;
+use crate::operator_api::Reply;
 use sandtrack_protocol::codes;
 use sandtrack_protocol::frames::ProxyInfo;
 use sandtrack_sidecar_core::message::{self, Head};
 
 /// So many addresses are told at most.
-const ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// How long clients may hold an answer, in s: they soon hear of one that has left.
 const LIFETIME_S: u32 = 1;
 
 /// Where a client says that it is. What it leaves out is empty: it is answered all the same.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct ClientLocation {
     /// Its zone.
     pub zone: String,
     /// Its region.
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// The answer to a call that is none of the directory's.
-pub fn decode(head: &Head) -> Result<Place, Reply> {
+pub fn decode(head: &Head) -> Result<ClientLocation, Reply> {
     let target = message::origin_form(&head.target);
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     if path != "/v1/resolution" {
@@ -35,15 +35,15 @@
             &format!("{} {path}: GET is meant", head.method),
         ));
     }
-    let mut place = Place::default();
+    let mut location = ClientLocation::default();
     for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
         match name {
-            "zone" => place.zone = unescape(value),
-            "region" => place.region = unescape(value),
+            "zone" => location.zone = unescape(value),
+            "region" => location.region = unescape(value),
             _ => {}
         }
     }
-    Ok(place)
+    Ok(location)
 }
 
 /// A value of a query with `%41` and `+` read.
@@ -72,7 +72,7 @@
 /// third of what a place has on average: a place that has lost more sends its clients on. Where there are too many, `turn`
 /// says with which to begin.
 pub fn choose<'a>(
-    place: &Place,
+    location: &ClientLocation,
     ready: &[&'a ProxyInfo],
     zones: usize,
     regions: usize,
@@ -87,8 +87,8 @@
             .map(|info| info.client_address.as_str())
             .collect()
     };
-    let zone = of(&|info| info.zone == place.zone);
-    let region = of(&|info| info.region == place.region);
+    let zone = of(&|info| info.zone == location.zone);
+    let region = of(&|info| info.region == location.region);
     let mut chosen = if enough(zone.len(), zones) {
         zone
     } else if enough(region.len(), regions) {
@@ -98,10 +98,10 @@
     };
     chosen.sort_unstable();
     chosen.dedup();
-    if chosen.len() > ADDRESSES {
-        let shift = turn.wrapping_mul(ADDRESSES) % chosen.len();
+    if chosen.len() > MAX_ADDRESSES {
+        let shift = turn.wrapping_mul(MAX_ADDRESSES) % chosen.len();
         chosen.rotate_left(shift);
-        chosen.truncate(ADDRESSES);
+        chosen.truncate(MAX_ADDRESSES);
     }
     chosen
 }
--- a/crates/sandtrack-control/src/reader.rs
+++ b/crates/sandtrack-control/src/endpoint_poller.rs
@@ -1,7 +1,7 @@
 //! The reading of the platform's list: its pace and its pages. Pure: what it wants is called elsewhere, and who reads is in
 //! `reader_election`.
-pub use crate::peer_frames::Claim;
-pub use crate::reader_election::{PeerReport, ReaderElection, HOLDER_SILENT_MS};
+pub use crate::peer_frames::PollerLease;
+pub use crate::poller_election::{PeerReport, PollerElection, HOLDER_TIMEOUT_MS};
 use crate::upstreams::Upstreams;
 use crate::Millis;
 use sandtrack_protocol::frames::UpstreamEntry;
@@ -10,28 +10,28 @@
 
 /// The part of the time within which draining has to be seen that lies between the begins of two whole readings. Besides that a
 /// change waits for a holder that dies to be replaced, for the reading, and for the way to all proxies: 1.5 s at most.
-const EVERY_SHARE: f64 = 0.175;
+const POLL_FRACTION_OF_DRAIN_BOUND: f64 = 0.175;
 /// The same pause at least and at most, in ms: new upstreams are to be seen soon.
-const EVERY_LEAST_MS: Millis = 400.0;
-const EVERY_MOST_MS: Millis = 1000.0;
+const MIN_POLL_INTERVAL_MS: Millis = 400.0;
+const MAX_POLL_INTERVAL_MS: Millis = 1000.0;
 /// One that reads for itself, as it hears nobody who reads, pauses this many times as long.
-const ALONE_FACTOR: f64 = 2.0;
+const FALLBACK_INTERVAL_FACTOR: f64 = 2.0;
 /// The share of the platform's rate that calls may take; the rest is for the moment in which two read.
-const SHARE: f64 = 0.6;
+const RATE_LIMIT_FRACTION: f64 = 0.6;
 /// A page whose call began longer ago, in ms, tells of a time that is over: this process did not run meanwhile.
-const STALE_MS: Millis = 1500.0;
+const MAX_PAGE_AGE_MS: Millis = 1500.0;
 /// After a 429 or a failure, in ms: at first, and at most.
-const BACK_OFF_MS: Millis = 200.0;
-const BACK_OFF_MOST_MS: Millis = 800.0;
+const MIN_BACKOFF_MS: Millis = 200.0;
+const MAX_BACKOFF_MS: Millis = 800.0;
 /// A page that failed so often in a row is given up, and the reading begins anew: its token may be valid no more.
-const PAGE_TRIES: u32 = 3;
+const MAX_PAGE_ATTEMPTS: u32 = 3;
 
 /// What a call to the platform brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum PageResult {
     Page(Page),
     /// 429.
-    TooMany,
+    RateLimited,
     Failed(String),
 }
 
@@ -95,8 +95,8 @@
 
 /// The readings: one page after another, and one reading after another. Times are in ms of the steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct Reader {
-    /// Pause from the begin of one whole reading to the next, in ms; never less than [`EVERY_LEAST_MS`].
+pub struct EndpointPoller {
+    /// Pause from the begin of one whole reading to the next, in ms; never less than [`MIN_POLL_INTERVAL_MS`].
     every: Millis,
     /// When the call under way began.
     calling: Option<Millis>,
@@ -108,18 +108,18 @@
     /// What the reading before did not show either.
     missed: BTreeSet<String>,
     next_call: Millis,
-    back_off: Millis,
+    backoff: Millis,
     /// How often the page that is wanted failed in a row.
     failures: u32,
 }
 
-impl Reader {
+impl EndpointPoller {
     /// One that reads often enough for draining to be heeded everywhere within `drain_ms`.
     #[must_use]
-    pub fn within(drain_ms: Millis) -> Reader {
-        Reader {
-            every: (drain_ms * EVERY_SHARE).min(EVERY_MOST_MS),
-            ..Reader::default()
+    pub fn for_drain_bound(drain_ms: Millis) -> EndpointPoller {
+        EndpointPoller {
+            every: (drain_ms * POLL_FRACTION_OF_DRAIN_BOUND).min(MAX_POLL_INTERVAL_MS),
+            ..EndpointPoller::default()
         }
     }
 
@@ -128,7 +128,7 @@
     pub fn next_page(
         &mut self,
         now: Millis,
-        alone: bool,
+        is_fallback: bool,
         rate_per_s: f64,
     ) -> Option<Option<String>> {
         if self.calling.is_some() || now < self.next_call {
@@ -138,7 +138,11 @@
             (self.began, self.token, self.pages) = (Some(now), None, 0);
             self.seen.clear();
         }
-        let share = if alone { SHARE / 3.0 } else { SHARE };
+        let share = if is_fallback {
+            RATE_LIMIT_FRACTION / 3.0
+        } else {
+            RATE_LIMIT_FRACTION
+        };
         self.calling = Some(now);
         self.next_call = now + 1000.0 / (share * rate_per_s).max(0.01);
         Some(self.token.clone())
@@ -150,7 +154,7 @@
     }
 
     /// Others read from now on.
-    pub fn stop(&mut self) {
+    pub fn reset(&mut self) {
         (self.began, self.token, self.failures) = (None, None, 0);
         self.missed.clear();
     }
@@ -158,17 +162,17 @@
     /// The same page is called for once more, so that each call that comes through brings the reading on.
     fn page_failed(&mut self) {
         self.failures += 1;
-        if self.token.is_none() || self.failures >= PAGE_TRIES {
-            self.stop();
+        if self.token.is_none() || self.failures >= MAX_PAGE_ATTEMPTS {
+            self.reset();
         }
     }
 
     /// A call is over. Yes where a whole reading ended with it.
-    pub fn answered(
+    pub fn page_fetched(
         &mut self,
         now: Millis,
-        alone: bool,
-        call: Call,
+        is_fallback: bool,
+        call: PageResult,
         upstreams: &mut Upstreams,
     ) -> bool {
         let Some(called) = self.calling.take() else {
@@ -178,23 +182,23 @@
             return false;
         };
         let page = match call {
-            Call::Page(page) if now - called <= STALE_MS => page,
-            Call::Page(_) => {
+            PageResult::Page(page) if now - called <= MAX_PAGE_AGE_MS => page,
+            PageResult::Page(_) => {
                 log::debug!("a page was {:.0} ms old: left out", now - called);
-                self.stop();
+                self.reset();
                 return false;
             }
             failed => {
-                self.back_off = (self.back_off * 2.0).clamp(BACK_OFF_MS, BACK_OFF_MOST_MS);
-                self.next_call = self.next_call.max(now + self.back_off);
-                if let Call::Failed(why) = failed {
+                self.backoff = (self.backoff * 2.0).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+                self.next_call = self.next_call.max(now + self.backoff);
+                if let PageResult::Failed(why) = failed {
                     log::debug!("the platform's list: {why}");
                     self.page_failed();
                 }
                 return false;
             }
         };
-        (self.back_off, self.failures) = (0.0, 0);
+        (self.backoff, self.failures) = (0.0, 0);
         self.pages += 1;
         for entry in page.entries {
             self.seen.insert(entry.identifier.clone());
@@ -216,8 +220,13 @@
             .filter(|missing| self.pages == 1 || self.missed.contains(*missing));
         gone.for_each(|gone| upstreams.remove(gone));
         self.missed = missing;
-        upstreams.reading_ended(upstreams.round() + 1);
-        let every = self.every.max(EVERY_LEAST_MS) * if alone { ALONE_FACTOR } else { 1.0 };
+        upstreams.poll_finished(upstreams.polls() + 1);
+        let every = self.every.max(MIN_POLL_INTERVAL_MS)
+            * if is_fallback {
+                FALLBACK_INTERVAL_FACTOR
+            } else {
+                1.0
+            };
         self.next_call = self.next_call.max(began + every);
         (self.began, self.token) = (None, None);
         self.seen.clear();
--- a/crates/sandtrack-control/src/journal.rs
+++ b/crates/sandtrack-control/src/event_log.rs
@@ -4,17 +4,17 @@
 
 /// What happened, in order. A reader keeps a place, and one that has fallen behind what is kept starts from the whole.
 #[derive(Clone, Debug)]
-pub struct Journal<E> {
+pub struct EventLog<E> {
     /// Place of the first event that is kept.
     first: u64,
     events: VecDeque<E>,
     kept: usize,
 }
 
-impl<E> Journal<E> {
+impl<E> EventLog<E> {
     /// A journal that keeps so many events.
-    pub fn new(kept: usize) -> Journal<E> {
-        Journal {
+    pub fn new(kept: usize) -> EventLog<E> {
+        EventLog {
             first: 0,
             events: VecDeque::new(),
             kept,
--- a/crates/sandtrack-control/src/socket.rs
+++ b/crates/sandtrack-control/src/frame_connection.rs
@@ -13,11 +13,11 @@
 
 /// Bytes that may wait to be written behind the largest frame when more come: an end that does not read is given up. A whole
 /// configuration may be longer than that by itself.
-const WAITING_MOST: usize = 4 << 20;
+const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// What is written without being taken by the other machine breaks the connection after this, in ms.
-const UNTAKEN_MS: u32 = 1500;
+const TCP_USER_TIMEOUT_MS: u32 = 1500;
 /// Bytes read at a time.
-const PIECE: usize = 8192;
+const READ_CHUNK_BYTES: usize = 8192;
 
 /// Sends what is written at once, and breaks a connection whose other end takes nothing. A socket that can't serves all the
 /// same.
@@ -25,13 +25,13 @@
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         log::debug!("no TCP_NODELAY: {error}");
     }
-    if let Err(error) = rustix::net::sockopt::set_tcp_user_timeout(stream, UNTAKEN_MS) {
+    if let Err(error) = rustix::net::sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT_MS) {
         log::debug!("no TCP_USER_TIMEOUT: {error}");
     }
 }
 
 /// The way to a connection's task. It closes when it is dropped: what waits is written before.
-pub struct Way {
+pub struct FrameSender {
     sender: async_channel::Sender<Rc<[u8]>>,
     waiting: Rc<Cell<usize>>,
     /// Bytes of the largest frame so far.
@@ -39,30 +39,30 @@
 }
 
 /// The task's end of it.
-pub struct Outgoing {
+pub struct FrameReceiver {
     receiver: async_channel::Receiver<Rc<[u8]>>,
     waiting: Rc<Cell<usize>>,
 }
 
 /// The two ends of the way out over one connection: the sender's and its task's.
-pub fn way() -> (Way, Outgoing) {
+pub fn frame_channel() -> (FrameSender, FrameReceiver) {
     let (sender, receiver) = async_channel::unbounded();
     let waiting = Rc::new(Cell::new(0));
     (
-        Way {
+        FrameSender {
             sender,
             waiting: waiting.clone(),
             largest: Cell::new(0),
         },
-        Outgoing { receiver, waiting },
+        FrameReceiver { receiver, waiting },
     )
 }
 
-impl Way {
+impl FrameSender {
     /// No where the other end has too much still to take, or is gone: the connection is of no further use.
     #[must_use]
     pub fn send(&self, bytes: Rc<[u8]>) -> bool {
-        if self.waiting.get() > WAITING_MOST + self.largest.get() {
+        if self.waiting.get() > MAX_QUEUED_BYTES + self.largest.get() {
             return false;
         }
         self.largest.set(self.largest.get().max(bytes.len()));
@@ -89,9 +89,9 @@
 }
 
 /// Carries frames both ways until an end closes; each that comes is told.
-pub async fn carry<T: BorshDeserialize>(
+pub async fn run<T: BorshDeserialize>(
     stream: &Async<TcpStream>,
-    outgoing: &Outgoing,
+    outgoing: &FrameReceiver,
     told: impl FnMut(T),
 ) {
     let read = async {
@@ -109,7 +109,7 @@
 }
 
 /// Until the way to it is dropped; then what waits is written, and the other end is told that this is all.
-async fn write_frames(stream: &Async<TcpStream>, outgoing: &Outgoing) -> io::Result<()> {
+async fn write_frames(stream: &Async<TcpStream>, outgoing: &FrameReceiver) -> io::Result<()> {
     while let Ok(bytes) = outgoing.receiver.recv().await {
         let mut rest = &bytes[..];
         while !rest.is_empty() {
@@ -130,7 +130,7 @@
     let mut bytes: Vec<u8> = Vec::new();
     loop {
         let start = bytes.len();
-        bytes.resize(start + PIECE, 0);
+        bytes.resize(start + READ_CHUNK_BYTES, 0);
         let count = stream
             .read_with(|mut socket| socket.read(&mut bytes[start..]))
             .await;
@@ -146,8 +146,8 @@
             taken += length;
         }
         bytes.drain(..taken);
-        if bytes.is_empty() && bytes.capacity() > 4 * PIECE {
-            bytes.shrink_to(PIECE);
+        if bytes.is_empty() && bytes.capacity() > 4 * READ_CHUNK_BYTES {
+            bytes.shrink_to(READ_CHUNK_BYTES);
         }
         future::yield_now().await;
     }
--- a/crates/sandtrack-control/src/operators.rs
+++ b/crates/sandtrack-control/src/http_server.rs
@@ -1,8 +1,9 @@
 //! The sockets of the HTTP interfaces: operators' calls, one a connection, and the directory's. It owns the bytes under way and
 //! tells the control node when a connection came; it must never decide what that means.
-use crate::arrivals::Arrival;
-use crate::control::{self, Reply, BODY_MAX, PATIENCE_MS};
-use crate::socket::prepare;
+use crate::frame_connection::prepare;
+use crate::operator_api::call_age::Arrival;
+use crate::operator_api::requests::{CALL_TIMEOUT_MS, MAX_BODY_BYTES};
+use crate::operator_api::{responses, Reply};
 use crate::Millis;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -23,14 +24,14 @@
 const IDLE: Duration = Duration::from_secs(30);
 /// An answer is given as a definite one for so many ms after its call was read, which is a little more than what the control
 /// node takes at most.
-const ANSWER_MS: Millis = PATIENCE_MS + 150.0;
+const ANSWER_MS: Millis = CALL_TIMEOUT_MS + 150.0;
 
-/// Accepts operators' connections for as long as the task lives. `look_again` tells that the process was held up: whether the
+/// Accepts operators' connections for as long as the task lives. `queue_recheck` tells that the process was held up: whether the
 /// queue is empty is then looked at anew, so that what comes later is not taken for what waited.
 pub async fn listen(
     listener: Async<TcpListener>,
     clock: Clock,
-    look_again: async_channel::Receiver<()>,
+    queue_recheck: async_channel::Receiver<()>,
     mut opened: impl FnMut(Async<TcpStream>, Arrival),
 ) {
     // What waits already has waited for an unknown time.
@@ -55,7 +56,7 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 queued_since = before;
                 let come = async { listener.readable().await.is_ok() };
-                let again = async { look_again.recv().await.is_ok() };
+                let again = async { queue_recheck.recv().await.is_ok() };
                 future::or(come, again).await;
             }
             Err(error) => {
@@ -94,12 +95,12 @@
             let read = clock.now();
             match submit(message).await {
                 None => return,
-                Some(_) if clock.now() - read > ANSWER_MS => control::unsure(),
+                Some(_) if clock.now() - read > ANSWER_MS => responses::unacknowledged(),
                 Some(reply) => reply,
             }
         }
     };
-    let mut output = Ring::new(2 * BODY_MAX);
+    let mut output = Ring::new(2 * MAX_BODY_BYTES);
     if write(stream, &mut output, &reply, true).await {
         linger(stream).await;
     }
@@ -112,7 +113,7 @@
     answer: impl Fn(&Message) -> Reply,
 ) {
     let mut input = Ring::new(http::READ_RING);
-    let mut output = Ring::new(2 * BODY_MAX);
+    let mut output = Ring::new(2 * MAX_BODY_BYTES);
     let mut parser = http::Parser::new(Side::Request);
     loop {
         let mut held = memory.message();
@@ -193,7 +194,7 @@
                 head = Some(read);
             }
             Ok(Some(Part::Data(data))) => {
-                if body.len() + data.len() > BODY_MAX {
+                if body.len() + data.len() > MAX_BODY_BYTES {
                     return Some(Err(Unread::NoCall(413)));
                 }
                 if !held.extend(&mut body, &data) {
--- a/crates/sandtrack-control/src/lib.rs
+++ b/crates/sandtrack-control/src/lib.rs
@@ -1,31 +1,34 @@
-//! The control plane: configuration, membership, the list of upstreams, the directory. `control node` puts the parts
-//! together and is pure; `program` carries out what it asks for on sockets, a disk and a clock.
-pub mod arrivals;
-pub mod call_log;
-pub mod commands;
-pub mod contact;
-pub mod control;
-pub mod control_state;
+//! The control plane: the replicated configuration, the membership of proxies, the platform's list of upstreams, and the
+//! directory.
+//!
+//! [`node`] puts the parts together as one deterministic state machine; [`program`] carries out its effects on sockets, a
+//! disk and a clock. Everything else is used by one of the two:
+//! - [`operator_api`] and [`http_server`]: operators' calls, from the socket to the response;
+//! - [`state_machine`]: what is replicated, with its commands and snapshots;
+//! - [`quorum_lease`]: whether this node may serve committed state;
+//! - [`peers`], [`peer_frames`], [`frame_connection`]: links between control nodes;
+//! - [`sessions`], [`membership`], [`prompt_relay`], [`directory`]: proxies and the clients that look for them;
+//! - [`poller_election`], [`endpoint_poller`], [`platform_client`], [`upstreams`]: the platform's list of upstreams.
+#![warn(missing_docs)]
 pub mod directory;
-pub mod disk;
-pub mod evacuations;
-pub mod journal;
-pub mod knowledge;
+pub mod endpoint_poller;
+pub mod event_log;
+pub mod frame_connection;
+pub mod http_server;
 pub mod membership;
 pub mod node;
-pub mod operator_calls;
-pub mod operators;
+pub mod operator_api;
 pub mod peer_frames;
 pub mod peers;
-pub mod platform;
+pub mod platform_client;
+pub mod poller_election;
 pub mod program;
 pub mod prompt_relay;
-pub mod reader;
-pub mod reader_election;
+pub mod quorum_lease;
 pub mod sessions;
-pub mod socket;
-pub mod taken;
+pub mod state_machine;
 pub mod upstreams;
+pub mod wal_writer;
 
-/// Milliseconds of the process's own steady clock.
+/// Milliseconds of the process's own monotonic clock.
 pub type Millis = f64;
--- a/crates/sandtrack-control/src/membership.rs
+++ b/crates/sandtrack-control/src/membership.rs
@@ -1,6 +1,6 @@
 //! The membership: who the proxies are. A proxy is a member while its session with a control node stands, and control nodes tell
 //! each other their sessions. It owns what is known of the members; it must never ask a socket.
-use crate::journal::Journal;
+use crate::event_log::EventLog;
 pub use crate::peer_frames::Member;
 use crate::peer_frames::{Digest, PeerFrame};
 use crate::Millis;
@@ -11,17 +11,17 @@
 /// The members of a control node that fell silent, and proxies that did, are counted for this long, in ms: they come back
 /// elsewhere, or are cut off or frozen and go on with their shares of what holds over all. A proxy gives its share up sooner
 /// (`SHARE_LEASE` of `sandtrack_proxy::placement::balancer`).
-pub const KEPT_MS: Millis = 30_000.0;
+pub const TIMED_OUT_RETENTION_MS: Millis = 30_000.0;
 /// A proxy whose session broke is counted for this long, in ms: it opens another one, or was killed.
-const BROKEN_KEPT_MS: Millis = 2500.0;
+const DISCONNECTED_RETENTION_MS: Millis = 2500.0;
 /// ... and clients are sent to them for this long; for the longer one where there is nobody else.
-const SHOWN_MS: Millis = 1500.0;
-const SHOWN_ALONE_MS: Millis = 4000.0;
-const EVENTS_KEPT: usize = 2048;
+const LOST_NODE_READY_MS: Millis = 1500.0;
+const LAST_KNOWN_READY_MS: Millis = 4000.0;
+const MAX_EVENTS: usize = 2048;
 
 /// Members of another control node.
 #[derive(Clone, Debug, Default)]
-struct Others {
+struct RemoteSessions {
     members: BTreeMap<String, (Member, Millis)>,
     /// Since when it is not heard.
     lost: Option<Millis>,
@@ -29,11 +29,11 @@
 
 /// Why a proxy has no session any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum SessionEnd {
     /// It said nothing: it may be frozen or cut off.
-    Silent,
+    TimedOut,
     /// The connection ended: it has ended, or comes back at once.
-    Broken,
+    Disconnected,
 }
 
 /// The proxies with a session here, and those that the other control nodes tell of.
@@ -42,11 +42,11 @@
     own: BTreeMap<String, Member>,
     /// Own members without a session, and until when they are counted. They are told to others as not ready.
     lost: BTreeMap<String, (Member, Millis)>,
-    others: BTreeMap<Address, Others>,
+    others: BTreeMap<Address, RemoteSessions>,
     /// Names of own members of which something changed.
-    journal: Journal<String>,
+    event_log: EventLog<String>,
     /// Rises with each change of who is there.
-    round: u64,
+    revision: u64,
 }
 
 impl Default for Membership {
@@ -55,8 +55,8 @@
             own: BTreeMap::new(),
             lost: BTreeMap::new(),
             others: BTreeMap::new(),
-            journal: Journal::new(EVENTS_KEPT),
-            round: 0,
+            event_log: EventLog::new(MAX_EVENTS),
+            revision: 0,
         }
     }
 }
@@ -68,23 +68,24 @@
         let was_lost = self.lost.remove(&name).is_some();
         let before = self.own.insert(name.clone(), member);
         let after = &self.own[&name];
-        if was_lost || before.as_ref().map(Member::marks) != Some(after.marks()) {
+        if was_lost || before.as_ref().map(Member::announced_state) != Some(after.announced_state())
+        {
             if was_lost || before.is_none_or(|before| before.info != after.info) {
-                self.round += 1;
+                self.revision += 1;
             }
-            self.journal.append(name);
+            self.event_log.append(name);
         }
     }
 
     /// The proxy of an own session tells its state.
-    pub fn state(&mut self, info: &ProxyInfo, state: ProxyState) {
+    pub fn update_state(&mut self, info: &ProxyInfo, state: ProxyState) {
         match self.own.get_mut(&info.node_name) {
             Some(member) if member.info == *info => {
                 let marks = |state: &ProxyState| (state.ready, state.draining, state.version);
                 let changed = marks(&member.state) != marks(&state);
                 member.state = state;
                 if changed {
-                    self.journal.append(info.node_name.clone());
+                    self.event_log.append(info.node_name.clone());
                 }
             }
             _ => self.set(Member {
@@ -95,30 +96,30 @@
     }
 
     /// An own session is over. Unless its proxy was told to stop, it is counted on for a while.
-    pub fn gone(&mut self, now: Millis, name: &str, lost: Lost) {
+    pub fn session_ended(&mut self, now: Millis, name: &str, lost: SessionEnd) {
         let Some(mut member) = self.own.remove(name) else {
             return;
         };
         if !member.state.draining {
             let kept = match lost {
-                Lost::Silent => KEPT_MS,
-                Lost::Broken => BROKEN_KEPT_MS,
+                SessionEnd::TimedOut => TIMED_OUT_RETENTION_MS,
+                SessionEnd::Disconnected => DISCONNECTED_RETENTION_MS,
             };
             member.state.ready = false;
             self.lost.insert(name.to_owned(), (member, now + kept));
         }
-        self.journal.append(name.to_owned());
-        self.round += 1;
+        self.event_log.append(name.to_owned());
+        self.revision += 1;
     }
 
     /// Own members as the others are told them: those with a session, and those that are counted on.
-    fn told_to_others(&self) -> impl Iterator<Item = &Member> {
+    fn announced(&self) -> impl Iterator<Item = &Member> {
         self.own
             .values()
             .chain(self.lost.values().map(|(member, _)| member))
     }
 
-    fn told_by_name(&self, name: &str) -> Option<&Member> {
+    fn announced_by_name(&self, name: &str) -> Option<&Member> {
         self.own
             .get(name)
             .or_else(|| self.lost.get(name).map(|(member, _)| member))
@@ -126,37 +127,37 @@
 
     /// Place of the newest event of own members.
     pub fn end(&self) -> u64 {
-        self.journal.end()
+        self.event_log.end()
     }
 
     /// What another control node is to be told that was told up to `place`; all where it was told nothing yet.
     pub fn frame_since(&self, place: Option<u64>) -> PeerFrame {
-        let Some(events) = place.and_then(|place| self.journal.since(place)) else {
-            let present = self.told_to_others().cloned().collect();
+        let Some(events) = place.and_then(|place| self.event_log.since(place)) else {
+            let present = self.announced().cloned().collect();
             return PeerFrame::Sessions {
-                whole: true,
+                is_complete: true,
                 present,
-                gone: Vec::new(),
+                removed: Vec::new(),
             };
         };
         let names: BTreeSet<&String> = events.collect();
         let (present, gone): (Vec<&String>, Vec<&String>) = names
             .into_iter()
-            .partition(|name| self.told_by_name(name).is_some());
+            .partition(|name| self.announced_by_name(name).is_some());
         let present = present
             .into_iter()
-            .filter_map(|name| self.told_by_name(name).cloned())
+            .filter_map(|name| self.announced_by_name(name).cloned())
             .collect();
         PeerFrame::Sessions {
-            whole: false,
+            is_complete: false,
             present,
-            gone: gone.into_iter().cloned().collect(),
+            removed: gone.into_iter().cloned().collect(),
         }
     }
 
     /// Digest of the own members.
     pub fn digest(&self) -> Digest {
-        digest(self.told_to_others())
+        digest(self.announced())
     }
 
     /// Digest of those that another control node told.
@@ -170,7 +171,7 @@
     }
 
     /// Another control node tells its members, or what changed of them.
-    pub fn told(
+    pub fn apply_sessions(
         &mut self,
         now: Millis,
         control_node: &str,
@@ -202,11 +203,11 @@
                 .members
                 .insert(member.info.node_name.clone(), (member, since));
         }
-        self.round += u64::from(names(others) != before);
+        self.revision += u64::from(names(others) != before);
     }
 
     /// Another control node is heard, or is no longer.
-    pub fn lost(&mut self, now: Millis, control_node: &str) {
+    pub fn control_node_lost(&mut self, now: Millis, control_node: &str) {
         if let Some(others) = self.others.get_mut(control_node) {
             others.lost = others.lost.or(Some(now));
         }
@@ -217,27 +218,30 @@
         let over = self.lost.iter().filter(|(_, (_, until))| now >= *until);
         for name in over.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
             self.lost.remove(&name);
-            self.journal.append(name);
-            self.round += 1;
+            self.event_log.append(name);
+            self.revision += 1;
         }
         let before = self.others.len();
-        self.others
-            .retain(|_, others| others.lost.is_none_or(|lost| now - lost < KEPT_MS));
-        self.round += u64::from(self.others.len() != before);
+        self.others.retain(|_, others| {
+            others
+                .lost
+                .is_none_or(|lost| now - lost < TIMED_OUT_RETENTION_MS)
+        });
+        self.revision += u64::from(self.others.len() != before);
     }
 
     /// Rises with each change of who is there.
-    pub fn round(&self) -> u64 {
-        self.round
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Every member once, by name: as its own session says, else as the control node says to which it came last, else as it
     /// was when its session was lost here.
     pub fn members(&self) -> BTreeMap<&str, &Member> {
-        self.fold(|_| true)
+        self.merged(|_| true)
     }
 
-    fn fold(&self, seen: impl Fn(&Others) -> bool) -> BTreeMap<&str, &Member> {
+    fn merged(&self, seen: impl Fn(&RemoteSessions) -> bool) -> BTreeMap<&str, &Member> {
         let mut told: BTreeMap<&str, (bool, Millis, &Member)> = BTreeMap::new();
         for others in self.others.values().filter(|others| seen(others)) {
             for (name, (member, since)) in &others.members {
@@ -269,15 +273,15 @@
     /// else is known.
     pub fn ready(&self, now: Millis) -> Vec<&ProxyInfo> {
         let ready = |within: Millis| -> Vec<&ProxyInfo> {
-            let members = self.fold(|others| others.lost.is_none_or(|lost| now - lost < within));
+            let members = self.merged(|others| others.lost.is_none_or(|lost| now - lost < within));
             let ready = members
                 .into_values()
                 .filter(|member| member.state.ready && !member.state.draining);
             ready.map(|member| &member.info).collect()
         };
-        let shown = ready(SHOWN_MS);
+        let shown = ready(LOST_NODE_READY_MS);
         if shown.is_empty() {
-            return ready(SHOWN_ALONE_MS);
+            return ready(LAST_KNOWN_READY_MS);
         }
         shown
     }
@@ -288,7 +292,7 @@
     }
 }
 
-fn names(others: &Others) -> Vec<(String, u64)> {
+fn names(others: &RemoteSessions) -> Vec<(String, u64)> {
     others
         .members
         .iter()
--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -5,32 +5,35 @@
 //! replica's effects), `operators` (operators' calls), `links` (the other control nodes), `proxies` (their sessions),
 //! `list` (who reads the platform's list), `attachment` (contact with a majority), `time` (what is due, and freezes),
 //! `leaving` (the way to the end of the process), `status` and `figures`.
-mod attachment;
-mod figures;
-mod leaving;
-mod links;
-mod list;
-mod operators;
-mod proxies;
+mod call_context;
+mod endpoint_polling;
+mod metrics;
+mod operator_calls;
+mod peer_links;
+mod proxy_sessions;
+mod quorum;
+
 mod replica;
+mod shutdown;
 mod status;
-mod time;
+mod timers;
 
-use crate::arrivals::Arrival;
-use crate::call_log::CallLog;
-use crate::contact::Contact;
-use crate::control::{self, Reply};
-use crate::control_state::ControlState;
 use crate::directory;
+use crate::endpoint_poller::{EndpointPoller, PageResult, PollerElection};
 use crate::membership::Membership;
-use crate::operator_calls::OperatorCalls;
-use crate::peers::{LinkOrder, PeerFrame, Peers};
+use crate::operator_api::call_age::Arrival;
+use crate::operator_api::call_log::CallLog;
+use crate::operator_api::pending_calls::PendingCalls;
+use crate::operator_api::requests::CALL_TIMEOUT_MS;
+use crate::operator_api::Reply;
+use crate::peers::{LinkAction, PeerFrame, Peers};
 use crate::prompt_relay::PromptRelay;
-use crate::reader::{self, Reader, ReaderElection};
-use crate::sessions::{SessionOrder, Sessions};
+use crate::quorum_lease::QuorumLease;
+use crate::sessions::{SessionAction, Sessions};
+use crate::state_machine::ControlState;
 use crate::upstreams::Upstreams;
 use crate::Millis;
-use links::Announced;
+use peer_links::Announced;
 use sandtrack_protocol::frames::ToControl;
 use sandtrack_protocol::settings::Settings;
 use sandtrack_replication::{self as replication, Replica, Timings};
@@ -59,7 +62,7 @@
     /// Nothing of what was to be written is in the WAL.
     WriteFailed { ticket: u64 },
     /// A call to the platform is over.
-    Called(reader::Call),
+    PageFetched(PageResult),
     /// The settings were read again.
     Reload(Box<Settings>),
     /// The process was told to stop.
@@ -69,12 +72,12 @@
 /// What is to be done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer an operator's call.
+    /// QueryResult an operator's call.
     Reply { call: u64, reply: Reply },
     /// Open, close or write to a link with another control node.
-    Link(LinkOrder),
+    Link(LinkAction),
     /// Close or write to the session of a proxy.
-    Session(SessionOrder),
+    Session(SessionAction),
     /// Append all records to the WAL and make them durable, then `Input::Written`.
     Write { ticket: u64, records: Vec<Vec<u8>> },
     /// Replace the content of the WAL by these records, then `Input::Written`.
@@ -101,14 +104,14 @@
     settings: Settings,
     replica: Replica<ControlState>,
     peers: Peers,
-    contact: Contact,
+    quorum_lease: QuorumLease,
     sessions: Sessions,
     prompts: PromptRelay,
     membership: Membership,
     upstreams: Upstreams,
-    election: ReaderElection,
-    reader: Reader,
-    calls: OperatorCalls,
+    election: PollerElection,
+    poller: EndpointPoller,
+    calls: PendingCalls,
     call_log: CallLog,
     /// Clients that the directory has answered.
     resolutions: usize,
@@ -120,7 +123,7 @@
     held_all_in: Option<u64>,
     started: Millis,
     /// It knows how many proxies there are: what holds over all of them may be shared out.
-    settled: bool,
+    knows_all_proxies: bool,
     /// When the last input came.
     last_input: Millis,
     /// When it was told to stop.
@@ -132,14 +135,14 @@
         zone: settings.zone.clone(),
         incarnation_if_new: start.incarnation.max(1),
         first_start: settings.first_start,
-        seeds: links::seeds(settings),
+        seeds: peer_links::seeds(settings),
         disk: start.disk,
         machines_borne: settings.tolerated_machine_losses,
         zones_borne: settings.tolerated_zone_losses,
         seed: start.incarnation,
         // Nobody waits for longer: what is tried on after that could only come late.
         timings: Timings {
-            call: control::PATIENCE_MS,
+            call: CALL_TIMEOUT_MS,
             ..Timings::default()
         },
         ..replication::Settings::new(address, &[])
@@ -149,7 +152,7 @@
 impl ControlNode {
     /// A control node as its process starts, and what it wants done first.
     pub fn new(settings: Settings, start: Start, now: Millis) -> (ControlNode, Vec<Effect>) {
-        let me = links::hello(&settings, start.incarnation);
+        let me = peer_links::hello(&settings, start.incarnation);
         let replica_settings = replica_settings(&settings, &me.address, &start);
         let (replica, effects) = Replica::new(
             replica_settings,
@@ -158,24 +161,24 @@
             now,
         );
         let mut control_node = ControlNode {
-            election: ReaderElection::new(&me.address, now),
+            election: PollerElection::new(&me.address, now),
             peers: Peers::new(me, now),
             replica,
-            contact: Contact::default(),
+            quorum_lease: QuorumLease::default(),
             sessions: Sessions::default(),
             prompts: PromptRelay::default(),
             membership: Membership::default(),
             upstreams: Upstreams::default(),
-            reader: Reader::within(settings.bounds.drain_ms),
+            poller: EndpointPoller::for_drain_bound(settings.bounds.drain_ms),
             settings,
-            calls: OperatorCalls::new(now),
+            calls: PendingCalls::new(now),
             call_log: CallLog::default(),
             resolutions: 0,
             announced: Announced::default(),
             last_caught_up: None,
             held_all_in: None,
             started: now,
-            settled: false,
+            knows_all_proxies: false,
             last_input: now,
             leaving_since: None,
         };
@@ -206,8 +209,8 @@
     }
 
     /// Since when this process has run without being held up.
-    pub fn awake_since(&self) -> Millis {
-        self.calls.awake_since()
+    pub fn running_since(&self) -> Millis {
+        self.calls.running_since()
     }
 
     /// The committed state as it is known here.
@@ -242,13 +245,13 @@
     /// Takes in what happened, and appends what is to be done.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Effect>) {
         self.notice_freeze(now);
-        for step in self.calls.look(now) {
+        for step in self.calls.check_for_pause(now) {
             self.carry_out_step(now, step, out);
         }
         self.dispatch(now, input, out);
-        self.announce_news(now, out);
+        self.announce_changes(now, out);
         self.update_proxies(now, out);
-        self.pass_on_prompts(now, out);
+        self.relay_prompts(now, out);
     }
 
     fn dispatch(&mut self, now: Millis, input: Input, out: &mut Vec<Effect>) {
@@ -258,7 +261,7 @@
                 self.call_log
                     .read(now, call, &message, self.calls.arrival(call));
                 self.advance_calls(now, out, |calls, known| {
-                    Some(calls.call(now, call, &message, known))
+                    Some(calls.handle(now, call, &message, known))
                 });
             }
             Input::LinkOpened { link } => self.link_opened(now, link, out),
@@ -273,7 +276,7 @@
                 log::warn!("the disk did not take a write");
                 self.step_replica(now, replication::Input::WriteFailed { ticket }, out);
             }
-            Input::Called(call) => self.platform_answered(now, call, out),
+            Input::PageFetched(call) => self.page_fetched(now, call, out),
             Input::Reload(settings) => self.reload(now, *settings, out),
             Input::Terminate => self.leave(now, out),
         }
--- a/crates/sandtrack-control/src/knowledge.rs
+++ b/crates/sandtrack-control/src/node/call_context.rs
@@ -1,13 +1,13 @@
 //! What a control node knows of zones as it looks at an operator's call, put together from its parts. Pure.
-use crate::control_state::{Command, ControlState};
 use crate::membership::Membership;
-use crate::operator_calls::Known;
+use crate::operator_api::pending_calls::CallContext;
 use crate::peers::Peers;
+use crate::state_machine::{Command, ControlState};
 use crate::upstreams::Upstreams;
 use sandtrack_protocol::settings::Settings;
 
 /// What is known here of zones and their orders.
-pub struct Knowledge<'a> {
+pub struct NodeCallContext<'a> {
     pub settings: &'a Settings,
     pub control_state: &'a ControlState,
     pub peers: &'a Peers,
@@ -17,8 +17,8 @@
     pub leaving: bool,
 }
 
-impl Known for Knowledge<'_> {
-    fn passes_callers_on(&self) -> bool {
+impl CallContext for NodeCallContext<'_> {
+    fn redirects_callers(&self) -> bool {
         self.leaving && self.peers.all().any(|(_, stays, _)| stays)
     }
 
@@ -26,14 +26,14 @@
         self.control_state.last_order(zone)
     }
 
-    fn version_taken(&self, command: &Command) -> Option<u64> {
-        self.control_state.version_taken(command)
+    fn accepted_version(&self, command: &Command) -> Option<u64> {
+        self.control_state.accepted_version(command)
     }
 
-    fn names_zone(&self, zone: &str) -> bool {
+    fn knows_zone(&self, zone: &str) -> bool {
         self.settings.zones.contains_key(zone)
             || self.settings.zone == zone
-            || self.control_state.names_zone(zone)
+            || self.control_state.knows_zone(zone)
             || self
                 .peers
                 .all()
@@ -43,6 +43,6 @@
                 .members()
                 .values()
                 .any(|member| member.info.zone == zone)
-            || self.upstreams.names_zone(zone)
+            || self.upstreams.knows_zone(zone)
     }
 }
--- a/crates/sandtrack-control/src/node/list.rs
+++ b/crates/sandtrack-control/src/node/endpoint_polling.rs
@@ -1,61 +1,61 @@
 //! The reading of the platform's list: who of the control nodes reads it, and the calls for its pages.
 use super::{ControlNode, Effect};
-use crate::reader::{self, Claim, HOLDER_SILENT_MS};
+use crate::endpoint_poller::{PageResult, PollerLease, HOLDER_TIMEOUT_MS};
 use crate::Millis;
 use sandtrack_replication::Address;
 use std::collections::BTreeSet;
 
 impl ControlNode {
     /// A peer says who reads the list.
-    pub(super) fn reader_claimed(&mut self, now: Millis, peer: &str, claim: &Claim) {
+    pub(super) fn peer_lease(&mut self, now: Millis, peer: &str, lease: &PollerLease) {
         let was_holder = self.election.is_holder();
-        self.election.heard_claim(now, peer, claim);
+        self.election.observe_lease(now, peer, lease);
         if was_holder != self.election.is_holder() {
             log::info!(
                 "the platform's list is read by {}",
-                self.election.claim().holder
+                self.election.lease().holder
             );
-            self.reader.stop();
+            self.poller.reset();
         }
     }
 
     /// Takes over the reading where its holder is silent, or nobody has begun.
-    pub(super) fn take_over_reading(&mut self, now: Millis) {
-        let is_needed = self.election.is_silent(now) || self.election.claim().term == 0;
+    pub(super) fn take_over_polling(&mut self, now: Millis) {
+        let is_needed = self.election.is_holder_timed_out(now) || self.election.lease().term == 0;
         if self.leaving_since.is_some() || !is_needed {
             return;
         }
-        let candidates = self.reader_candidates();
+        let candidates = self.poller_candidates();
         let voters = self.voters();
-        let live = self.peers.live(now, HOLDER_SILENT_MS);
+        let live = self.peers.live(now, HOLDER_TIMEOUT_MS);
         if self.election.take_over(now, &candidates, &live, &voters) {
             log::info!(
                 "it reads the platform's list from now on, term {}",
-                self.election.claim().term
+                self.election.lease().term
             );
         }
     }
 
     /// Hands the reading to another control node, if there is one.
-    pub(super) fn hand_over_reading(&mut self, now: Millis) {
-        let candidates = self.reader_candidates();
-        let live = self.peers.live(now, HOLDER_SILENT_MS);
+    pub(super) fn hand_over_polling(&mut self, now: Millis) {
+        let candidates = self.poller_candidates();
+        let live = self.peers.live(now, HOLDER_TIMEOUT_MS);
         if self.election.hand_over(&candidates, &live) {
             log::info!(
                 "the platform's list is read by {} from now on",
-                self.election.claim().holder
+                self.election.lease().holder
             );
-            self.reader.stop();
+            self.poller.reset();
         }
     }
 
     /// Who may read the list, in turn: the chain first, then all others that are known of; each once.
-    fn reader_candidates(&self) -> Vec<Address> {
+    fn poller_candidates(&self) -> Vec<Address> {
         let view = self.replica.view();
         let members = view.chain.iter().chain(&view.voters);
         let mut candidates: Vec<Address> = members.map(|member| member.address.clone()).collect();
         if candidates.is_empty() {
-            candidates = super::links::seeds(&self.settings);
+            candidates = super::peer_links::seeds(&self.settings);
         }
         let peers = self.peers.all().map(|(address, _, _)| address);
         let others: BTreeSet<&str> = peers.chain([self.peers.me.address.as_str()]).collect();
@@ -66,30 +66,26 @@
     }
 
     /// A call to the platform is over: its page is taken in if it is still read here.
-    pub(super) fn platform_answered(
-        &mut self,
-        now: Millis,
-        call: reader::Call,
-        out: &mut Vec<Effect>,
-    ) {
-        let alone = !self.election.is_holder();
-        if !self.election.is_reading(now) {
-            self.reader.stop();
+    pub(super) fn page_fetched(&mut self, now: Millis, call: PageResult, out: &mut Vec<Effect>) {
+        let is_fallback = !self.election.is_holder();
+        if !self.election.is_polling(now) {
+            self.poller.reset();
         }
-        self.reader.answered(now, alone, call, &mut self.upstreams);
+        self.poller
+            .page_fetched(now, is_fallback, call, &mut self.upstreams);
         self.fetch_page_if_due(now, out);
     }
 
     /// Calls for the next page of the list, if that is due here.
     pub(super) fn fetch_page_if_due(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let has_platform = !self.settings.cloud_api.address.is_empty();
-        if self.leaving_since.is_some() || !has_platform || !self.election.is_reading(now) {
+        if self.leaving_since.is_some() || !has_platform || !self.election.is_polling(now) {
             return;
         }
-        let alone = !self.election.is_holder();
-        if let Some(token) = self
-            .reader
-            .next_page(now, alone, self.settings.cloud_api.rate_per_s)
+        let is_fallback = !self.election.is_holder();
+        if let Some(token) =
+            self.poller
+                .next_page(now, is_fallback, self.settings.cloud_api.rate_per_s)
         {
             out.push(Effect::Fetch { token });
         }
--- a/crates/sandtrack-control/src/node/figures.rs
+++ b/crates/sandtrack-control/src/node/metrics.rs
@@ -5,17 +5,17 @@
 
 impl ControlNode {
     /// All figures of this process as text.
-    pub fn figures(&self, now: Millis) -> String {
+    pub fn metrics_text(&self, now: Millis) -> String {
         let mut text = MetricsText::default();
-        self.call_log.tell(&mut text);
-        self.tell_state(now, &mut text);
-        self.tell_list(&mut text);
+        self.call_log.write_metrics(&mut text);
+        self.write_state_metrics(now, &mut text);
+        self.write_endpoint_metrics(&mut text);
         text.invariant_violations();
         text.lost_log_lines();
         text.into_text()
     }
 
-    fn tell_state(&self, now: Millis, text: &mut MetricsText) {
+    fn write_state_metrics(&self, now: Millis, text: &mut MetricsText) {
         let view = self.replica.view();
         let control_state = self.replica.machine();
         let linked = self.peers.all().filter(|(_, linked, _)| *linked).count() as u64;
@@ -24,7 +24,7 @@
             (
                 "attached",
                 "Whether it hears a majority and has caught up",
-                u64::from(self.is_attached(now)),
+                u64::from(self.has_quorum(now)),
             ),
             (
                 "caught_up",
@@ -34,7 +34,7 @@
             (
                 "feeds_proxies",
                 "Whether it may give configurations",
-                u64::from(self.may_feed_proxies(now)),
+                u64::from(self.may_push_configuration(now)),
             ),
             (
                 "leaving",
@@ -65,7 +65,7 @@
             (
                 "zones_evacuated",
                 "Zones that get nothing",
-                control_state.evacuated().count() as u64,
+                control_state.evacuated_zones().count() as u64,
             ),
             (
                 "peers_linked",
@@ -98,8 +98,8 @@
         }
     }
 
-    fn tell_list(&self, text: &mut MetricsText) {
-        let reads = u64::from(self.election.is_reading(self.last_input));
+    fn write_endpoint_metrics(&self, text: &mut MetricsText) {
+        let reads = u64::from(self.election.is_polling(self.last_input));
         let help = "Whether it reads the platform's list";
         text.metric(
             "sandtrack_control_reads_list",
@@ -112,14 +112,14 @@
             "sandtrack_control_reader_term",
             MetricKind::Gauge,
             help,
-            self.election.claim().term,
+            self.election.lease().term,
         );
         let help = "Whole readings of the list that it knows of";
         text.metric(
             "sandtrack_control_list_round",
             MetricKind::Counter,
             help,
-            self.upstreams.round(),
+            self.upstreams.polls(),
         );
         const UPSTREAMS: &str = "sandtrack_control_upstreams";
         text.family(
--- a/crates/sandtrack-control/src/node/operators.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -1,9 +1,9 @@
 //! Operators' calls in a control node: what one of them needs next is carried out here.
-use super::attachment::VOTER_PRESENT_MS;
+use super::quorum::VOTER_SEEN_MS;
 use super::{ControlNode, Effect};
-use crate::control::Reply;
-use crate::knowledge::Knowledge;
-use crate::operator_calls::{OperatorCalls, Step};
+use crate::node::call_context::NodeCallContext;
+use crate::operator_api::pending_calls::{PendingCalls, Step};
+use crate::operator_api::Reply;
 use crate::peers::Hello;
 use crate::Millis;
 use sandtrack_protocol::codes;
@@ -11,7 +11,7 @@
 use sandtrack_replication as replication;
 
 /// Callers are sent on to one that was heard so lately, in ms: three of its heartbeats. One that froze just now is not asked.
-const SURELY_THERE_MS: Millis = 450.0;
+const REDIRECT_TARGET_SEEN_MS: Millis = 450.0;
 
 impl ControlNode {
     /// Looks at the operators' calls with what is known here, and carries out what one of them needs next.
@@ -19,9 +19,9 @@
         &mut self,
         now: Millis,
         out: &mut Vec<Effect>,
-        next: impl FnOnce(&mut OperatorCalls, &Knowledge<'_>) -> Option<Step>,
+        next: impl FnOnce(&mut PendingCalls, &NodeCallContext<'_>) -> Option<Step>,
     ) {
-        let known = Knowledge {
+        let known = NodeCallContext {
             settings: &self.settings,
             control_state: self.replica.machine(),
             peers: &self.peers,
@@ -37,10 +37,10 @@
     /// Answers a call, and tells the log of it. A refusal is told with what this control node knew: without that nobody can
     /// say afterwards why an order was not taken.
     fn reply(&mut self, now: Millis, call: u64, reply: Reply, out: &mut Vec<Effect>) {
-        let reply = self.sent_on(now, call, reply);
+        let reply = self.redirect_if_unacknowledged(now, call, reply);
         match self.call_log.answered(now, call, &reply) {
             Some(told) if reply.code.is_some() => {
-                log::info!("{}; {}", told.line, self.standing(now))
+                log::info!("{}; {}", told.line, self.node_summary(now))
             }
             Some(told) if told.is_notable => log::info!("{}", told.line),
             Some(told) => log::debug!("{}", told.line),
@@ -53,27 +53,27 @@
     /// Left to itself its caller pauses, and may then ask the one that is silent, for a second; and such an order is sent
     /// again for a few seconds only, unlike a configuration. Only where a majority is heard: the others of a minority can't
     /// do better.
-    fn sent_on(&self, now: Millis, call: u64, reply: Reply) -> Reply {
+    fn redirect_if_unacknowledged(&self, now: Millis, call: u64, reply: Reply) -> Reply {
         let is_open = matches!(reply.code, Some(codes::UNSURE | codes::NOT_NOW));
         let target = self
             .call_log
-            .bare_order(now, call)
-            .filter(|_| is_open && self.is_attached(now));
+            .order_without_body(now, call)
+            .filter(|_| is_open && self.has_quorum(now));
         match target.and_then(|target| {
-            self.other_control(now)
+            self.redirect_target(now)
                 .map(|address| format!("http://{address}{target}"))
         }) {
-            Some(location) => reply.sent_on(location),
+            Some(location) => reply.redirected_to(location),
             None => reply,
         }
     }
 
     /// Where another control node takes calls that is heard and stays: the first of the chain, else any.
-    fn other_control(&self, now: Millis) -> Option<String> {
+    fn redirect_target(&self, now: Millis) -> Option<String> {
         let chain = &self.replica.view().chain;
         let rank = |address: &str| chain.iter().position(|member| member.address == address);
         let staying = self.peers.all().filter(|(address, stays, _)| {
-            *stays && self.peers.is_heard(now, address, SURELY_THERE_MS)
+            *stays && self.peers.is_seen(now, address, REDIRECT_TARGET_SEEN_MS)
         });
         let (_, _, hello) =
             staying.min_by_key(|(address, _, _)| rank(address).unwrap_or(usize::MAX))?;
@@ -81,7 +81,7 @@
     }
 
     /// What an answer to an operator rests on here.
-    fn standing(&self, now: Millis) -> String {
+    fn node_summary(&self, now: Millis) -> String {
         let view = self.replica.view();
         let head = view
             .chain
@@ -89,18 +89,18 @@
             .map_or("none", |member| member.address.as_str());
         let heard = |address: &str| match address == self.peers.me.address {
             true => "itself",
-            false if self.peers.is_heard(now, address, VOTER_PRESENT_MS) => "heard",
+            false if self.peers.is_seen(now, address, VOTER_SEEN_MS) => "heard",
             false => "silent",
         };
-        let is_confirmed = self.may_feed_proxies(now);
+        let is_confirmed = self.may_push_configuration(now);
         format!(
             "view {}, head {head} ({}), chain of {}, attached {}, confirmed {is_confirmed}, number {}, awake for {:.0} ms",
             view.epoch,
             heard(head),
             view.chain.len(),
-            self.is_attached(now),
+            self.has_quorum(now),
             self.replica.applied_number(),
-            now - self.calls.awake_since(),
+            now - self.calls.running_since(),
         )
     }
 
--- a/crates/sandtrack-control/src/node/links.rs
+++ b/crates/sandtrack-control/src/node/peer_links.rs
@@ -1,8 +1,8 @@
 //! The other control nodes: which of them to link with, the frames that come over a link, and what is told over it.
 use super::{ControlNode, Effect};
+use crate::endpoint_poller::PeerReport;
 use crate::peer_frames::Heartbeat;
-use crate::peers::{Heard, Hello, LinkOrder, PeerFrame, FORMAT};
-use crate::reader::PeerReport;
+use crate::peers::{Hello, LinkAction, LinkEvent, PeerFrame, FORMAT};
 use crate::Millis;
 use sandtrack_protocol::settings::{Settings, PEER_PORT_OFFSET, SESSION_PORT_OFFSET};
 use sandtrack_replication::{self as replication, Address, Message};
@@ -44,36 +44,41 @@
         let seeds = seeds(&self.settings);
         let known = self.replica.peers();
         self.peers
-            .reach(now, seeds.iter().chain(&known).map(String::as_str));
+            .set_wanted(now, seeds.iter().chain(&known).map(String::as_str));
     }
 
     /// The socket of a link stands.
     pub(super) fn link_opened(&mut self, now: Millis, link: u64, out: &mut Vec<Effect>) {
-        let mut orders = Vec::new();
-        self.peers.opened(now, link, &mut orders);
-        out.extend(orders.into_iter().map(Effect::Link));
+        let mut actions = Vec::new();
+        self.peers.opened(now, link, &mut actions);
+        out.extend(actions.into_iter().map(Effect::Link));
     }
 
     /// The socket of a link is gone.
     pub(super) fn link_closed(&mut self, now: Millis, link: u64, out: &mut Vec<Effect>) {
         let heard = self.peers.closed(now, link);
-        self.peer_heard(now, heard, out);
+        self.peer_link_event(now, heard, out);
     }
 
     /// A peer is heard of from now on, or is no longer.
-    pub(super) fn peer_heard(&mut self, now: Millis, heard: Option<Heard>, out: &mut Vec<Effect>) {
-        match heard {
-            Some(Heard::Found(peer)) => {
+    pub(super) fn peer_link_event(
+        &mut self,
+        now: Millis,
+        event: Option<LinkEvent>,
+        out: &mut Vec<Effect>,
+    ) {
+        match event {
+            Some(LinkEvent::Established(peer)) => {
                 log::info!("linked with {peer}");
-                self.contact.lost(&peer);
-                self.sessions.census_again();
+                self.quorum_lease.forget(&peer);
+                self.sessions.invalidate_census();
                 self.send_heartbeat(now, &peer, out);
             }
-            Some(Heard::Lost(peer)) => {
+            Some(LinkEvent::Lost(peer)) => {
                 log::info!("the link with {peer} is lost");
-                self.contact.lost(&peer);
-                self.membership.lost(now, &peer);
-                self.sessions.census_again();
+                self.quorum_lease.forget(&peer);
+                self.membership.control_node_lost(now, &peer);
+                self.sessions.invalidate_census();
             }
             None => {}
         }
@@ -87,9 +92,9 @@
         frame: PeerFrame,
         out: &mut Vec<Effect>,
     ) {
-        let peer = self.peers.heard(now, link);
+        let peer = self.peers.frame_received(now, link);
         if let Some(peer) = &peer {
-            self.contact.heard(now, peer, None);
+            self.quorum_lease.record(now, peer, None);
         }
         if let PeerFrame::Hello(hello) = frame {
             return self.peer_hello(now, link, hello, out);
@@ -100,10 +105,10 @@
     }
 
     fn peer_hello(&mut self, now: Millis, link: u64, hello: Hello, out: &mut Vec<Effect>) {
-        let mut orders = Vec::new();
-        let heard = self.peers.hello(now, link, hello, &mut orders);
-        out.extend(orders.into_iter().map(Effect::Link));
-        self.peer_heard(now, heard, out);
+        let mut actions = Vec::new();
+        let heard = self.peers.hello(now, link, hello, &mut actions);
+        out.extend(actions.into_iter().map(Effect::Link));
+        self.peer_link_event(now, heard, out);
     }
 
     fn peer_frame(
@@ -118,27 +123,28 @@
             PeerFrame::Hello(_) => {}
             PeerFrame::Replication(message) => self.replica_message(now, peer, message, out),
             PeerFrame::Sessions {
-                whole,
+                is_complete,
                 present,
-                gone,
+                removed,
             } => {
-                self.membership.told(now, peer, whole, present, &gone);
+                self.membership
+                    .apply_sessions(now, peer, is_complete, present, &removed);
             }
             PeerFrame::WantSessions => {
-                if let Some((sessions, _)) = self.peers.told(link) {
+                if let Some((sessions, _)) = self.peers.announced(link) {
                     *sessions = None;
                 }
                 self.announce_to(now, link, out);
             }
-            PeerFrame::WantList => {
-                if let Some((_, list)) = self.peers.told(link) {
+            PeerFrame::WantEndpoints => {
+                if let Some((_, list)) = self.peers.announced(link) {
                     *list = None;
                 }
                 self.announce_to(now, link, out);
             }
-            PeerFrame::List(excerpt) => {
-                if self.election.takes_list_of(peer) {
-                    self.upstreams.apply(now, excerpt);
+            PeerFrame::Endpoints(update) => {
+                if self.election.accepts_endpoints_from(peer) {
+                    self.upstreams.apply(now, update);
                 }
             }
             PeerFrame::Heartbeat(heartbeat) => self.heartbeat(now, link, peer, heartbeat, out),
@@ -158,8 +164,8 @@
             message,
         };
         self.step_replica(now, received, out);
-        self.contact
-            .heard(now, peer, self.replica.testimony_of(peer));
+        self.quorum_lease
+            .record(now, peer, self.replica.testimony_of(peer));
     }
 
     /// A peer says that it is there, and what it knows: whatever differs from what it told before is asked for.
@@ -172,33 +178,40 @@
         out: &mut Vec<Effect>,
     ) {
         let Heartbeat {
-            claim,
-            silent,
-            sessions,
-            list_round,
-            list,
-            leaving,
-            settled,
+            lease,
+            holder_timed_out,
+            session_digest,
+            polls,
+            endpoint_digest,
+            is_leaving,
+            knows_all_proxies,
         } = heartbeat;
-        self.reader_claimed(now, peer, &claim);
-        let reads_list = claim.holder == peer && *self.election.claim() == claim;
-        self.peers
-            .report(peer, PeerReport { claim, silent }, leaving, settled);
-        if sessions != self.membership.digest_of(peer) {
-            out.push(Effect::Link(LinkOrder::Send {
+        self.peer_lease(now, peer, &lease);
+        let is_poller = lease.holder == peer && *self.election.lease() == lease;
+        self.peers.update_report(
+            peer,
+            PeerReport {
+                lease,
+                holder_timed_out,
+            },
+            is_leaving,
+            knows_all_proxies,
+        );
+        if session_digest != self.membership.digest_of(peer) {
+            out.push(Effect::Link(LinkAction::Send {
                 link,
                 frame: PeerFrame::WantSessions,
             }));
         }
-        if !reads_list {
+        if !is_poller {
             return;
         }
-        if list == self.upstreams.digest() {
-            self.upstreams.reading_ended(list_round);
+        if endpoint_digest == self.upstreams.digest() {
+            self.upstreams.poll_finished(polls);
         } else {
-            out.push(Effect::Link(LinkOrder::Send {
+            out.push(Effect::Link(LinkAction::Send {
                 link,
-                frame: PeerFrame::WantList,
+                frame: PeerFrame::WantEndpoints,
             }));
         }
     }
@@ -210,15 +223,15 @@
         };
         self.announce_to(now, link, out);
         let heartbeat = Heartbeat {
-            claim: self.election.claim().clone(),
-            silent: self.election.is_silent(now),
-            sessions: self.membership.digest(),
-            list_round: self.upstreams.round(),
-            list: self.upstreams.digest(),
-            leaving: self.leaving_since.is_some(),
-            settled: self.settled,
+            lease: self.election.lease().clone(),
+            holder_timed_out: self.election.is_holder_timed_out(now),
+            session_digest: self.membership.digest(),
+            polls: self.upstreams.polls(),
+            endpoint_digest: self.upstreams.digest(),
+            is_leaving: self.leaving_since.is_some(),
+            knows_all_proxies: self.knows_all_proxies,
         };
-        out.push(Effect::Link(LinkOrder::Send {
+        out.push(Effect::Link(LinkAction::Send {
             link,
             frame: PeerFrame::Heartbeat(heartbeat),
         }));
@@ -232,7 +245,7 @@
     }
 
     /// Tells all peers what is new, if anything is.
-    pub(super) fn announce_news(&mut self, now: Millis, out: &mut Vec<Effect>) {
+    pub(super) fn announce_changes(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let ends = Announced {
             membership: self.membership.end(),
             list: self.upstreams.end(),
@@ -255,19 +268,19 @@
             membership: self.membership.end(),
             list: self.upstreams.end(),
         };
-        let tells_list = self.election.is_holder() && self.upstreams.round() > 0;
-        let Some((sessions, list)) = self.peers.told(link) else {
+        let tells_list = self.election.is_holder() && self.upstreams.polls() > 0;
+        let Some((sessions, list)) = self.peers.announced(link) else {
             return;
         };
         if *sessions != Some(ends.membership) {
             let frame = self.membership.frame_since(*sessions);
             *sessions = Some(ends.membership);
-            out.push(Effect::Link(LinkOrder::Send { link, frame }));
+            out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
         if tells_list && *list != Some(ends.list) {
-            let frame = PeerFrame::List(self.upstreams.excerpt_since(now, *list));
+            let frame = PeerFrame::Endpoints(self.upstreams.update_since(now, *list));
             *list = Some(ends.list);
-            out.push(Effect::Link(LinkOrder::Send { link, frame }));
+            out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
         if !tells_list {
             // Another one reads and tells it: the place is one in a journal that is not continued from here.
--- a/crates/sandtrack-control/src/node/attachment.rs
+++ b/crates/sandtrack-control/src/node/quorum.rs
@@ -5,39 +5,41 @@
 use sandtrack_replication::Address;
 
 /// A voter counts as present for this long after something was heard of it, in ms.
-pub(super) const VOTER_PRESENT_MS: Millis = 1000.0;
+pub(super) const VOTER_SEEN_MS: Millis = 1000.0;
 /// A repair of the chain may take this long, in ms, without a proxy having to look for another control node: it would find
 /// the same there.
-const REPAIR_MS: Millis = 2500.0;
+const CHAIN_REPAIR_MS: Millis = 2500.0;
 
 impl ControlNode {
     /// Whether it hears a majority of the voters of its view, and has caught up, or had before a repair of the chain.
-    pub fn is_attached(&self, now: Millis) -> bool {
-        self.hears_majority(now) && self.was_caught_up(now)
+    pub fn has_quorum(&self, now: Millis) -> bool {
+        self.sees_majority(now) && self.was_recently_caught_up(now)
     }
 
-    fn hears_majority(&self, now: Millis) -> bool {
+    fn sees_majority(&self, now: Millis) -> bool {
         let voters = self.voters();
         let is_present = |voter: &&Address| {
-            **voter == self.peers.me.address || self.peers.is_heard(now, voter, VOTER_PRESENT_MS)
+            **voter == self.peers.me.address || self.peers.is_seen(now, voter, VOTER_SEEN_MS)
         };
         let present = voters.iter().filter(is_present).count();
         2 * present > voters.len()
     }
 
-    fn was_caught_up(&self, now: Millis) -> bool {
-        let lately = self.last_caught_up.is_some_and(|at| now - at <= REPAIR_MS);
+    fn was_recently_caught_up(&self, now: Millis) -> bool {
+        let lately = self
+            .last_caught_up
+            .is_some_and(|at| now - at <= CHAIN_REPAIR_MS);
         lately || self.replica.is_caught_up()
     }
 
     /// Whether proxies may be given configurations and evacuations: the view was confirmed within the lease, and all that
     /// was acknowledged in it is known here.
-    pub fn may_feed_proxies(&self, now: Millis) -> bool {
+    pub fn may_push_configuration(&self, now: Millis) -> bool {
         let me = &self.peers.me.address;
         let is_confirmed =
-            self.contact
-                .is_confirmed(now, me, self.replica.testimony(), self.replica.view());
-        self.is_attached(now) && is_confirmed && self.replica.holds_all(self.held_all_in)
+            self.quorum_lease
+                .is_valid(now, me, self.replica.testimony(), self.replica.view());
+        self.has_quorum(now) && is_confirmed && self.replica.holds_all(self.held_all_in)
     }
 
     /// Addresses of the voters of the view.
--- a/crates/sandtrack-control/src/node/replica.rs
+++ b/crates/sandtrack-control/src/node/replica.rs
@@ -1,8 +1,8 @@
 //! The replica in a control node: inputs are handed to it, and its effects are carried out on the links, the disk and the
 //! operators' calls.
 use super::{ControlNode, Effect};
-use crate::control_state::Command;
-use crate::peers::{LinkOrder, PeerFrame};
+use crate::peers::{LinkAction, PeerFrame};
+use crate::state_machine::Command;
 use crate::Millis;
 use sandtrack_protocol::codes;
 use sandtrack_replication::{self as replication, Message, Refusal, View};
@@ -73,7 +73,7 @@
         }
         for Answered { call, result } in answers {
             self.advance_calls(now, out, |calls, known| {
-                calls.answer(now, call, result, known)
+                calls.complete(now, call, result, known)
             });
         }
     }
@@ -82,7 +82,7 @@
     fn send_to_replica(&self, to: &str, message: Message, out: &mut Vec<Effect>) {
         if let Some(link) = self.peers.link_to(to) {
             let frame = PeerFrame::Replication(message);
-            out.push(Effect::Link(LinkOrder::Send { link, frame }));
+            out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
     }
 
--- a/crates/sandtrack-control/src/node/leaving.rs
+++ b/crates/sandtrack-control/src/node/shutdown.rs
@@ -4,7 +4,7 @@
 use sandtrack_replication as replication;
 
 /// Told to stop, it waits for the calls under way for this long, in ms.
-const CALLS_MS: Millis = 1200.0;
+const CALLS_GRACE_MS: Millis = 1200.0;
 /// Told to stop, and needed by the others, it ends this long before the platform would kill it, in ms.
 const GRACE_MARGIN_MS: Millis = 1000.0;
 
@@ -17,9 +17,9 @@
         log::info!("told to stop");
         self.leaving_since = Some(now);
         self.step_replica(now, replication::Input::Leave, out);
-        self.hand_over_reading(now);
+        self.hand_over_polling(now);
         self.send_heartbeats(now, out);
-        self.dismiss_proxies(out);
+        self.close_proxy_sessions(out);
     }
 
     /// Ends the process if it was told to stop and may.
@@ -36,7 +36,7 @@
     /// holds; or its grace is over.
     fn may_exit_after(&self, elapsed: Millis) -> bool {
         let grace_over = elapsed > self.settings.bounds.grace_s * 1000.0 - GRACE_MARGIN_MS;
-        let calls_over = self.calls.is_empty() || elapsed > CALLS_MS;
+        let calls_over = self.calls.is_empty() || elapsed > CALLS_GRACE_MS;
         grace_over || calls_over && !self.replica.is_needed()
     }
 }
--- a/crates/sandtrack-control/src/node/status.rs
+++ b/crates/sandtrack-control/src/node/status.rs
@@ -1,7 +1,7 @@
 //! What a control node knows of itself and the others, as JSON for operators.
 use super::ControlNode;
-use crate::control::Reply;
 use crate::membership::Member;
+use crate::operator_api::Reply;
 use crate::Millis;
 use sandtrack_protocol::logs::escape;
 use sandtrack_replication as replication;
@@ -29,18 +29,18 @@
              \"control_nodes\":{},\"proxies\":{},\"reader\":{},\"readings\":{},\"services\":{}}}",
             quote(&self.settings.node_name),
             quote(&self.peers.me.address),
-            self.is_attached(now),
+            self.has_quorum(now),
             self.replica.is_caught_up(),
             control_state.version(),
             control_state.configuration_number(),
-            list(control_state.evacuated().map(quote)),
+            list(control_state.evacuated_zones().map(quote)),
             view.epoch,
             addresses(&view.chain),
             addresses(&view.voters),
             self.status_of_peers(),
             self.status_of_proxies(),
-            quote(&self.election.claim().holder),
-            self.upstreams.round(),
+            quote(&self.election.lease().holder),
+            self.upstreams.polls(),
             self.status_of_services(),
         );
         Reply::success(body)
--- a/crates/sandtrack-control/src/node/time.rs
+++ b/crates/sandtrack-control/src/node/timers.rs
@@ -1,6 +1,6 @@
 //! Time in a control node: what is due is done, and a process that did not run for a while is noticed.
 use super::{ControlNode, Effect};
-use crate::reader::HOLDER_SILENT_MS;
+use crate::endpoint_poller::HOLDER_TIMEOUT_MS;
 use crate::Millis;
 use sandtrack_replication as replication;
 
@@ -14,9 +14,9 @@
     pub fn next_due(&self) -> Millis {
         let calls = self.calls.next_due().into_iter();
         let reader = self
-            .reader
+            .poller
             .next_due()
-            .filter(|_| self.election.is_reading(self.last_input));
+            .filter(|_| self.election.is_polling(self.last_input));
         let prompts = self.prompts.next_due().into_iter();
         let due = calls
             .chain(reader)
@@ -34,12 +34,12 @@
             return;
         }
         log::warn!("this process did not run for {gap:.0} ms");
-        self.peers.woke(now);
-        self.contact.woke(now);
-        self.sessions.woke(now);
+        self.peers.resumed(now);
+        self.quorum_lease.invalidate(now);
+        self.sessions.resumed(now);
         self.last_caught_up = None;
-        if gap > HOLDER_SILENT_MS {
-            self.election.woke(now);
+        if gap > HOLDER_TIMEOUT_MS {
+            self.election.resumed(now);
         }
     }
 
@@ -54,7 +54,7 @@
         self.tick_sessions(now, out);
         self.membership.tick(now);
         self.fetch_page_if_due(now, out);
-        for step in self.calls.late(now) {
+        for step in self.calls.expire(now) {
             self.carry_out_step(now, step, out);
         }
         self.exit_if_left(now, out);
@@ -63,13 +63,13 @@
     /// Opens and closes links, and sends the heartbeats that are due.
     fn tick_peers(&mut self, now: Millis, out: &mut Vec<Effect>) {
         self.update_wanted_peers(now);
-        let mut orders = Vec::new();
-        let (lost, heartbeat_due) = self.peers.tick(now, &mut orders);
-        out.extend(orders.into_iter().map(Effect::Link));
+        let mut actions = Vec::new();
+        let (lost, heartbeat_due) = self.peers.tick(now, &mut actions);
+        out.extend(actions.into_iter().map(Effect::Link));
         for lost in lost {
-            self.peer_heard(now, Some(lost), out);
+            self.peer_link_event(now, Some(lost), out);
         }
-        self.take_over_reading(now);
+        self.take_over_polling(now);
         if heartbeat_due {
             self.announce_to_all(now, out);
             self.send_heartbeats(now, out);
--- a/crates/sandtrack-control/src/arrivals.rs
+++ b/crates/sandtrack-control/src/operator_api/call_age.rs
@@ -3,11 +3,11 @@
 use crate::Millis;
 
 /// A process that did not look at the clock for longer than this, in ms, was held up: what its sockets held meanwhile is not
-/// carried out. With [`ARRIVAL_MS`] it is less than the second after which callers go elsewhere.
-pub const HELD_UP_MS: Millis = 500.0;
+/// carried out. With [`MAX_CALL_AGE_MS`] it is less than the second after which callers go elsewhere.
+pub const MAX_PAUSE_MS: Millis = 500.0;
 /// From the accepting of a connection to its call being read whole, in ms, where the call can't tell by itself that it is
 /// late. Such calls have no body.
-pub const ARRIVAL_MS: Millis = 400.0;
+pub const MAX_CALL_AGE_MS: Millis = 400.0;
 
 /// When a call came, on the clock of this process. A connection carries one call, so these bound the call's age.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,42 +31,42 @@
 
 /// Since when this process has run without being held up.
 #[derive(Clone, Copy, Debug)]
-pub struct Awake {
+pub struct PauseDetector {
     looked: Millis,
     since: Millis,
 }
 
-impl Awake {
+impl PauseDetector {
     /// A process that starts: what waited before is not known.
-    pub fn new(now: Millis) -> Awake {
-        Awake {
+    pub fn new(now: Millis) -> PauseDetector {
+        PauseDetector {
             looked: now,
             since: now,
         }
     }
 
     /// The process runs at this moment; yes when it was held up before.
-    pub fn look(&mut self, now: Millis) -> bool {
-        let held_up = now - self.looked > HELD_UP_MS;
-        if held_up {
+    pub fn observe(&mut self, now: Millis) -> bool {
+        let paused = now - self.looked > MAX_PAUSE_MS;
+        if paused {
             self.since = now;
         }
         self.looked = self.looked.max(now);
-        held_up
+        paused
     }
 
     /// Since when it has run without being held up.
-    pub fn since(&self) -> Millis {
+    pub fn running_since(&self) -> Millis {
         self.since
     }
 
     /// Whether the process has run since before a call's connection could have begun to wait.
-    pub fn has_run_since(&self, arrival: &Arrival) -> bool {
+    pub fn ran_since_before(&self, arrival: &Arrival) -> bool {
         arrival.queued_since >= self.since
     }
 
     /// The same, and the call can't be older than its caller's patience.
     pub fn is_recent(&self, now: Millis, arrival: &Arrival) -> bool {
-        self.has_run_since(arrival) && now - arrival.accepted <= ARRIVAL_MS
+        self.ran_since_before(arrival) && now - arrival.accepted <= MAX_CALL_AGE_MS
     }
 }
--- a/crates/sandtrack-control/src/call_log.rs
+++ b/crates/sandtrack-control/src/operator_api/call_log.rs
@@ -1,32 +1,32 @@
 //! Operators' calls as they are told in the log and counted: what each was, how long it had waited when it was read, and what it
 //! was answered. Pure; the control node owns it.
-use crate::arrivals::Arrival;
-use crate::control::Reply;
+use crate::operator_api::call_age::Arrival;
+use crate::operator_api::Reply;
 use crate::Millis;
 use sandtrack_protocol::metrics::{MetricKind, MetricsText};
 use sandtrack_sidecar_core::message::Message;
 use std::collections::BTreeMap;
 
 /// A caller goes elsewhere after a second of silence.
-const CALLERS_PATIENCE_MS: Millis = 1000.0;
+const CALLER_TIMEOUT_MS: Millis = 1000.0;
 
 /// A call that was read and not answered yet.
 #[derive(Clone, Debug)]
-struct Begun {
+struct OpenCall {
     what: String,
     /// Target of an order without a body: one for a zone.
-    bare_order: Option<String>,
+    order_without_body: Option<String>,
     /// It changes something, if it is taken.
     is_order: bool,
     /// When it was read.
     read: Millis,
     /// How long its connection had been accepted when it was read, in ms.
-    on_the_way: Millis,
+    age_when_read: Millis,
 }
 
 /// A call that was answered, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct LogLine {
     pub line: String,
     /// It is an order, or was refused: worth a line on any day.
     pub is_notable: bool,
@@ -35,7 +35,7 @@
 /// The calls under way, and how those before were answered.
 #[derive(Clone, Debug, Default)]
 pub struct CallLog {
-    begun: BTreeMap<u64, Begun>,
+    begun: BTreeMap<u64, OpenCall>,
     /// By status and code (empty for a success).
     answered: BTreeMap<(u16, String), u64>,
     /// Calls whose caller left before they were made.
@@ -56,34 +56,34 @@
             message.body.len()
         );
         let is_order = head.method == "POST";
-        let bare_order = (is_order && message.body.is_empty()).then(|| head.target.clone());
-        let on_the_way = arrival.map_or(0.0, |arrival| now - arrival.accepted);
+        let order_without_body = (is_order && message.body.is_empty()).then(|| head.target.clone());
+        let age_when_read = arrival.map_or(0.0, |arrival| now - arrival.accepted);
         self.begun.insert(
             call,
-            Begun {
+            OpenCall {
                 what,
-                bare_order,
+                order_without_body,
                 is_order,
                 read: now,
-                on_the_way,
+                age_when_read,
             },
         );
     }
 
     /// The target of an order for a zone that was read so lately that its caller waits for it still.
-    pub fn bare_order(&self, now: Millis, call: u64) -> Option<&str> {
+    pub fn order_without_body(&self, now: Millis, call: u64) -> Option<&str> {
         let begun = self.begun.get(&call)?;
-        let waits = now - begun.read + begun.on_the_way <= CALLERS_PATIENCE_MS;
-        begun.bare_order.as_deref().filter(|_| waits)
+        let waits = now - begun.read + begun.age_when_read <= CALLER_TIMEOUT_MS;
+        begun.order_without_body.as_deref().filter(|_| waits)
     }
 
     /// A call is answered; nothing where it was answered before.
-    pub fn answered(&mut self, now: Millis, call: u64, reply: &Reply) -> Option<Told> {
-        let Begun {
+    pub fn answered(&mut self, now: Millis, call: u64, reply: &Reply) -> Option<LogLine> {
+        let OpenCall {
             what,
             is_order,
             read,
-            on_the_way,
+            age_when_read,
             ..
         } = self.begun.remove(&call)?;
         let code = reply.code.map_or_else(String::new, |code| code.to_string());
@@ -96,11 +96,11 @@
             None => String::new(),
         };
         let line = format!(
-            "call {call} ({what}; read {on_the_way:.0} ms after it was accepted) answered {}{refusal} after {:.0} ms",
+            "call {call} ({what}; read {age_when_read:.0} ms after it was accepted) answered {}{refusal} after {:.0} ms",
             reply.status,
             now - read,
         );
-        Some(Told {
+        Some(LogLine {
             line,
             is_notable: is_order || reply.code.is_some(),
         })
@@ -112,7 +112,7 @@
     }
 
     /// Appends them to the figures of the process.
-    pub fn tell(&self, text: &mut MetricsText) {
+    pub fn write_metrics(&self, text: &mut MetricsText) {
         const CALLS: &str = "sandtrack_control_calls_total";
         text.family(
             CALLS,
--- a/crates/sandtrack-control/src/operator_calls.rs
+++ b/crates/sandtrack-control/src/operator_api/pending_calls.rs
@@ -1,8 +1,9 @@
 //! Operators' calls under way in a control node: each is decoded, given to the replica, and answered once, in time. Pure: the
 //! control node carries out the steps.
-use crate::arrivals::{Arrival, Awake};
-use crate::commands::{Command, Outcome, Question};
-use crate::control::{self, Order, Reply, ORDER_PATIENCE_MS, PATIENCE_MS};
+use super::requests::{self, Request, CALL_TIMEOUT_MS, EVACUATION_TIMEOUT_MS};
+use super::responses::{self, Reply};
+use crate::operator_api::call_age::{Arrival, PauseDetector};
+use crate::state_machine::{Command, Outcome, Query};
 use crate::Millis;
 use sandtrack_replication::Refusal;
 use sandtrack_sidecar_core::message::Message;
@@ -21,29 +22,29 @@
     },
     Read {
         call: u64,
-        question: Question,
+        question: Query,
     },
-    /// Answer with what this control node knows of itself and the others.
+    /// QueryResult with what this control node knows of itself and the others.
     Status {
         call: u64,
     },
 }
 
 /// What the control node knows as a call is looked at.
-pub trait Known {
+pub trait CallContext {
     /// Whether callers are to go to another control node: this one is about to end, and another is there.
-    fn passes_callers_on(&self) -> bool;
+    fn redirects_callers(&self) -> bool;
     /// Number of the last order for a zone in the committed state here.
     fn last_order(&self, zone: &str) -> u64;
     /// The version that a configuration made, if it is known in the committed state here that it was taken.
-    fn version_taken(&self, command: &Command) -> Option<u64>;
+    fn accepted_version(&self, command: &Command) -> Option<u64>;
     /// Whether the settings, or anything that was learned, names the zone.
-    fn names_zone(&self, zone: &str) -> bool;
+    fn knows_zone(&self, zone: &str) -> bool;
 }
 
 /// What a call waits for.
 #[derive(Clone, Debug, PartialEq)]
-enum Waits {
+enum Awaiting {
     Configuration,
     /// For the chain to answer at all, before a configuration that was taken is acknowledged again.
     Repeat {
@@ -64,24 +65,24 @@
 struct Pending {
     arrival: Arrival,
     until: Millis,
-    waits: Waits,
+    waits: Awaiting,
 }
 
 /// The calls under way; each is answered once.
 #[derive(Clone, Debug)]
-pub struct OperatorCalls {
-    awake: Awake,
+pub struct PendingCalls {
+    pauses: PauseDetector,
     next: u64,
     /// Calls that were begun and not given to `call` yet.
     begun: BTreeMap<u64, Arrival>,
     pending: BTreeMap<u64, Pending>,
 }
 
-impl OperatorCalls {
+impl PendingCalls {
     /// No calls, in a process that starts.
-    pub fn new(now: Millis) -> OperatorCalls {
-        OperatorCalls {
-            awake: Awake::new(now),
+    pub fn new(now: Millis) -> PendingCalls {
+        PendingCalls {
+            pauses: PauseDetector::new(now),
             next: 0,
             begun: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -101,8 +102,8 @@
     }
 
     /// Since when this process has run without being held up.
-    pub fn awake_since(&self) -> Millis {
-        self.awake.since()
+    pub fn running_since(&self) -> Millis {
+        self.pauses.running_since()
     }
 
     /// Whether no call waits for the replica.
@@ -120,8 +121,8 @@
 
     /// Before all else that happens. After a pause nobody waits any more for what was under way: no answer that comes now
     /// is given as a definite one.
-    pub fn look(&mut self, now: Millis) -> Vec<Step> {
-        if !self.awake.look(now) {
+    pub fn check_for_pause(&mut self, now: Millis) -> Vec<Step> {
+        if !self.pauses.observe(now) {
             return Vec::new();
         }
         let pending = std::mem::take(&mut self.pending);
@@ -129,35 +130,43 @@
             .into_keys()
             .map(|call| Step::Reply {
                 call,
-                reply: control::unsure(),
+                reply: responses::unacknowledged(),
             })
             .collect()
     }
 
     /// A call was read whole.
-    pub fn call(&mut self, now: Millis, call: u64, message: &Message, known: &impl Known) -> Step {
+    pub fn handle(
+        &mut self,
+        now: Millis,
+        call: u64,
+        message: &Message,
+        known: &impl CallContext,
+    ) -> Step {
         let arrival = self.begun.remove(&call).unwrap_or(Arrival::at(now));
-        let order = match control::decode(message) {
-            Ok(Order::Status) => return Step::Status { call },
+        let order = match requests::parse(message) {
+            Ok(Request::Status) => return Step::Status { call },
             Err(reply) => return Step::Reply { call, reply },
             Ok(order) => order,
         };
-        if known.passes_callers_on() {
+        if known.redirects_callers() {
             return Step::Reply {
                 call,
-                reply: control::refused(Refusal::NoMajority),
+                reply: responses::refused(Refusal::NoMajority),
             };
         }
-        if !self.awake.has_run_since(&arrival) {
+        if !self.pauses.ran_since_before(&arrival) {
             return Step::Reply {
                 call,
-                reply: control::too_late(),
+                reply: responses::too_old(),
             };
         }
-        let mut wait = |waits: Waits| {
+        let mut wait = |waits: Awaiting| {
             let patience = match waits {
-                Waits::Evacuation | Waits::Zone { .. } => ORDER_PATIENCE_MS,
-                Waits::Configuration | Waits::Repeat { .. } | Waits::Read => PATIENCE_MS,
+                Awaiting::Evacuation | Awaiting::Zone { .. } => EVACUATION_TIMEOUT_MS,
+                Awaiting::Configuration | Awaiting::Repeat { .. } | Awaiting::Read => {
+                    CALL_TIMEOUT_MS
+                }
             };
             let until = now + patience;
             self.pending.insert(
@@ -170,39 +179,39 @@
             );
         };
         match order {
-            Order::Status => Step::Status { call },
-            Order::Configure(command) => match known.version_taken(&command) {
+            Request::Status => Step::Status { call },
+            Request::Configure(command) => match known.accepted_version(&command) {
                 // Its body need not pass along the chain again, which may take longer than its caller waits.
                 Some(version) => {
-                    wait(Waits::Repeat { version });
+                    wait(Awaiting::Repeat { version });
                     Step::Read {
                         call,
-                        question: Question::Contact,
+                        question: Query::Liveness,
                     }
                 }
                 None => {
-                    wait(Waits::Configuration);
+                    wait(Awaiting::Configuration);
                     Step::Submit { call, command }
                 }
             },
-            Order::Read => {
-                wait(Waits::Read);
+            Request::Read => {
+                wait(Awaiting::Read);
                 Step::Read {
                     call,
-                    question: Question::Configuration,
+                    question: Query::Configuration,
                 }
             }
-            Order::Evacuate { zone, begin } if known.names_zone(&zone) => {
-                wait(Waits::Evacuation);
+            Request::Evacuate { zone, begin } if known.knows_zone(&zone) => {
+                wait(Awaiting::Evacuation);
                 let seen = known.last_order(&zone);
                 self.order_evacuation(now, call, zone, begin, seen)
             }
-            Order::Evacuate { zone, begin } => {
+            Request::Evacuate { zone, begin } => {
                 let seen = known.last_order(&zone);
-                wait(Waits::Zone { zone, begin, seen });
+                wait(Awaiting::Zone { zone, begin, seen });
                 Step::Read {
                     call,
-                    question: Question::Contact,
+                    question: Query::Liveness,
                 }
             }
         }
@@ -217,12 +226,12 @@
         begin: bool,
         seen: u64,
     ) -> Step {
-        let recent = |pending: &&Pending| self.awake.is_recent(now, &pending.arrival);
+        let recent = |pending: &&Pending| self.pauses.is_recent(now, &pending.arrival);
         if self.pending.get(&call).filter(recent).is_none() {
             self.pending.remove(&call);
             return Step::Reply {
                 call,
-                reply: control::too_late(),
+                reply: responses::too_old(),
             };
         }
         Step::Submit {
@@ -232,37 +241,46 @@
     }
 
     /// What came of a call; nothing for one that was answered before.
-    pub fn answer(
+    pub fn complete(
         &mut self,
         now: Millis,
         call: u64,
         result: Result<Vec<u8>, Refusal>,
-        known: &impl Known,
+        known: &impl CallContext,
     ) -> Option<Step> {
         let waits = self.pending.get(&call)?.waits.clone();
         match waits {
-            Waits::Zone { zone, begin, seen } if result.is_ok() && known.names_zone(&zone) => {
+            Awaiting::Zone { zone, begin, seen } if result.is_ok() && known.knows_zone(&zone) => {
                 if let Some(pending) = self.pending.get_mut(&call) {
-                    pending.waits = Waits::Evacuation;
+                    pending.waits = Awaiting::Evacuation;
                 }
                 Some(self.order_evacuation(now, call, zone, begin, seen))
             }
             // One that was overtaken is not stamped anew: its caller may have gone on to another control node, and may have
             // been acknowledged there, and a later order after it.
-            Waits::Evacuation => Some(self.end(call, control::outcome(outcome(result)))),
-            Waits::Zone { zone, .. } => {
-                let reply = result.map_or_else(control::refused, |_| control::unknown_zone(&zone));
+            Awaiting::Evacuation => {
+                Some(self.end(call, responses::command_result(outcome(result))))
+            }
+            Awaiting::Zone { zone, .. } => {
+                let reply =
+                    result.map_or_else(responses::refused, |_| responses::unknown_zone(&zone));
                 Some(self.end(call, reply))
             }
-            Waits::Repeat { version } => {
-                let taken = || control::outcome(Ok(Outcome::Taken { version }));
+            Awaiting::Repeat { version } => {
+                let taken = || responses::command_result(Ok(Outcome::Accepted { version }));
                 // It is in force: no refusal that says otherwise.
-                Some(self.end(call, result.map_or_else(|_| control::unsure(), |_| taken())))
+                Some(self.end(
+                    call,
+                    result.map_or_else(|_| responses::unacknowledged(), |_| taken()),
+                ))
             }
-            Waits::Configuration => Some(self.end(call, control::outcome(outcome(result)))),
-            Waits::Read => {
-                let reply =
-                    control::answer(result.map(|bytes| borsh::from_slice(&bytes).ok().flatten()));
+            Awaiting::Configuration => {
+                Some(self.end(call, responses::command_result(outcome(result))))
+            }
+            Awaiting::Read => {
+                let reply = responses::query_result(
+                    result.map(|bytes| borsh::from_slice(&bytes).ok().flatten()),
+                );
                 Some(self.end(call, reply))
             }
         }
@@ -274,11 +292,11 @@
     }
 
     /// The calls that have waited for long enough.
-    pub fn late(&mut self, now: Millis) -> Vec<Step> {
+    pub fn expire(&mut self, now: Millis) -> Vec<Step> {
         let late = |(call, pending): (&u64, &Pending)| (now >= pending.until).then_some(*call);
         let late: Vec<u64> = self.pending.iter().filter_map(late).collect();
         late.into_iter()
-            .map(|call| self.end(call, control::unsure()))
+            .map(|call| self.end(call, responses::unacknowledged()))
             .collect()
     }
 }
--- a/crates/sandtrack-control/src/peer_frames.rs
+++ b/crates/sandtrack-control/src/peer_frames.rs
@@ -39,17 +39,17 @@
     Replication(Message),
     /// The proxies that have a session with the sender, or what changed of them.
     Sessions {
-        whole: bool,
+        is_complete: bool,
         present: Vec<Member>,
-        gone: Vec<String>,
+        removed: Vec<String>,
     },
     /// What was told of sessions does not add up: all of them are wanted.
     WantSessions,
     /// The platform's list as it was read, or what changed of it; remaining times are as of this frame.
-    List(Excerpt),
+    Endpoints(EndpointUpdate),
     /// What was told of the list does not add up: all of it is wanted.
-    WantList,
-    /// Each [`crate::peers::BEAT_MS`].
+    WantEndpoints,
+    /// Each [`crate::peers::HEARTBEAT_INTERVAL_MS`].
     Heartbeat(Heartbeat),
     /// Long prompts that the sender's proxies sent.
     PromptsSent(Vec<PromptSent>),
@@ -59,19 +59,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Heartbeat {
     /// Who reads the platform's list, as far as the sender knows.
-    pub claim: Claim,
+    pub lease: PollerLease,
     /// It does not hear the one who reads the list.
-    pub silent: bool,
+    pub holder_timed_out: bool,
     /// Its own sessions.
-    pub sessions: Digest,
+    pub session_digest: Digest,
     /// How many readings of the list it knows of.
-    pub list_round: u64,
+    pub polls: u64,
     /// The list as the sender knows it.
-    pub list: Digest,
+    pub endpoint_digest: Digest,
     /// It was told to stop.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// It knows how many proxies there are.
-    pub settled: bool,
+    pub knows_all_proxies: bool,
 }
 
 /// What both ends of a link compare to find out whether they know the same.
@@ -85,22 +85,22 @@
 
 /// What is passed on of the platform's list: all of it, or what changed.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Excerpt {
+pub struct EndpointUpdate {
     /// Whether upstreams that it does not name are gone.
-    pub whole: bool,
+    pub is_complete: bool,
     /// How many readings of the list it rests on.
-    pub round: u64,
+    pub poll: u64,
     /// Upstreams that are new or changed; all where it is whole.
     pub entries: Vec<UpstreamEntry>,
     /// Identifiers of those that the list no longer shows.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
-/// Who reads the platform's list: the higher claim holds.
+/// Who reads the platform's list: the higher lease holds.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
-pub struct Claim {
+pub struct PollerLease {
     /// Rises with each change of the holder.
     pub term: u64,
     /// Empty: nobody yet.
@@ -118,7 +118,7 @@
 
 impl Member {
     /// What others are told at once when it changes: not how many requests it has in hand.
-    pub(crate) fn marks(&self) -> (&ProxyInfo, bool, bool, u64) {
+    pub(crate) fn announced_state(&self) -> (&ProxyInfo, bool, bool, u64) {
         (
             &self.info,
             self.state.ready,
--- a/crates/sandtrack-control/src/peers.rs
+++ b/crates/sandtrack-control/src/peers.rs
@@ -1,21 +1,21 @@
 //! The other control nodes: one link a pair, over which replicas talk, sessions and the list are told, and each says that it is
 //! there. It owns what is known of links and when to open one; it must never touch a socket.
+use crate::endpoint_poller::PeerReport;
 pub use crate::peer_frames::{Hello, PeerFrame, FORMAT};
-use crate::reader::PeerReport;
 use crate::Millis;
 use sandtrack_protocol::codes;
 use sandtrack_replication::Address;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often each end says that it is there, in ms.
-pub const BEAT_MS: Millis = 150.0;
+pub const HEARTBEAT_INTERVAL_MS: Millis = 150.0;
 /// A link on which nothing was heard for so long, in ms, is closed and opened anew.
-pub const SILENCE_MS: Millis = 900.0;
+pub const PEER_TIMEOUT_MS: Millis = 900.0;
 /// Pause before a link is opened anew, in ms: the one with the lower address goes first.
-const AGAIN_MS: Millis = 100.0;
-const AGAIN_SECOND_MS: Millis = 250.0;
+const REDIAL_MS: Millis = 100.0;
+const REDIAL_SECOND_MS: Millis = 250.0;
 /// One that nobody names any more and that was not heard for so long, in ms, is forgotten.
-const FORGOTTEN_MS: Millis = 60_000.0;
+const PEER_RETENTION_MS: Millis = 60_000.0;
 
 /// One link, of which the program holds the socket.
 #[derive(Clone, Debug)]
@@ -24,29 +24,29 @@
     dialed: Option<Address>,
     /// Who is at the other end, once it said so.
     peer: Option<Address>,
-    heard: Millis,
+    last_heard: Millis,
     /// How far the other end was told sessions and the list.
     sessions: Option<u64>,
     list: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct Peer {
     hello: Option<Hello>,
     /// The link that is in use.
     link: Option<u64>,
     /// One that is being opened.
     dialing: Option<u64>,
     dial_at: Millis,
-    heard: Millis,
+    last_heard: Millis,
     report: PeerReport,
     leaving: bool,
-    settled: bool,
+    knows_all_proxies: bool,
 }
 
 /// What the program is to do with a link.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LinkOrder {
+pub enum LinkAction {
     Dial { link: u64, address: Address },
     Send { link: u64, frame: PeerFrame },
     Close { link: u64 },
@@ -56,16 +56,16 @@
 pub struct Peers {
     pub me: Hello,
     links: BTreeMap<u64, Link>,
-    known: BTreeMap<Address, Known>,
+    known: BTreeMap<Address, Peer>,
     next_link: u64,
-    next_beat: Millis,
+    next_heartbeat: Millis,
 }
 
 /// A change of who is heard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum LinkEvent {
     /// A link with this one is in use from now on: a new one.
-    Found(Address),
+    Established(Address),
     Lost(Address),
 }
 
@@ -76,12 +76,12 @@
             links: BTreeMap::new(),
             known: BTreeMap::new(),
             next_link: 0,
-            next_beat: now,
+            next_heartbeat: now,
         }
     }
 
     /// Others are known of by these addresses; they and those that were heard lately are the ones to reach.
-    pub fn reach<'a>(&mut self, now: Millis, addresses: impl Iterator<Item = &'a str>) {
+    pub fn set_wanted<'a>(&mut self, now: Millis, addresses: impl Iterator<Item = &'a str>) {
         let named: BTreeSet<&str> = addresses
             .filter(|address| *address != self.me.address)
             .collect();
@@ -90,19 +90,19 @@
                 let wait = if self.me.address.as_str() < *address {
                     0.0
                 } else {
-                    AGAIN_SECOND_MS
+                    REDIAL_SECOND_MS
                 };
-                let known = Known {
+                let known = Peer {
                     dial_at: now + wait,
-                    heard: now,
-                    ..Known::default()
+                    last_heard: now,
+                    ..Peer::default()
                 };
                 self.known.insert((*address).to_owned(), known);
             }
         }
         self.known.retain(|address, known| {
             let used = known.link.is_some() || known.dialing.is_some();
-            used || named.contains(address.as_str()) || now - known.heard < FORGOTTEN_MS
+            used || named.contains(address.as_str()) || now - known.last_heard < PEER_RETENTION_MS
         });
     }
 
@@ -118,7 +118,7 @@
             Link {
                 dialed,
                 peer: None,
-                heard: now,
+                last_heard: now,
                 sessions: None,
                 list: None,
             },
@@ -127,26 +127,26 @@
     }
 
     /// The socket of a link stands: who is here is said first.
-    pub fn opened(&mut self, now: Millis, link: u64, orders: &mut Vec<LinkOrder>) {
+    pub fn opened(&mut self, now: Millis, link: u64, actions: &mut Vec<LinkAction>) {
         match self.links.get_mut(&link) {
             Some(known) => {
-                known.heard = now;
-                orders.push(LinkOrder::Send {
+                known.last_heard = now;
+                actions.push(LinkAction::Send {
                     link,
                     frame: PeerFrame::Hello(self.me.clone()),
                 });
             }
-            None => orders.push(LinkOrder::Close { link }),
+            None => actions.push(LinkAction::Close { link }),
         }
     }
 
     /// Something came over a link. Whose it is, where the other end has said so.
-    pub fn heard(&mut self, now: Millis, link: u64) -> Option<Address> {
+    pub fn frame_received(&mut self, now: Millis, link: u64) -> Option<Address> {
         let known = self.links.get_mut(&link)?;
-        known.heard = now;
+        known.last_heard = now;
         let peer = known.peer.clone()?;
         if let Some(known) = self.known.get_mut(&peer) {
-            known.heard = now;
+            known.last_heard = now;
         }
         Some(peer)
     }
@@ -158,8 +158,8 @@
         now: Millis,
         link: u64,
         hello: Hello,
-        orders: &mut Vec<LinkOrder>,
-    ) -> Option<Heard> {
+        actions: &mut Vec<LinkAction>,
+    ) -> Option<LinkEvent> {
         let address = hello.address.clone();
         let dialed_here = self.links.get(&link)?.dialed.is_some();
         if hello.format != FORMAT || address == self.me.address {
@@ -168,7 +168,7 @@
                 "E{code} a link with {address} of format {} is ended",
                 hello.format
             );
-            self.drop_link(now, link, orders);
+            self.drop_link(now, link, actions);
             return None;
         }
         let (me, wanted) = (&self.me.address, &address);
@@ -178,7 +178,7 @@
             wanted < me
         };
         let known = self.known.entry(address.clone()).or_default();
-        let same_life = known
+        let same_incarnation = known
             .hello
             .as_ref()
             .is_some_and(|before| before.incarnation == hello.incarnation);
@@ -189,33 +189,33 @@
                 .get(&rival)
                 .is_some_and(|rival| rival.dialed.is_some());
             // The same end opened both: the newer one stands, as the other end has given up the older.
-            if same_life && !preferred && rival_dialed_here != dialed_here {
-                self.drop_link(now, link, orders);
+            if same_incarnation && !preferred && rival_dialed_here != dialed_here {
+                self.drop_link(now, link, actions);
                 return None;
             }
             self.links.remove(&rival);
-            orders.push(LinkOrder::Close { link: rival });
+            actions.push(LinkAction::Close { link: rival });
         }
         let known = self.known.entry(address.clone()).or_default();
         known.dialing = known.dialing.filter(|dialing| *dialing != link);
         known.link = Some(link);
-        (known.heard, known.leaving, known.settled) = (now, false, false);
+        (known.last_heard, known.leaving, known.knows_all_proxies) = (now, false, false);
         known.report = PeerReport::default();
         known.hello = Some(hello);
         if let Some(link) = self.links.get_mut(&link) {
             link.peer = Some(address.clone());
         }
-        Some(Heard::Found(address))
+        Some(LinkEvent::Established(address))
     }
 
     /// The socket of a link is gone.
-    pub fn closed(&mut self, now: Millis, link: u64) -> Option<Heard> {
+    pub fn closed(&mut self, now: Millis, link: u64) -> Option<LinkEvent> {
         let gone = self.links.remove(&link)?;
         let wait = |me: &str, other: &str| {
             if me < other {
-                AGAIN_MS
+                REDIAL_MS
             } else {
-                AGAIN_SECOND_MS
+                REDIAL_SECOND_MS
             }
         };
         if let Some(known) = gone
@@ -236,46 +236,60 @@
             .filter(|known| known.link == Some(link))?;
         known.link = None;
         known.dial_at = now + wait(&self.me.address, &peer);
-        Some(Heard::Lost(peer))
+        Some(LinkEvent::Lost(peer))
     }
 
-    fn drop_link(&mut self, now: Millis, link: u64, orders: &mut Vec<LinkOrder>) -> Option<Heard> {
-        orders.push(LinkOrder::Close { link });
+    fn drop_link(
+        &mut self,
+        now: Millis,
+        link: u64,
+        actions: &mut Vec<LinkAction>,
+    ) -> Option<LinkEvent> {
+        actions.push(LinkAction::Close { link });
         self.closed(now, link)
     }
 
     /// Another one says that it is there.
-    pub fn report(&mut self, peer: &str, report: PeerReport, leaving: bool, settled: bool) {
+    pub fn update_report(
+        &mut self,
+        peer: &str,
+        report: PeerReport,
+        leaving: bool,
+        knows_all_proxies: bool,
+    ) {
         if let Some(known) = self.known.get_mut(peer) {
-            (known.report, known.leaving, known.settled) = (report, leaving, settled);
+            (known.report, known.leaving, known.knows_all_proxies) =
+                (report, leaving, knows_all_proxies);
         }
     }
 
     /// Whether one that is linked knows how many proxies there are.
-    pub fn is_any_settled(&self) -> bool {
+    pub fn any_peer_knows_all_proxies(&self) -> bool {
         self.known
             .values()
-            .any(|known| known.link.is_some() && known.settled)
+            .any(|known| known.link.is_some() && known.knows_all_proxies)
     }
 
     /// This process did not run for a while: what the others said meanwhile is still to be read.
-    pub fn woke(&mut self, now: Millis) {
-        self.links.values_mut().for_each(|link| link.heard = now);
+    pub fn resumed(&mut self, now: Millis) {
+        self.links
+            .values_mut()
+            .for_each(|link| link.last_heard = now);
     }
 
     /// Closes silent links and opens missing ones; yes where a beat is due.
-    pub fn tick(&mut self, now: Millis, orders: &mut Vec<LinkOrder>) -> (Vec<Heard>, bool) {
+    pub fn tick(&mut self, now: Millis, actions: &mut Vec<LinkAction>) -> (Vec<LinkEvent>, bool) {
         let silent = self
             .links
             .iter()
-            .filter(|(_, link)| now - link.heard > SILENCE_MS);
+            .filter(|(_, link)| now - link.last_heard > PEER_TIMEOUT_MS);
         let silent: Vec<u64> = silent.map(|(link, _)| *link).collect();
         let lost = silent
             .into_iter()
-            .filter_map(|link| self.drop_link(now, link, orders))
+            .filter_map(|link| self.drop_link(now, link, actions))
             .collect();
         let free =
-            |known: &Known| known.link.is_none() && known.dialing.is_none() && now >= known.dial_at;
+            |known: &Peer| known.link.is_none() && known.dialing.is_none() && now >= known.dial_at;
         let wanted: Vec<Address> = self
             .known
             .iter()
@@ -287,17 +301,17 @@
             if let Some(known) = self.known.get_mut(&address) {
                 known.dialing = Some(link);
             }
-            orders.push(LinkOrder::Dial { link, address });
+            actions.push(LinkAction::Dial { link, address });
         }
-        let beat = now >= self.next_beat;
-        if beat {
-            self.next_beat = now + BEAT_MS;
+        let heartbeat_due = now >= self.next_heartbeat;
+        if heartbeat_due {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL_MS;
         }
-        (lost, beat)
+        (lost, heartbeat_due)
     }
 
     pub fn next_due(&self) -> Millis {
-        self.next_beat
+        self.next_heartbeat
     }
 
     /// The link in use with another one.
@@ -307,12 +321,12 @@
 
     /// The links in use.
     pub fn linked(&self) -> Vec<(u64, Address)> {
-        let linked = |(address, known): (&Address, &Known)| Some((known.link?, address.clone()));
+        let linked = |(address, known): (&Address, &Peer)| Some((known.link?, address.clone()));
         self.known.iter().filter_map(linked).collect()
     }
 
     /// How far the other end of a link was told sessions, and the list.
-    pub fn told(&mut self, link: u64) -> Option<(&mut Option<u64>, &mut Option<u64>)> {
+    pub fn announced(&mut self, link: u64) -> Option<(&mut Option<u64>, &mut Option<u64>)> {
         self.links
             .get_mut(&link)
             .map(|link| (&mut link.sessions, &mut link.list))
@@ -321,17 +335,17 @@
     /// What those said last that were heard within so many ms and are not leaving.
     pub fn live(&self, now: Millis, within: Millis) -> BTreeMap<Address, PeerReport> {
         let live = self.known.iter().filter(|(_, known)| {
-            known.link.is_some() && !known.leaving && now - known.heard <= within
+            known.link.is_some() && !known.leaving && now - known.last_heard <= within
         });
         live.map(|(address, known)| (address.clone(), known.report.clone()))
             .collect()
     }
 
     /// Whether one was heard within so many ms.
-    pub fn is_heard(&self, now: Millis, peer: &str, within: Millis) -> bool {
+    pub fn is_seen(&self, now: Millis, peer: &str, within: Millis) -> bool {
         self.known
             .get(peer)
-            .is_some_and(|known| known.link.is_some() && now - known.heard <= within)
+            .is_some_and(|known| known.link.is_some() && now - known.last_heard <= within)
     }
 
     /// All that are known of: whether linked, not leaving, and what they said of themselves.
--- a/crates/sandtrack-control/src/platform.rs
+++ b/crates/sandtrack-control/src/platform_client.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform for its list, over one connection that is kept. It owns that socket; when to call is decided
 //! elsewhere.
-use crate::reader::{Call, Page};
-use crate::socket;
+use crate::endpoint_poller::{Page, PageResult};
+use crate::frame_connection;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use sandtrack_net::http::{self, Parser, Part, Side};
@@ -25,7 +25,7 @@
 }
 
 /// Calls for one page after another until nobody wants any more.
-pub async fn run(wanted: async_channel::Receiver<Fetch>, told: impl Fn(Call)) {
+pub async fn run(wanted: async_channel::Receiver<Fetch>, told: impl Fn(PageResult)) {
     let mut kept: Option<(String, Async<TcpStream>)> = None;
     while let Ok(fetch) = wanted.recv().await {
         let reused = kept
@@ -42,14 +42,14 @@
         }
         told(called.unwrap_or_else(|why| {
             kept = None;
-            Call::Failed(why)
+            PageResult::Failed(why)
         }));
     }
 }
 
 async fn within(
-    call: impl std::future::Future<Output = Result<Call, String>>,
-) -> Result<Call, String> {
+    call: impl std::future::Future<Output = Result<PageResult, String>>,
+) -> Result<PageResult, String> {
     let late = async {
         Timer::after(PATIENCE).await;
         Err("no answer in time".to_owned())
@@ -60,11 +60,11 @@
 async fn call(
     kept: &mut Option<(String, Async<TcpStream>)>,
     fetch: &Fetch,
-) -> Result<Call, String> {
+) -> Result<PageResult, String> {
     let (_, stream) = match kept.take() {
         Some(kept) => kept,
         None => {
-            let stream = socket::connect(&fetch.address, PATIENCE)
+            let stream = frame_connection::connect(&fetch.address, PATIENCE)
                 .await
                 .map_err(|error| error.to_string())?;
             (fetch.address.clone(), stream)
@@ -112,9 +112,9 @@
         *kept = Some((fetch.address.clone(), stream));
     }
     match head.status {
-        200 => Page::parse(body).map(Call::Page),
-        429 => Ok(Call::TooMany),
-        status => Ok(Call::Failed(format!("status {status}"))),
+        200 => Page::parse(body).map(PageResult::Page),
+        429 => Ok(PageResult::RateLimited),
+        status => Ok(PageResult::Failed(format!("status {status}"))),
     }
 }
 
--- a/crates/sandtrack-control/src/reader_election.rs
+++ b/crates/sandtrack-control/src/poller_election.rs
@@ -1,99 +1,99 @@
 //! Which control node reads the platform's list, so that one alone calls it. Pure: what the others say comes in, no socket
 //! and no clock is touched here.
-use crate::peer_frames::Claim;
+use crate::peer_frames::PollerLease;
 use crate::Millis;
 use sandtrack_invariants::{check, Invariant};
 use sandtrack_replication::Address;
 use std::collections::BTreeMap;
 
 /// A holder that says nothing for so long, in ms, has lost its role.
-pub const HOLDER_SILENT_MS: Millis = 800.0;
+pub const HOLDER_TIMEOUT_MS: Millis = 800.0;
 /// One that hears no holder for so long, in ms, and can't get a majority reads for itself.
-const ALONE_MS: Millis = 1600.0;
+const FALLBACK_POLLING_MS: Millis = 1600.0;
 
 /// What another control node said last of who reads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerReport {
-    /// The highest claim that it knows of.
-    pub claim: Claim,
+    /// The highest lease that it knows of.
+    pub lease: PollerLease,
     /// It does not hear the holder either.
-    pub silent: bool,
+    pub holder_timed_out: bool,
 }
 
-/// Which control node reads the list: the holder of the highest claim. The holder names its successor when it can; when it
+/// Which control node reads the list: the holder of the highest lease. The holder names its successor when it can; when it
 /// can't, a majority of those who agree on the view does, by saying that they do not hear it.
 #[derive(Clone, Debug)]
-pub struct ReaderElection {
+pub struct PollerElection {
     me: Address,
-    claim: Claim,
+    lease: PollerLease,
     /// When the holder was heard last.
-    heard: Millis,
+    last_heard: Millis,
 }
 
-impl ReaderElection {
+impl PollerElection {
     /// Nobody reads yet, as far as is known.
-    pub fn new(me: &str, now: Millis) -> ReaderElection {
-        ReaderElection {
+    pub fn new(me: &str, now: Millis) -> PollerElection {
+        PollerElection {
             me: me.to_owned(),
-            claim: Claim::default(),
-            heard: now,
+            lease: PollerLease::default(),
+            last_heard: now,
         }
     }
 
-    /// The highest claim that is known here.
-    pub fn claim(&self) -> &Claim {
-        &self.claim
+    /// The highest lease that is known here.
+    pub fn lease(&self) -> &PollerLease {
+        &self.lease
     }
 
     /// Whether this control node holds the role.
     pub fn is_holder(&self) -> bool {
-        self.claim.holder == self.me
+        self.lease.holder == self.me
     }
 
     /// Whether the list is taken that another control node has read: from the holder, or from anyone while no holder is known.
     /// One that fell silent may have been replaced, and what it sent before comes too late; the digest in the next heartbeat
     /// of the holder tells what lacks.
-    pub fn takes_list_of(&self, peer: &str) -> bool {
-        self.claim.term == 0 || self.claim.holder == peer
+    pub fn accepts_endpoints_from(&self, peer: &str) -> bool {
+        self.lease.term == 0 || self.lease.holder == peer
     }
 
     /// Whether the holder was not heard for long.
-    pub fn is_silent(&self, now: Millis) -> bool {
-        !self.is_holder() && now - self.heard > HOLDER_SILENT_MS
+    pub fn is_holder_timed_out(&self, now: Millis) -> bool {
+        !self.is_holder() && now - self.last_heard > HOLDER_TIMEOUT_MS
     }
 
     /// Whether this one is to read: as the holder, or for itself, as it hears nobody who does.
-    pub fn is_reading(&self, now: Millis) -> bool {
-        self.is_holder() || now - self.heard > ALONE_MS
+    pub fn is_polling(&self, now: Millis) -> bool {
+        self.is_holder() || now - self.last_heard > FALLBACK_POLLING_MS
     }
 
     /// Another control node says who holds.
-    pub fn heard_claim(&mut self, now: Millis, from: &str, claim: &Claim) {
-        if *claim > self.claim {
-            self.hold(claim.clone());
+    pub fn observe_lease(&mut self, now: Millis, from: &str, lease: &PollerLease) {
+        if *lease > self.lease {
+            self.adopt(lease.clone());
             // One that was named by another is given its time to begin.
-            self.heard = now;
+            self.last_heard = now;
         }
-        if *claim == self.claim && self.claim.holder == from {
-            self.heard = now;
+        if *lease == self.lease && self.lease.holder == from {
+            self.last_heard = now;
         }
     }
 
-    fn hold(&mut self, claim: Claim) {
+    fn adopt(&mut self, lease: PollerLease) {
         check(
-            Invariant::ReaderTermRises,
-            claim.term >= self.claim.term,
-            || format!("term {} behind {}", claim.term, self.claim.term),
+            Invariant::PollerTermRises,
+            lease.term >= self.lease.term,
+            || format!("term {} behind {}", lease.term, self.lease.term),
         );
-        self.claim = claim;
+        self.lease = lease;
     }
 
     /// This process did not run for a while: what it holds may be another's by now, who has to be heard first.
-    pub fn woke(&mut self, now: Millis) {
+    pub fn resumed(&mut self, now: Millis) {
         if self.is_holder() {
-            self.claim.holder = Address::new();
+            self.lease.holder = Address::new();
         }
-        self.heard = now;
+        self.last_heard = now;
     }
 
     /// Claims the role where it is this one's turn: `order` is who may, in turn; `live` what those heard of said last;
@@ -105,8 +105,8 @@
         live: &BTreeMap<Address, PeerReport>,
         voters: &[Address],
     ) -> bool {
-        let begins = self.claim.term == 0 && order.first() == Some(&self.me);
-        if !self.is_silent(now) && !begins {
+        let begins = self.lease.term == 0 && order.first() == Some(&self.me);
+        if !self.is_holder_timed_out(now) && !begins {
             return false;
         }
         if self.is_holder() || self.successor(order, |one| live.contains_key(one)) != Some(&self.me)
@@ -115,19 +115,19 @@
         }
         // Where there never was a holder, nobody can miss it: a majority that knows of none is enough. A process that starts
         // while it is cut off knows of none either, and has no majority.
-        let is_first = self.claim.term == 0;
+        let is_first = self.lease.term == 0;
         let agrees = |one: &&Address| {
             **one == self.me
-                || live
-                    .get(*one)
-                    .is_some_and(|report| (is_first || report.silent) && report.claim <= self.claim)
+                || live.get(*one).is_some_and(|report| {
+                    (is_first || report.holder_timed_out) && report.lease <= self.lease
+                })
         };
         let agreed = voters.iter().filter(agrees).count();
         if 2 * agreed <= voters.len() {
             return false;
         }
-        self.hold(Claim {
-            term: self.claim.term + 1,
+        self.adopt(PollerLease {
+            term: self.lease.term + 1,
             holder: self.me.clone(),
         });
         true
@@ -141,11 +141,11 @@
     ) -> Option<&'a Address> {
         let after = order
             .iter()
-            .position(|one| *one == self.claim.holder)
+            .position(|one| *one == self.lease.holder)
             .map_or(0, |at| at + 1);
         let turn = order.iter().cycle().skip(after).take(order.len());
         turn.into_iter()
-            .find(|one| **one != self.claim.holder && (**one == self.me || is_live(one)))
+            .find(|one| **one != self.lease.holder && (**one == self.me || is_live(one)))
     }
 
     /// Names the successor of one that leaves; yes where there is one.
@@ -156,8 +156,8 @@
             .cloned();
         match next {
             Some(holder) if self.is_holder() => {
-                self.hold(Claim {
-                    term: self.claim.term + 1,
+                self.adopt(PollerLease {
+                    term: self.lease.term + 1,
                     holder,
                 });
                 true
--- a/crates/sandtrack-control/src/program.rs
+++ b/crates/sandtrack-control/src/program.rs
@@ -1,24 +1,24 @@
 //! The process: executor, clock, signals, and the loop that hands inputs to the control node and has its effects carried
 //! out. It owns the tasks; it must never decide anything.
 //!
-//! `command_line`, `settings_file` and `fault` are about how it starts and ends; `listeners` accepts connections, `effects`
+//! `command_line`, `settings_file` and `error` are about how it starts and ends; `listeners` accepts connections, `effects`
 //! carries out what the control node asks for, and `runtime` is what these share.
 mod command_line;
 mod effects;
-mod fault;
+mod error;
 mod listeners;
 mod runtime;
 mod settings_file;
 
-use crate::disk::{self, Done};
 use crate::node::{ControlNode, Effect, Input, Start};
-use crate::platform;
+use crate::platform_client;
+use crate::wal_writer::{self, WalResult};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
-use command_line::{command_line, Verb};
+use command_line::{command_line, Subcommand};
 use effects::perform;
-use fault::Fault;
+use error::ProgramError;
 use futures_lite::{future, StreamExt};
 use listeners::Listeners;
 use runtime::Runtime;
@@ -36,9 +36,9 @@
 use std::time::{Duration, Instant};
 
 /// Calls in hand may take this part of the process's memory (ours).
-const CALLS: f64 = 0.25;
+const CALL_MEMORY_FRACTION: f64 = 0.25;
 /// Told to end, it gives its connections this long to write what waits.
-const LAST_WRITES: Duration = Duration::from_millis(50);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The program; gives its exit code.
 pub fn main() -> ExitCode {
@@ -49,16 +49,18 @@
     let node = settings.as_ref().map_or("", |settings| &settings.node_name);
     logs::start(node, &command_line.log_level);
     let done = match (command_line.verb, settings) {
-        (_, Err(error)) => Err(Fault::from(error)),
-        (Verb::Check, Ok(settings)) => {
+        (_, Err(error)) => Err(ProgramError::from(error)),
+        (Subcommand::Check, Ok(settings)) => {
             println!("the settings of {} can be run with", settings.node_name);
             Ok(())
         }
-        (Verb::Run, Ok(settings)) => signals.map_err(Fault::from).and_then(|signals| {
-            let executor = Rc::new(LocalExecutor::new());
-            // async-io's own: this thread polls for events itself.
-            async_io::block_on(executor.run(serve(settings, signals, executor.clone())))
-        }),
+        (Subcommand::Run, Ok(settings)) => {
+            signals.map_err(ProgramError::from).and_then(|signals| {
+                let executor = Rc::new(LocalExecutor::new());
+                // async-io's own: this thread polls for events itself.
+                async_io::block_on(executor.run(serve(settings, signals, executor.clone())))
+            })
+        }
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -76,11 +78,12 @@
     settings: Settings,
     mut signals: Signals,
     executor: Rc<LocalExecutor<'_>>,
-) -> Result<(), Fault> {
+) -> Result<(), ProgramError> {
     let (inputs, received) = async_channel::unbounded();
     let (wal, recovered) = match &settings.data_directory {
         Some(folder) => {
-            let (wal, recovered) = disk::open(folder).map_err(|why| Fault::Wal { why })?;
+            let (wal, recovered) =
+                wal_writer::open(folder).map_err(|why| ProgramError::Wal { why })?;
             (Some(wal), recovered)
         }
         None => (None, Vec::new()),
@@ -95,7 +98,7 @@
         disk: disk.is_some(),
     };
     let platform = settings.cloud_api.address.clone();
-    let calls_memory = ByteBudget::new(settings.memory_fraction_bytes(CALLS));
+    let calls_memory = ByteBudget::new(settings.memory_fraction_bytes(CALL_MEMORY_FRACTION));
     log::info!(
         "serving control at {}, directory at {}",
         settings.listen["control"],
@@ -117,13 +120,13 @@
         platform: RefCell::new(platform),
     });
     spawn_platform(&runtime, fetched);
-    let (held_up, look_again) = async_channel::bounded(1);
-    listeners.spawn(&runtime, look_again);
+    let (paused, queue_recheck) = async_channel::bounded(1);
+    listeners.spawn(&runtime, queue_recheck);
     executor
         .spawn(settings_file::watch(runtime.inputs.clone()))
         .detach();
     let _ = perform(&runtime, effects);
-    run(&runtime, &received, &mut signals, &held_up).await;
+    run(&runtime, &received, &mut signals, &paused).await;
     Ok(())
 }
 
@@ -134,13 +137,13 @@
 fn start_disk(
     wal: sandtrack_wal::Wal,
     inputs: async_channel::Sender<Input>,
-) -> Result<async_channel::Sender<disk::Order>, Fault> {
+) -> Result<async_channel::Sender<wal_writer::WalRequest>, ProgramError> {
     let (orders, ordered) = async_channel::unbounded();
-    disk::start(wal, ordered, move |done| {
+    wal_writer::start(wal, ordered, move |done| {
         let input = match done {
-            Done::Written(ticket) => Input::Written { ticket },
-            Done::Failed(ticket) => Input::WriteFailed { ticket },
-            Done::Unknown => {
+            WalResult::Written(ticket) => Input::Written { ticket },
+            WalResult::Failed(ticket) => Input::WriteFailed { ticket },
+            WalResult::Unknown => {
                 log::error!("{}: it starts anew", codes::WAL_FULL);
                 std::process::exit(1);
             }
@@ -152,31 +155,34 @@
 }
 
 /// Spawns the task that calls the platform.
-fn spawn_platform(runtime: &Rc<Runtime<'_>>, fetched: async_channel::Receiver<platform::Fetch>) {
+fn spawn_platform(
+    runtime: &Rc<Runtime<'_>>,
+    fetched: async_channel::Receiver<platform_client::Fetch>,
+) {
     let inputs = runtime.inputs.clone();
-    let calls = platform::run(fetched, move |call| {
+    let calls = platform_client::run(fetched, move |call| {
         // It fails only when the process is on its way out.
-        let _ = inputs.try_send(Input::Called(call));
+        let _ = inputs.try_send(Input::PageFetched(call));
     });
     runtime.executor.spawn(calls).detach();
 }
 
-/// The loop: hands over what comes, and has the effects carried out, until the process is to end. `held_up` is told each
+/// The loop: hands over what comes, and has the effects carried out, until the process is to end. `paused` is told each
 /// time that the process did not run for a while.
 async fn run(
     runtime: &Rc<Runtime<'_>>,
     received: &async_channel::Receiver<Input>,
     signals: &mut Signals,
-    held_up: &async_channel::Sender<()>,
+    paused: &async_channel::Sender<()>,
 ) {
-    let mut awake_since = runtime.control_node.borrow().awake_since();
+    let mut running_since = runtime.control_node.borrow().running_since();
     loop {
         let next = next_input(runtime, received, signals).await;
         let effects = handle_all(runtime, received, next);
-        let since = runtime.control_node.borrow().awake_since();
-        if std::mem::replace(&mut awake_since, since) != since {
+        let since = runtime.control_node.borrow().running_since();
+        if std::mem::replace(&mut running_since, since) != since {
             // A full channel holds the same already.
-            let _ = held_up.try_send(());
+            let _ = paused.try_send(());
         }
         if perform(runtime, effects).is_break() {
             return close_connections(runtime).await;
@@ -232,5 +238,5 @@
 async fn close_connections(runtime: &Runtime<'_>) {
     runtime.links.borrow_mut().clear();
     runtime.sessions.borrow_mut().clear();
-    Timer::after(LAST_WRITES).await;
+    Timer::after(FLUSH_TIMEOUT).await;
 }
--- a/crates/sandtrack-control/src/program/command_line.rs
+++ b/crates/sandtrack-control/src/program/command_line.rs
@@ -3,7 +3,7 @@
 
 /// What the process is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Verb {
+pub(super) enum Subcommand {
     /// Serve until it is told to stop.
     Run,
     /// Only read the settings file.
@@ -16,7 +16,7 @@
     /// Name of a level of `log`.
     pub log_level: String,
     /// The subcommand.
-    pub verb: Verb,
+    pub verb: Subcommand,
 }
 
 /// The parser of the command line.
@@ -25,15 +25,15 @@
         .help("What is logged: off, error, warn, info, debug, trace")
         .argument("LEVEL")
         .fallback("info".to_owned());
-    let run = bpaf::pure(Verb::Run)
+    let run = bpaf::pure(Subcommand::Run)
         .to_options()
         .descr("Serves until SIGTERM; SIGHUP reads the settings again")
         .command("run");
-    let check = bpaf::pure(Verb::Check)
+    let check = bpaf::pure(Subcommand::Check)
         .to_options()
         .descr("Reads the settings file and says what is wrong with it")
         .command("check");
-    let verb = construct!([run, check]).fallback(Verb::Run);
+    let verb = construct!([run, check]).fallback(Subcommand::Run);
     construct!(CommandLine { log_level, verb })
         .to_options()
         .descr(
--- a/crates/sandtrack-control/src/program/effects.rs
+++ b/crates/sandtrack-control/src/program/effects.rs
@@ -1,12 +1,12 @@
 //! Carries out what the control node asks for: on sockets, the disk and the platform.
 use super::listeners::run_link;
 use super::runtime::Runtime;
-use crate::disk;
+use crate::frame_connection;
 use crate::node::{Effect, Input};
-use crate::peers::LinkOrder;
-use crate::platform::Fetch;
-use crate::sessions::SessionOrder;
-use crate::socket;
+use crate::peers::LinkAction;
+use crate::platform_client::Fetch;
+use crate::sessions::SessionAction;
+use crate::wal_writer;
 use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::frames;
 use sandtrack_replication::Address;
@@ -35,10 +35,10 @@
             Effect::Link(order) => perform_link_order(runtime, order),
             Effect::Session(order) => perform_session_order(runtime, order),
             Effect::Write { ticket, records } => {
-                order_disk(runtime, disk::Order::Append { ticket, records });
+                request_write(runtime, wal_writer::WalRequest::Append { ticket, records });
             }
             Effect::Rewrite { ticket, records } => {
-                order_disk(runtime, disk::Order::Rewrite { ticket, records });
+                request_write(runtime, wal_writer::WalRequest::Rewrite { ticket, records });
             }
             Effect::Fetch { token } => {
                 let address = runtime.platform.borrow().clone();
@@ -51,31 +51,31 @@
     flow
 }
 
-fn order_disk(runtime: &Runtime<'_>, order: disk::Order) {
+fn request_write(runtime: &Runtime<'_>, order: wal_writer::WalRequest) {
     if let Some(disk) = &runtime.disk {
         // It fails only when the process is on its way out.
         let _ = disk.try_send(order);
     }
 }
 
-fn perform_session_order(runtime: &Runtime<'_>, order: SessionOrder) {
+fn perform_session_order(runtime: &Runtime<'_>, order: SessionAction) {
     let mut sessions = runtime.sessions.borrow_mut();
     match order {
-        SessionOrder::Send { session, bytes } => {
+        SessionAction::Send { session, bytes } => {
             if sessions.get(&session).is_some_and(|way| !way.send(bytes)) {
                 sessions.remove(&session);
             }
         }
-        SessionOrder::Close { session } => {
+        SessionAction::Close { session } => {
             sessions.remove(&session);
         }
     }
 }
 
-fn perform_link_order(runtime: &Rc<Runtime<'_>>, order: LinkOrder) {
+fn perform_link_order(runtime: &Rc<Runtime<'_>>, order: LinkAction) {
     match order {
-        LinkOrder::Dial { link, address } => dial(runtime, link, address),
-        LinkOrder::Send { link, frame } => {
+        LinkAction::Dial { link, address } => dial(runtime, link, address),
+        LinkAction::Send { link, frame } => {
             let mut links = runtime.links.borrow_mut();
             if links
                 .get(&link)
@@ -85,18 +85,18 @@
                 links.remove(&link);
             }
         }
-        LinkOrder::Close { link } => {
+        LinkAction::Close { link } => {
             runtime.links.borrow_mut().remove(&link);
         }
     }
 }
 
 fn dial(runtime: &Rc<Runtime<'_>>, link: u64, address: Address) {
-    let (way, outgoing) = socket::way();
+    let (way, outgoing) = frame_connection::frame_channel();
     runtime.links.borrow_mut().insert(link, way);
     let here = runtime.clone();
     let run = async move {
-        match socket::connect(&address, DIAL_PATIENCE).await {
+        match frame_connection::connect(&address, DIAL_PATIENCE).await {
             Ok(stream) => run_link(&here, link, &stream, &outgoing).await,
             Err(error) => {
                 log::debug!("no link with {address}: {error}");
--- a/crates/sandtrack-control/src/program/fault.rs
+++ b/crates/sandtrack-control/src/program/error.rs
@@ -5,7 +5,7 @@
 
 /// Why the process can't serve.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum Fault {
+pub(super) enum ProgramError {
     #[error("{0}")]
     Settings(#[from] SettingsError),
     #[error("{} {address} can't be listened on: {why}", codes::LISTEN)]
@@ -19,13 +19,17 @@
     Wal { why: sandtrack_wal::WalError },
 }
 
-impl Fault {
+impl ProgramError {
     /// What the process ends with: the numbered code where there is one.
     pub(super) fn exit_code(&self) -> ExitCode {
         match self {
-            Fault::Settings(error) => ExitCode::from(u8::try_from(error.code().0).unwrap_or(1)),
-            Fault::Listen { .. } => ExitCode::from(u8::try_from(codes::LISTEN.0).unwrap_or(1)),
-            Fault::System(_) | Fault::Wal { .. } => ExitCode::FAILURE,
+            ProgramError::Settings(error) => {
+                ExitCode::from(u8::try_from(error.code().0).unwrap_or(1))
+            }
+            ProgramError::Listen { .. } => {
+                ExitCode::from(u8::try_from(codes::LISTEN.0).unwrap_or(1))
+            }
+            ProgramError::System(_) | ProgramError::Wal { .. } => ExitCode::FAILURE,
         }
     }
 }
--- a/crates/sandtrack-control/src/program/listeners.rs
+++ b/crates/sandtrack-control/src/program/listeners.rs
@@ -1,12 +1,12 @@
 //! The listening sockets of the process, and the tasks of the connections that they accept.
-use super::fault::Fault;
+use super::error::ProgramError;
 use super::runtime::Runtime;
-use crate::arrivals::Arrival;
-use crate::control::Reply;
+use crate::frame_connection;
+use crate::http_server;
 use crate::node::Input;
-use crate::operators;
+use crate::operator_api::call_age::Arrival;
+use crate::operator_api::Reply;
 use crate::peers::PeerFrame;
-use crate::socket;
 use async_io::Async;
 use sandtrack_net::text_server;
 use sandtrack_protocol::frames::ToControl;
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// Where an address can't be listened on.
-    pub fn bind(settings: &Settings) -> Result<Listeners, Fault> {
+    pub fn bind(settings: &Settings) -> Result<Listeners, ProgramError> {
         Ok(Listeners {
             control: bind(&settings.listen["control"])?,
             directory: bind(&settings.listen["directory"])?,
@@ -52,9 +52,9 @@
         })
     }
 
-    /// Accepts connections for as long as the executor runs. `look_again`: see [`operators::listen`].
-    pub fn spawn(self, runtime: &Rc<Runtime<'_>>, look_again: async_channel::Receiver<()>) {
-        spawn_control(runtime, self.control, look_again);
+    /// Accepts connections for as long as the executor runs. `queue_recheck`: see [`http_server::listen`].
+    pub fn spawn(self, runtime: &Rc<Runtime<'_>>, queue_recheck: async_channel::Receiver<()>) {
+        spawn_control(runtime, self.control, queue_recheck);
         spawn_directory(runtime, self.directory);
         spawn_peers(runtime, self.peers);
         spawn_sessions(runtime, self.sessions);
@@ -64,8 +64,8 @@
     }
 }
 
-fn bind(address: &str) -> Result<Async<TcpListener>, Fault> {
-    let wrong = |why| Fault::Listen {
+fn bind(address: &str) -> Result<Async<TcpListener>, ProgramError> {
+    let wrong = |why| ProgramError::Listen {
         address: address.to_owned(),
         why,
     };
@@ -91,7 +91,7 @@
 fn spawn_metrics(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
     let serving = async move {
-        let text = || here.control_node.borrow().figures(here.clock.now());
+        let text = || here.control_node.borrow().metrics_text(here.clock.now());
         text_server::serve(listener, metrics::PATH, text).await;
     };
     runtime.executor.spawn(serving).detach();
@@ -107,20 +107,26 @@
 fn spawn_control(
     runtime: &Rc<Runtime<'_>>,
     listener: Async<TcpListener>,
-    look_again: async_channel::Receiver<()>,
+    queue_recheck: async_channel::Receiver<()>,
 ) {
     let here = runtime.clone();
-    let accept = operators::listen(
+    let accept = http_server::listen(
         listener,
         runtime.clock,
-        look_again,
+        queue_recheck,
         move |stream, arrival| {
             let runtime = here.clone();
             let run = async move {
                 let submit = |message| submit(&runtime, arrival, message);
                 let left = || runtime.control_node.borrow_mut().caller_left();
-                operators::serve_call(&stream, runtime.clock, &runtime.calls_memory, submit, left)
-                    .await;
+                http_server::serve_call(
+                    &stream,
+                    runtime.clock,
+                    &runtime.calls_memory,
+                    submit,
+                    left,
+                )
+                .await;
             };
             here.executor.spawn(run).detach();
         },
@@ -139,7 +145,7 @@
 
 fn spawn_directory(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
-    let accept = socket::listen(listener, move |stream| {
+    let accept = frame_connection::listen(listener, move |stream| {
         let runtime = here.clone();
         let run = async move {
             let answer = |message: &Message| {
@@ -148,7 +154,7 @@
                     .borrow_mut()
                     .resolve(runtime.clock.now(), &message.head)
             };
-            operators::serve_calls(&stream, &runtime.calls_memory, answer).await;
+            http_server::serve_calls(&stream, &runtime.calls_memory, answer).await;
         };
         here.executor.spawn(run).detach();
     });
@@ -157,12 +163,12 @@
 
 fn spawn_peers(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
-    let accept = socket::listen(listener, move |stream| {
+    let accept = frame_connection::listen(listener, move |stream| {
         let link = here
             .control_node
             .borrow_mut()
             .link_accepted(here.clock.now());
-        let (way, outgoing) = socket::way();
+        let (way, outgoing) = frame_connection::frame_channel();
         here.links.borrow_mut().insert(link, way);
         let runtime = here.clone();
         let run = async move { run_link(&runtime, link, &stream, &outgoing).await };
@@ -176,23 +182,23 @@
     runtime: &Runtime<'_>,
     link: u64,
     stream: &Async<TcpStream>,
-    outgoing: &socket::Outgoing,
+    outgoing: &frame_connection::FrameReceiver,
 ) {
     runtime.tell(Input::LinkOpened { link });
     let told = |frame: PeerFrame| runtime.tell(Input::LinkFrame { link, frame });
-    socket::carry(stream, outgoing, told).await;
+    frame_connection::run(stream, outgoing, told).await;
     runtime.links.borrow_mut().remove(&link);
     runtime.tell(Input::LinkClosed { link });
 }
 
 fn spawn_sessions(runtime: &Rc<Runtime<'_>>, listener: Async<TcpListener>) {
     let here = runtime.clone();
-    let accept = socket::listen(listener, move |stream| {
+    let accept = frame_connection::listen(listener, move |stream| {
         let session = here
             .control_node
             .borrow_mut()
             .session_accepted(here.clock.now());
-        let (way, outgoing) = socket::way();
+        let (way, outgoing) = frame_connection::frame_channel();
         here.sessions.borrow_mut().insert(session, way);
         let runtime = here.clone();
         let run = async move { run_session(&runtime, session, &stream, &outgoing).await };
@@ -206,10 +212,10 @@
     runtime: &Runtime<'_>,
     session: u64,
     stream: &Async<TcpStream>,
-    outgoing: &socket::Outgoing,
+    outgoing: &frame_connection::FrameReceiver,
 ) {
     let told = |frame: ToControl| runtime.tell(Input::SessionFrame { session, frame });
-    socket::carry(stream, outgoing, told).await;
+    frame_connection::run(stream, outgoing, told).await;
     runtime.sessions.borrow_mut().remove(&session);
     runtime.tell(Input::SessionClosed { session });
 }
--- a/crates/sandtrack-control/src/program/runtime.rs
+++ b/crates/sandtrack-control/src/program/runtime.rs
@@ -1,9 +1,9 @@
 //! What the loop and the tasks of the process share.
-use crate::control::Reply;
-use crate::disk;
+use crate::frame_connection::FrameSender;
 use crate::node::{ControlNode, Input};
-use crate::platform::Fetch;
-use crate::socket::Way;
+use crate::operator_api::Reply;
+use crate::platform_client::Fetch;
+use crate::wal_writer;
 use async_executor::LocalExecutor;
 use sandtrack_net::byte_budget::ByteBudget;
 use sandtrack_net::socket::Clock;
@@ -22,15 +22,15 @@
     /// Decides everything.
     pub control_node: RefCell<ControlNode>,
     /// Open links with other control nodes, by number.
-    pub links: RefCell<HashMap<u64, Way>>,
+    pub links: RefCell<HashMap<u64, FrameSender>>,
     /// Open sessions of proxies, by number.
-    pub sessions: RefCell<HashMap<u64, Way>>,
+    pub sessions: RefCell<HashMap<u64, FrameSender>>,
     /// Operators that wait for an answer, by the number of the call.
     pub calls: RefCell<HashMap<u64, async_channel::Sender<Reply>>>,
     /// What the calls of operators and of the directory's clients may take together.
     pub calls_memory: ByteBudget,
     /// To the thread that writes the WAL; none where there is no data directory.
-    pub disk: Option<async_channel::Sender<disk::Order>>,
+    pub disk: Option<async_channel::Sender<wal_writer::WalRequest>>,
     /// To the task that calls the platform.
     pub fetches: async_channel::Sender<Fetch>,
     /// Address of the platform.
--- a/crates/sandtrack-control/src/prompt_relay.rs
+++ b/crates/sandtrack-control/src/prompt_relay.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// It is passed on this often at most, in ms: far less than an upstream takes to read a long prompt.
-const EVERY_MS: Millis = 20.0;
-/// So many are passed on at once at most, the largest first: with [`EVERY_MS`] and 12 bytes each, 2.4 kB/s to each proxy.
-const AT_ONCE_MOST: usize = 4;
+const RELAY_INTERVAL_MS: Millis = 20.0;
+/// So many are passed on at once at most, the largest first: with [`RELAY_INTERVAL_MS`] and 12 bytes each, 2.4 kB/s to each proxy.
+const MAX_PROMPTS_PER_RELAY: usize = 4;
 
 /// What waits to be passed on.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
 
 /// What is to be passed on now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Passed {
+pub struct DuePrompts {
     /// To all other control nodes.
     pub to_peers: Vec<PromptSent>,
     /// To each session that is not named in `to_session`.
@@ -48,12 +48,12 @@
     }
 
     /// Takes what is to be passed on, if it is time.
-    pub fn take_due(&mut self, now: Millis) -> Option<Passed> {
+    pub fn take_due(&mut self, now: Millis) -> Option<DuePrompts> {
         self.next_due().filter(|due| now >= *due)?;
-        self.next = now + EVERY_MS;
+        self.next = now + RELAY_INTERVAL_MS;
         self.own
             .sort_unstable_by_key(|(_, sent)| std::cmp::Reverse(sent.tokens));
-        self.own.truncate(AT_ONCE_MOST);
+        self.own.truncate(MAX_PROMPTS_PER_RELAY);
         let others = std::mem::take(&mut self.others)
             .into_iter()
             .map(|sent| (None, sent));
@@ -64,7 +64,7 @@
             .chain(others)
             .collect();
         all.sort_by_key(|(_, sent)| std::cmp::Reverse(sent.tokens));
-        all.truncate(AT_ONCE_MOST);
+        all.truncate(MAX_PROMPTS_PER_RELAY);
         let except = |session: u64| -> Vec<PromptSent> {
             all.iter()
                 .filter(|(of, _)| *of != Some(session))
@@ -72,7 +72,7 @@
                 .collect()
         };
         let told: Vec<u64> = all.iter().filter_map(|(session, _)| *session).collect();
-        Some(Passed {
+        Some(DuePrompts {
             to_peers: own.iter().map(|(_, sent)| *sent).collect(),
             to_session: told
                 .into_iter()
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -1,10 +1,10 @@
 //! The proxies' sessions: what each was told, and what it is to be told next. It owns the order of the frames of a session;
 //! it must never tell what is not committed, nor touch a socket.
-use crate::control_state::ControlState;
 use crate::membership::Membership;
 use crate::peers::Hello;
-use crate::prompt_relay::Passed;
-use crate::upstreams::{Excerpt, Upstreams};
+use crate::prompt_relay::DuePrompts;
+use crate::state_machine::ControlState;
+use crate::upstreams::{EndpointUpdate, Upstreams};
 use crate::Millis;
 use sandtrack_protocol::frames::{self, ProxyInfo, ToProxy};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 struct Session {
     info: Option<ProxyInfo>,
-    heard: Millis,
+    last_heard: Millis,
     /// Number of the configuration that it has; of the evacuations; place in the list.
     configuration: Option<u64>,
     evacuation: Option<u64>,
@@ -32,7 +32,7 @@
 
 /// The newest of what is told to all sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ToldUpTo {
+struct Positions {
     /// Number of the configuration.
     configuration: u64,
     /// Number of the evacuations.
@@ -43,19 +43,19 @@
     list_is_known: bool,
 }
 
-impl ToldUpTo {
-    fn of(news: &News<'_>) -> ToldUpTo {
-        ToldUpTo {
-            configuration: news.control_state.configuration_number(),
-            evacuation: news.control_state.evacuation_number(),
-            list: news.upstreams.end(),
-            list_is_known: news.upstreams.round() > 0,
+impl Positions {
+    fn of(shared: &SharedState<'_>) -> Positions {
+        Positions {
+            configuration: shared.control_state.configuration_number(),
+            evacuation: shared.control_state.evacuation_number(),
+            list: shared.upstreams.end(),
+            list_is_known: shared.upstreams.polls() > 0,
         }
     }
 }
 
 /// What is told to all sessions alike.
-pub struct News<'a> {
+pub struct SharedState<'a> {
     /// The committed state.
     pub control_state: &'a ControlState,
     /// The platform's list.
@@ -65,9 +65,9 @@
     /// This control node hears a majority and has caught up.
     pub attached: bool,
     /// Configurations and evacuations may be told: contact with a majority was confirmed within the lease.
-    pub may_feed: bool,
+    pub may_push: bool,
     /// It is known how many proxies there are.
-    pub settled: bool,
+    pub knows_all_proxies: bool,
 }
 
 /// The sessions, and what each was told.
@@ -81,20 +81,20 @@
     /// Those from which a configuration or evacuations are held back until contact with a majority is confirmed.
     held_back: BTreeSet<u64>,
     next_session: u64,
-    next_beat: Millis,
+    next_heartbeat: Millis,
     next_census: Millis,
     /// What all were told up to: where nothing changed nothing is looked through.
-    told: ToldUpTo,
-    census_round: u64,
+    sent_to_all: Positions,
+    census_revision: u64,
     /// The whole configuration as a frame, by its number.
-    whole: Option<(u64, Bytes)>,
+    configuration_frame: Option<(u64, Bytes)>,
     /// Members when this control node was attached last: alone, it would take the others for gone.
     proxies: u32,
 }
 
 /// What the program is to do with a session.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SessionOrder {
+pub enum SessionAction {
     Send { session: u64, bytes: Bytes },
     Close { session: u64 },
 }
@@ -115,10 +115,10 @@
 
     /// Brings it up to the committed state. Frames that others get as well are made once: `whole`, `changes` (by the
     /// number that they lead from) and `evacuated`.
-    fn tell_state(
+    fn push_state(
         &mut self,
         control_state: &ControlState,
-        whole: &mut Option<(u64, Bytes)>,
+        configuration_frame: &mut Option<(u64, Bytes)>,
         changes: &mut BTreeMap<u64, Option<Bytes>>,
         evacuated: &mut Option<Bytes>,
         send: &mut impl FnMut(Bytes),
@@ -128,10 +128,12 @@
             let changed = self.configuration.and_then(|from| {
                 changes
                     .entry(from)
-                    .or_insert_with(|| steps(control_state, from))
+                    .or_insert_with(|| change_frames(control_state, from))
                     .clone()
             });
-            if let Some(bytes) = changed.or_else(|| whole_of(whole, control_state)) {
+            if let Some(bytes) =
+                changed.or_else(|| configuration_bytes(configuration_frame, control_state))
+            {
                 send(bytes);
             }
             self.configuration = Some(configuration);
@@ -141,7 +143,7 @@
         if ordered && self.evacuation != Some(evacuation) {
             self.evacuation = Some(evacuation);
             let frame = evacuated.get_or_insert_with(|| {
-                let zones = control_state.evacuated().map(str::to_owned).collect();
+                let zones = control_state.evacuated_zones().map(str::to_owned).collect();
                 bytes(&ToProxy::Evacuated {
                     number: evacuation,
                     zones,
@@ -159,7 +161,7 @@
         self.sessions.insert(
             self.next_session,
             Session {
-                heard: now,
+                last_heard: now,
                 ..Session::default()
             },
         );
@@ -167,23 +169,23 @@
     }
 
     /// Something came over a session; whose it is, where it said so.
-    pub fn heard(&mut self, now: Millis, session: u64) -> Option<&ProxyInfo> {
+    pub fn frame_received(&mut self, now: Millis, session: u64) -> Option<&ProxyInfo> {
         let session = self.sessions.get_mut(&session)?;
-        session.heard = now;
+        session.last_heard = now;
         session.info.as_ref()
     }
 
     /// A proxy says who it is: it takes the place of an earlier session of the same name, which is closed.
-    pub fn hello(&mut self, session: u64, info: ProxyInfo, orders: &mut Vec<SessionOrder>) {
+    pub fn hello(&mut self, session: u64, info: ProxyInfo, actions: &mut Vec<SessionAction>) {
         if let Some(before) = self.names.insert(info.node_name.clone(), session) {
             if before != session && self.sessions.remove(&before).is_some() {
-                orders.push(SessionOrder::Close { session: before });
+                actions.push(SessionAction::Close { session: before });
             }
         }
         if let Some(known) = self.sessions.get_mut(&session) {
             known.info = Some(info);
             self.pending.insert(session);
-            self.census_round = u64::MAX;
+            self.census_revision = u64::MAX;
         }
     }
 
@@ -207,10 +209,10 @@
     }
 
     /// This process did not run for a while: what proxies said meanwhile is still to be read.
-    pub fn woke(&mut self, now: Millis) {
+    pub fn resumed(&mut self, now: Millis) {
         self.sessions
             .values_mut()
-            .for_each(|session| session.heard = now);
+            .for_each(|session| session.last_heard = now);
     }
 
     /// Ends silent sessions, and beats on the others.
@@ -218,33 +220,33 @@
         &mut self,
         now: Millis,
         attached: bool,
-        orders: &mut Vec<SessionOrder>,
+        actions: &mut Vec<SessionAction>,
     ) -> Vec<ProxyInfo> {
         let silence = frames::SESSION_TIMEOUT_MS as Millis;
         let silent: Vec<u64> = self
             .sessions
             .iter()
-            .filter(|(_, session)| now - session.heard > silence)
+            .filter(|(_, session)| now - session.last_heard > silence)
             .map(|(number, _)| *number)
             .collect();
         let mut gone = Vec::new();
         for session in silent {
-            orders.push(SessionOrder::Close { session });
+            actions.push(SessionAction::Close { session });
             gone.extend(self.closed(session));
         }
-        if now >= self.next_beat {
-            self.next_beat = now + frames::HEARTBEAT_INTERVAL_MS as Millis;
-            self.to_all(&ToProxy::Heartbeat { attached }, orders);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + frames::HEARTBEAT_INTERVAL_MS as Millis;
+            self.broadcast(&ToProxy::Heartbeat { attached }, actions);
         }
         gone
     }
 
     /// Tells all of them.
-    pub fn to_all(&self, frame: &ToProxy, orders: &mut Vec<SessionOrder>) {
+    pub fn broadcast(&self, frame: &ToProxy, actions: &mut Vec<SessionAction>) {
         let bytes = bytes(frame);
         for (session, known) in &self.sessions {
             if known.welcomed {
-                orders.push(SessionOrder::Send {
+                actions.push(SessionAction::Send {
                     session: *session,
                     bytes: bytes.clone(),
                 });
@@ -253,16 +255,16 @@
     }
 
     /// Tells each which long prompts others sent.
-    pub fn pass_on(&self, passed: &Passed, orders: &mut Vec<SessionOrder>) {
-        let to_others = bytes(&ToProxy::PromptsSent(passed.to_sessions.clone()));
+    pub fn relay_prompts(&self, due: &DuePrompts, actions: &mut Vec<SessionAction>) {
+        let to_others = bytes(&ToProxy::PromptsSent(due.to_sessions.clone()));
         let welcomed = self.sessions.iter().filter(|(_, known)| known.welcomed);
         for session in welcomed.map(|(session, _)| session) {
-            let bytes = match passed.to_session.get(session) {
+            let bytes = match due.to_session.get(session) {
                 Some(sent) if sent.is_empty() => continue,
                 Some(sent) => bytes(&ToProxy::PromptsSent(sent.clone())),
                 None => to_others.clone(),
             };
-            orders.push(SessionOrder::Send {
+            actions.push(SessionAction::Send {
                 session: *session,
                 bytes,
             });
@@ -270,18 +272,20 @@
     }
 
     /// Closes all: they go elsewhere.
-    pub fn close_all(&mut self, orders: &mut Vec<SessionOrder>) {
-        orders.extend(
+    pub fn close_all(&mut self, actions: &mut Vec<SessionAction>) {
+        actions.extend(
             self.sessions
                 .keys()
-                .map(|session| SessionOrder::Close { session: *session }),
+                .map(|session| SessionAction::Close { session: *session }),
         );
         self.sessions.clear();
         self.names.clear();
     }
 
-    fn census_due(&self, now: Millis, membership: &Membership, settled: bool) -> bool {
-        settled && now >= self.next_census && self.census_round != membership.round()
+    fn census_due(&self, now: Millis, membership: &Membership, knows_all_proxies: bool) -> bool {
+        knows_all_proxies
+            && now >= self.next_census
+            && self.census_revision != membership.revision()
     }
 
     /// Whether some session is to get a configuration or evacuations that it was not told yet.
@@ -290,37 +294,37 @@
     }
 
     /// Whether there is anything to tell.
-    pub fn is_due(&self, now: Millis, news: &News<'_>) -> bool {
+    pub fn is_due(&self, now: Millis, shared: &SharedState<'_>) -> bool {
         let new = !self.pending.is_empty()
-            || news.may_feed && self.is_holding_back()
-            || ToldUpTo::of(news) != self.told;
-        new || self.census_due(now, news.membership, news.settled)
+            || shared.may_push && self.is_holding_back()
+            || Positions::of(shared) != self.sent_to_all;
+        new || self.census_due(now, shared.membership, shared.knows_all_proxies)
     }
 
     /// Brings each session up to what is committed and known.
-    pub fn tell(
+    pub fn push_updates(
         &mut self,
         now: Millis,
         me: &Hello,
         others: &[&Hello],
-        news: &News<'_>,
-        orders: &mut Vec<SessionOrder>,
+        shared: &SharedState<'_>,
+        actions: &mut Vec<SessionAction>,
     ) {
-        let newest = ToldUpTo::of(news);
-        let census = self.census_due(now, news.membership, news.settled);
-        if newest != self.told {
+        let newest = Positions::of(shared);
+        let census = self.census_due(now, shared.membership, shared.knows_all_proxies);
+        if newest != self.sent_to_all {
             self.pending = self.sessions.keys().copied().collect();
-            self.told = newest;
+            self.sent_to_all = newest;
         }
         let mut pending = std::mem::take(&mut self.pending);
-        if news.may_feed {
+        if shared.may_push {
             pending.append(&mut self.held_back);
         }
         let mut lists: BTreeMap<Option<u64>, Bytes> = BTreeMap::new();
         let mut changes: BTreeMap<u64, Option<Bytes>> = BTreeMap::new();
         let Sessions {
             sessions,
-            whole,
+            configuration_frame,
             held_back,
             ..
         } = self;
@@ -333,7 +337,7 @@
                 continue;
             };
             let mut send = |bytes: Bytes| {
-                orders.push(SessionOrder::Send {
+                actions.push(SessionAction::Send {
                     session: *number,
                     bytes,
                 })
@@ -343,42 +347,42 @@
                 send(bytes(&ToProxy::Welcome {
                     format: frames::FORMAT,
                     control_node: me.node_name.clone(),
-                    attached: news.attached,
+                    attached: shared.attached,
                 }));
             }
-            if news.may_feed {
-                session.tell_state(
-                    news.control_state,
-                    whole,
+            if shared.may_push {
+                session.push_state(
+                    shared.control_state,
+                    configuration_frame,
                     &mut changes,
                     &mut evacuated,
                     &mut send,
                 );
-            } else if session.lacks(news.control_state) {
+            } else if session.lacks(shared.control_state) {
                 held_back.insert(*number);
             }
-            if news.upstreams.round() > 0 && session.list != Some(news.upstreams.end()) {
+            if shared.upstreams.polls() > 0 && session.list != Some(shared.upstreams.end()) {
                 let frame = lists.entry(session.list).or_insert_with(|| {
-                    let Excerpt {
-                        whole,
-                        round,
+                    let EndpointUpdate {
+                        is_complete,
+                        poll,
                         entries,
-                        gone,
-                    } = news.upstreams.excerpt_since(now, session.list);
+                        removed,
+                    } = shared.upstreams.update_since(now, session.list);
                     bytes(&ToProxy::Upstreams {
-                        is_complete: whole,
-                        poll: round,
+                        is_complete,
+                        poll,
                         entries,
-                        removed: gone,
+                        removed,
                     })
                 });
                 send(frame.clone());
-                session.list = Some(news.upstreams.end());
+                session.list = Some(shared.upstreams.end());
             }
         }
         // Nobody is told of a share in what holds over all before all are known.
         if census {
-            self.census(now, me, others, news, orders);
+            self.census(now, me, others, shared, actions);
         }
     }
 
@@ -388,10 +392,10 @@
         now: Millis,
         me: &Hello,
         others: &[&Hello],
-        news: &News<'_>,
-        orders: &mut Vec<SessionOrder>,
+        shared: &SharedState<'_>,
+        actions: &mut Vec<SessionAction>,
     ) {
-        let members = news.membership.members();
+        let members = shared.membership.members();
         let ranks: BTreeMap<&str, u32> = members
             .keys()
             .enumerate()
@@ -399,7 +403,7 @@
             .collect();
         let count = members.len() as u32;
         // Cut off from the others, it does not hear of members that are there all the same: their shares stay theirs.
-        self.proxies = if news.attached {
+        self.proxies = if shared.attached {
             count
         } else {
             self.proxies.max(count)
@@ -416,19 +420,19 @@
                 rank,
             };
             if session.census.as_ref() != Some(&frame) {
-                orders.push(SessionOrder::Send {
+                actions.push(SessionAction::Send {
                     session: *number,
                     bytes: bytes(&frame),
                 });
                 session.census = Some(frame);
             }
         }
-        (self.census_round, self.next_census) = (news.membership.round(), now + CENSUS_MS);
+        (self.census_revision, self.next_census) = (shared.membership.revision(), now + CENSUS_MS);
     }
 
     /// Who is there changed in another way than by sessions.
-    pub fn census_again(&mut self) {
-        self.census_round = u64::MAX;
+    pub fn invalidate_census(&mut self) {
+        self.census_revision = u64::MAX;
     }
 }
 
@@ -442,7 +446,7 @@
     all.into_iter().map(|hello| hello.session.clone()).collect()
 }
 
-fn steps(control_state: &ControlState, from: u64) -> Option<Bytes> {
+fn change_frames(control_state: &ControlState, from: u64) -> Option<Bytes> {
     let frames = control_state.changes_since(from)?;
     Some(
         frames
@@ -453,10 +457,13 @@
     )
 }
 
-fn whole_of(kept: &mut Option<(u64, Bytes)>, control_state: &ControlState) -> Option<Bytes> {
+fn configuration_bytes(
+    cached: &mut Option<(u64, Bytes)>,
+    control_state: &ControlState,
+) -> Option<Bytes> {
     let number = control_state.configuration_number();
-    if kept.as_ref().is_none_or(|(known, _)| *known != number) {
-        *kept = Some((number, bytes(&control_state.whole()?)));
+    if cached.as_ref().is_none_or(|(known, _)| *known != number) {
+        *cached = Some((number, bytes(&control_state.configuration_frame()?)));
     }
-    kept.as_ref().map(|(_, bytes)| bytes.clone())
+    cached.as_ref().map(|(_, bytes)| bytes.clone())
 }
--- /dev/null
+++ b/crates/sandtrack-control/src/state_machine/control_state.rs
@@ -0,0 +1,299 @@
+//! The replicated state: the configuration, the evacuated zones, and digests of the configurations accepted last.
+use super::accepted_configurations::{AcceptedConfigurations, Digest};
+use super::commands::{ChangeKind, Command, Outcome, Query, QueryResult};
+use super::evacuations::Evacuations;
+use super::recent_changes::RecentChanges;
+use super::snapshot::{self, SnapshotBase, SnapshotExtension};
+use sandtrack_invariants::{check, Invariant};
+use sandtrack_protocol::codes;
+use sandtrack_protocol::configuration::Configuration;
+use sandtrack_protocol::document::{ConfigurationError, Document, Update};
+use sandtrack_protocol::frames::ToProxy;
+use sandtrack_replication::StateMachine;
+use simd_json::prelude::*;
+use simd_json::OwnedValue;
+
+/// Lists that every document has.
+const REQUIRED_LISTS: [&str; 2] = ["routes", "services"];
+/// The document's field for its version.
+const VERSION_FIELD: &str = "version_number";
+
+/// What operators change. See [`StateMachine`] for how it is replicated.
+#[derive(Clone, Debug, Default)]
+pub struct ControlState {
+    document: Document,
+    /// Number of the command that made the configuration what it is.
+    configuration_number: u64,
+    accepted: AcceptedConfigurations,
+    evacuations: Evacuations,
+    recent_changes: RecentChanges,
+}
+
+impl ControlState {
+    /// Version of the configuration; 0 before the first.
+    pub fn version(&self) -> u64 {
+        self.document.version
+    }
+
+    /// Number of the command that made the configuration what it is; 0 before the first.
+    pub fn configuration_number(&self) -> u64 {
+        self.configuration_number
+    }
+
+    /// Number of the command that last changed which zones are evacuated; 0 before the first.
+    pub fn evacuation_number(&self) -> u64 {
+        self.evacuations.last_change()
+    }
+
+    /// The zones that are evacuated.
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
+        self.evacuations.zones()
+    }
+
+    /// Number of the last order for a zone; 0 where there was none. A call that is read now carries it in its command.
+    pub fn last_order(&self, zone: &str) -> u64 {
+        self.evacuations.last_order(zone)
+    }
+
+    /// The version that a command made, if it is among the configurations accepted last.
+    pub fn accepted_version(&self, command: &Command) -> Option<u64> {
+        match command {
+            Command::Configure {
+                kind,
+                based_on,
+                body,
+            } => self.accepted.version_of(*kind, *based_on, body),
+            _ => None,
+        }
+    }
+
+    /// Whether there ever was an order for the zone.
+    pub fn knows_zone(&self, zone: &str) -> bool {
+        self.evacuations.has_order_for(zone)
+    }
+
+    /// The frame with the complete configuration; `None` before the first.
+    pub fn configuration_frame(&self) -> Option<ToProxy> {
+        (self.configuration_number > 0).then(|| ToProxy::Configuration {
+            number: self.configuration_number,
+            version: self.document.version,
+            document: self.document.to_json(),
+        })
+    }
+
+    /// The frames that lead from the configuration of number `from` to this one; `None` where that change is too old.
+    pub fn changes_since(&self, from: u64) -> Option<Vec<ToProxy>> {
+        self.recent_changes.frames_since(from)
+    }
+
+    /// Whether a document is valid by itself, whatever the current configuration is.
+    ///
+    /// # Errors
+    /// What makes it invalid.
+    pub fn check(body: &[u8]) -> Result<(), ConfigurationError> {
+        Configuration::read(&Document::parse(body)?).map(drop)
+    }
+
+    fn configure(
+        &mut self,
+        number: u64,
+        kind: ChangeKind,
+        based_on: u64,
+        body: &[u8],
+        digest: Digest,
+    ) -> Outcome {
+        if let Some(version) = self.accepted.version_of(kind, based_on, body) {
+            return Outcome::Accepted { version };
+        }
+        let next = match self.next_document(kind, body) {
+            Ok(next) => next,
+            Err(invalid) => return invalid.into(),
+        };
+        // Before the checks of the new document: an update based on another version may be valid there and not here, and
+        // its caller has to learn of the conflict.
+        if based_on != self.document.version {
+            return match self.accepted.may_have_forgotten(based_on) {
+                true => Outcome::Unknown,
+                false => Outcome::VersionConflict {
+                    current: self.document.version,
+                },
+            };
+        }
+        let next = match self.check_next(next) {
+            Ok(next) => next,
+            Err(invalid) => return invalid.into(),
+        };
+        let version = next.version;
+        let rises = version > self.document.version && number > self.configuration_number;
+        check(Invariant::VersionRises, rises, || {
+            format!("{version} behind {}", self.document.version)
+        });
+        let from_number = self.configuration_number;
+        self.recent_changes
+            .record(from_number, &self.document, number, &next);
+        (self.document, self.configuration_number) = (next, number);
+        self.accepted.push(version, digest);
+        Outcome::Accepted { version }
+    }
+
+    fn next_document(&self, kind: ChangeKind, body: &[u8]) -> Result<Document, ConfigurationError> {
+        match kind {
+            ChangeKind::Replace => Document::parse(body),
+            ChangeKind::Update => Update::parse(body).map(|update| self.document.updated(&update)),
+        }
+    }
+
+    /// Checks a document that is to replace the current one, and gives it as it is read back.
+    fn check_next(&self, next: Document) -> Result<Document, ConfigurationError> {
+        let next = as_read_back(next)?;
+        Configuration::read(&next)?;
+        if next.version <= self.document.version {
+            let place = format!(
+                "version_number {}, current {}",
+                next.version, self.document.version
+            );
+            return Err(ConfigurationError::new(codes::VERSION_NOT_ABOVE, place));
+        }
+        Ok(next)
+    }
+
+    fn execute(&mut self, number: u64, command: Command) -> Outcome {
+        match command {
+            Command::Replace { based_on, body } => {
+                self.configure_format_1(number, ChangeKind::Replace, based_on, &body)
+            }
+            Command::Update { based_on, body } => {
+                self.configure_format_1(number, ChangeKind::Update, based_on, &body)
+            }
+            Command::Evacuate { zone, begin } => {
+                self.evacuations.set_format_1(number, zone, begin);
+                Outcome::Accepted {
+                    version: self.document.version,
+                }
+            }
+            Command::Configure {
+                kind,
+                based_on,
+                body,
+            } => {
+                let digest = Digest::sha256(kind, based_on, &body);
+                self.configure(number, kind, based_on, &body, digest)
+            }
+            Command::SetEvacuation { zone, begin, seen } => {
+                match self.evacuations.set(number, zone, begin, seen) {
+                    Ok(()) => Outcome::Accepted {
+                        version: self.document.version,
+                    },
+                    Err(overtaken) => overtaken,
+                }
+            }
+        }
+    }
+
+    fn configure_format_1(
+        &mut self,
+        number: u64,
+        kind: ChangeKind,
+        based_on: u64,
+        body: &[u8],
+    ) -> Outcome {
+        let digest = Digest::fnv(kind, based_on, body);
+        self.configure(number, kind, based_on, body, digest)
+    }
+}
+
+/// A document as proxies and restoring replicas parse it from its JSON text. An update can lead to one whose text parses as
+/// another document, or not at all.
+fn as_read_back(document: Document) -> Result<Document, ConfigurationError> {
+    if document.list(VERSION_FIELD).is_some() {
+        return Err(ConfigurationError::new(
+            codes::CONFIGURATION_FIELD,
+            VERSION_FIELD,
+        ));
+    }
+    if reads_back_as_it_is(&document) {
+        return Ok(document);
+    }
+    Document::parse(document.to_json().as_bytes())
+}
+
+/// Whether the JSON text of a document certainly parses as the same document. It is a cheap check, made for each change.
+fn reads_back_as_it_is(document: &Document) -> bool {
+    let reads_as_list = |value: &OwnedValue| {
+        value
+            .as_array()
+            .is_some_and(|items| items.iter().all(|item| item.as_object().is_some()))
+    };
+    REQUIRED_LISTS
+        .iter()
+        .all(|list| document.list(list).is_some())
+        && !document
+            .fields
+            .iter()
+            .any(|(_, value)| reads_as_list(value))
+}
+
+impl StateMachine for ControlState {
+    fn apply(&mut self, number: u64, command: &[u8]) -> Vec<u8> {
+        let outcome = match borsh::from_slice(command) {
+            Ok(command) => self.execute(number, command),
+            // A command of a later program: every replica gives the same outcome.
+            Err(error) => Outcome::Invalid {
+                code: codes::BAD_CALL.0,
+                place: "command".to_owned(),
+                what: error.to_string(),
+            },
+        };
+        borsh::to_vec(&outcome).unwrap_or_default()
+    }
+
+    fn query(&self, question: &[u8]) -> Vec<u8> {
+        let answer: QueryResult = match borsh::from_slice(question) {
+            Ok(Query::Configuration) => {
+                (self.configuration_number > 0).then(|| self.document.to_json())
+            }
+            Ok(Query::Liveness) | Err(_) => None,
+        };
+        borsh::to_vec(&answer).unwrap_or_default()
+    }
+
+    fn snapshot(&self) -> Vec<u8> {
+        let document = match self.configuration_number {
+            0 => String::new(),
+            _ => self.document.to_json(),
+        };
+        let base = SnapshotBase {
+            document,
+            configuration_number: self.configuration_number,
+            evacuation_number: self.evacuations.last_change(),
+            accepted: self.accepted.fnv_records(),
+            evacuated: self.evacuations.zones().map(str::to_owned).collect(),
+        };
+        let extension = SnapshotExtension::Format2 {
+            accepted: self.accepted.sha256_records(),
+            orders: self.evacuations.orders().clone(),
+        };
+        borsh::to_vec(&(base, extension)).unwrap_or_default()
+    }
+
+    fn restore(&mut self, snapshot: &[u8]) -> bool {
+        let Some((base, sha256_records, orders)) = snapshot::parse(snapshot) else {
+            return false;
+        };
+        let document = match base.configuration_number {
+            0 => Ok(Document::default()),
+            _ => Document::parse(base.document.as_bytes()),
+        };
+        let Ok(document) = document else {
+            return false;
+        };
+        *self = ControlState {
+            document,
+            configuration_number: base.configuration_number,
+            accepted: AcceptedConfigurations::restored(base.accepted, sha256_records),
+            evacuations: Evacuations::restored(base.evacuated, base.evacuation_number, orders),
+            recent_changes: RecentChanges::default(),
+        };
+        true
+    }
+}
--- a/crates/sandtrack-control/src/evacuations.rs
+++ b/crates/sandtrack-control/src/state_machine/evacuations.rs
@@ -1,6 +1,6 @@
 //! Which zones are evacuated, and the number of the last order for each: an order that was overtaken on its way takes no
 //! effect. Pure; part of the control state.
-use crate::commands::Outcome;
+use crate::state_machine::Outcome;
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,7 +57,7 @@
     }
 
     /// Number of the command that last changed which zones are evacuated; 0 before the first.
-    pub fn changed(&self) -> u64 {
+    pub fn last_change(&self) -> u64 {
         self.changed
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Whether there ever was an order for the zone.
-    pub fn names(&self, zone: &str) -> bool {
+    pub fn has_order_for(&self, zone: &str) -> bool {
         self.orders.by_zone.contains_key(zone) || self.zones.contains(zone)
     }
 
--- a/crates/sandtrack-control/src/upstreams.rs
+++ b/crates/sandtrack-control/src/upstreams.rs
@@ -1,30 +1,30 @@
 //! The upstreams as the platform's list shows them. It owns the table and the journal of what changed in it; it must never
 //! ask the platform.
-use crate::journal::Journal;
-pub use crate::peer_frames::Excerpt;
+use crate::event_log::EventLog;
+pub use crate::peer_frames::EndpointUpdate;
 use crate::peer_frames::{Digest, Fnv};
 use crate::Millis;
 use sandtrack_protocol::frames::UpstreamEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-const EVENTS_KEPT: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 /// Remaining times that differ by less than this, in ms, are the same time: the list tells them at different ages.
-const SAME_MS: Millis = 600.0;
+const TIME_TOLERANCE_MS: Millis = 600.0;
 
 /// An upstream, with its remaining times as moments of the steady clock.
 #[derive(Clone, Debug, PartialEq)]
-struct Kept {
+struct TrackedUpstream {
     entry: UpstreamEntry,
     cold_until: Millis,
     ends: Option<Millis>,
 }
 
-impl Kept {
-    fn new(entry: UpstreamEntry, at: Millis) -> Kept {
+impl TrackedUpstream {
+    fn new(entry: UpstreamEntry, at: Millis) -> TrackedUpstream {
         let cold_until = at + f64::from(entry.slow_start_remaining_ms);
         let ends = entry.time_left_ms.map(|left| at + f64::from(left));
-        Kept {
+        TrackedUpstream {
             entry: UpstreamEntry {
                 slow_start_remaining_ms: 0,
                 time_left_ms: None,
@@ -45,9 +45,9 @@
         }
     }
 
-    fn is_like(&self, other: &Kept, now: Millis) -> bool {
+    fn is_equivalent(&self, other: &TrackedUpstream, now: Millis) -> bool {
         let same = |one: Millis, other: Millis| {
-            (one - other).abs() < SAME_MS || one <= now && other <= now
+            (one - other).abs() < TIME_TOLERANCE_MS || one <= now && other <= now
         };
         let ends = match (self.ends, other.ends) {
             (None, None) => true,
@@ -75,11 +75,11 @@
 /// The upstreams by identifier, with their remaining times as moments of the steady clock.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
-    table: BTreeMap<String, Kept>,
+    table: BTreeMap<String, TrackedUpstream>,
     /// Identifiers of those of which something changed.
-    journal: Journal<String>,
+    event_log: EventLog<String>,
     /// Rises with each reading.
-    round: u64,
+    polls: u64,
     /// Sum of the digests of all.
     sum: u64,
 }
@@ -88,8 +88,8 @@
     fn default() -> Upstreams {
         Upstreams {
             table: BTreeMap::new(),
-            journal: Journal::new(EVENTS_KEPT),
-            round: 0,
+            event_log: EventLog::new(MAX_EVENTS),
+            polls: 0,
             sum: 0,
         }
     }
@@ -98,13 +98,13 @@
 impl Upstreams {
     /// The list shows an upstream; its remaining times count from `at`.
     pub fn set(&mut self, at: Millis, entry: UpstreamEntry) {
-        let kept = Kept::new(entry, at);
+        let kept = TrackedUpstream::new(entry, at);
         if !self
             .table
             .get(&kept.entry.identifier)
-            .is_some_and(|known| known.is_like(&kept, at))
+            .is_some_and(|known| known.is_equivalent(&kept, at))
         {
-            self.journal.append(kept.entry.identifier.clone());
+            self.event_log.append(kept.entry.identifier.clone());
             self.sum = self.sum.wrapping_add(kept.digest());
             let before = self.table.insert(kept.entry.identifier.clone(), kept);
             self.sum = self
@@ -117,76 +117,79 @@
     pub fn remove(&mut self, identifier: &str) {
         if let Some(before) = self.table.remove(identifier) {
             self.sum = self.sum.wrapping_sub(before.digest());
-            self.journal.append(identifier.to_owned());
+            self.event_log.append(identifier.to_owned());
         }
     }
 
-    /// A reading is over, as the `round` before it at least.
-    pub fn reading_ended(&mut self, round: u64) {
-        self.round = self.round.max(round);
-    }
-
-    /// Another control node passes on what it read.
-    pub fn apply(&mut self, now: Millis, excerpt: Excerpt) {
-        if excerpt.whole {
-            let kept: BTreeSet<&str> = excerpt
-                .entries
-                .iter()
-                .map(|entry| entry.identifier.as_str())
-                .collect();
-            let lost: Vec<String> = self
-                .table
-                .keys()
-                .filter(|known| !kept.contains(known.as_str()))
-                .cloned()
-                .collect();
-            lost.iter().for_each(|identifier| self.remove(identifier));
+    /// A reading is over, as the `polls` before it at least.
+    pub fn poll_finished(&mut self, polls: u64) {
+        self.polls = self.polls.max(polls);
+    }
+
+    /// Applies what another control node polled.
+    pub fn apply(&mut self, now: Millis, update: EndpointUpdate) {
+        if update.is_complete {
+            self.remove_all_but(&update.entries);
         }
-        excerpt
-            .gone
+        update
+            .removed
             .iter()
             .for_each(|identifier| self.remove(identifier));
-        excerpt
+        update
             .entries
             .into_iter()
             .for_each(|entry| self.set(now, entry));
-        self.round = self.round.max(excerpt.round);
+        self.poll_finished(update.poll);
+    }
+
+    fn remove_all_but(&mut self, entries: &[UpstreamEntry]) {
+        let listed: BTreeSet<&str> = entries
+            .iter()
+            .map(|entry| entry.identifier.as_str())
+            .collect();
+        let gone: Vec<String> = self
+            .table
+            .keys()
+            .filter(|known| !listed.contains(known.as_str()))
+            .cloned()
+            .collect();
+        gone.iter().for_each(|identifier| self.remove(identifier));
     }
 
     /// Place of the newest event.
     pub fn end(&self) -> u64 {
-        self.journal.end()
+        self.event_log.end()
     }
 
     /// What one is to be told that was told up to `place`; all where it was told nothing yet.
-    pub fn excerpt_since(&self, now: Millis, place: Option<u64>) -> Excerpt {
-        let Some(events) = place.and_then(|place| self.journal.since(place)) else {
+    pub fn update_since(&self, now: Millis, place: Option<u64>) -> EndpointUpdate {
+        let Some(events) = place.and_then(|place| self.event_log.since(place)) else {
             let entries = self.table.values().map(|kept| kept.now(now)).collect();
-            return Excerpt {
-                whole: true,
-                round: self.round,
+            return EndpointUpdate {
+                is_complete: true,
+                poll: self.polls,
                 entries,
-                gone: Vec::new(),
+                removed: Vec::new(),
             };
         };
-        let mut excerpt = Excerpt {
-            whole: false,
-            round: self.round,
+        let mut update = EndpointUpdate {
+            is_complete: false,
+            poll: self.polls,
             entries: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
         };
         for identifier in events.collect::<BTreeSet<&String>>() {
             match self.table.get(identifier) {
-                Some(kept) => excerpt.entries.push(kept.now(now)),
-                None => excerpt.gone.push(identifier.clone()),
+                Some(kept) => update.entries.push(kept.now(now)),
+                None => update.removed.push(identifier.clone()),
             }
         }
-        excerpt
+        update
     }
 
     /// How many readings were heard of; 0: nothing is known.
-    pub fn round(&self) -> u64 {
-        self.round
+    pub fn polls(&self) -> u64 {
+        self.polls
     }
 
     /// What peers compare with theirs.
@@ -203,7 +206,7 @@
     }
 
     /// Whether an upstream is in the zone.
-    pub fn names_zone(&self, zone: &str) -> bool {
+    pub fn knows_zone(&self, zone: &str) -> bool {
         self.table.values().any(|kept| kept.entry.zone == zone)
     }
 
--- a/crates/sandtrack-control/tests/call_log.rs
+++ b/crates/sandtrack-control/tests/call_log.rs
@@ -1,7 +1,7 @@
 //! What is told of operators' calls: each once, with why it was not taken.
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::call_log::CallLog;
-use sandtrack_control::control::{too_late, Reply};
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::operator_api::call_log::CallLog;
+use sandtrack_control::operator_api::responses::{too_old, Reply};
 use sandtrack_protocol::metrics::MetricsText;
 use sandtrack_sidecar_core::message::{Head, Headers, Message};
 
@@ -25,13 +25,13 @@
     let mut log = CallLog::default();
     let begin = call("POST", "/v1/evacuation/kita-hall/begin");
     log.read(1500.0, 4, &begin, Some(Arrival::at(1000.0)));
-    let told = log.answered(1502.0, 4, &too_late()).expect("told");
+    let told = log.answered(1502.0, 4, &too_old()).expect("told");
     let expected = "call 4 (POST /v1/evacuation/kita-hall/begin, 0 bytes; read 500 ms after it was accepted) answered 503 \
         E308 the call may have waited for too long in this process: it was not carried out after 2 ms";
     assert_eq!(told.line, expected);
     assert!(told.is_notable);
     assert_eq!(
-        log.answered(1503.0, 4, &too_late()),
+        log.answered(1503.0, 4, &too_old()),
         None,
         "a call is told once"
     );
@@ -54,7 +54,7 @@
     );
     log.caller_left();
     let mut text = MetricsText::default();
-    log.tell(&mut text);
+    log.write_metrics(&mut text);
     let text = text.into_text();
     for line in [
         "sandtrack_control_calls_total{status=\"200\",code=\"\"} 1",
--- a/crates/sandtrack-control/tests/cluster.rs
+++ b/crates/sandtrack-control/tests/cluster.rs
@@ -5,7 +5,7 @@
 use common::cluster::{upstream, Cluster};
 use common::{good, route};
 use sandtrack_control::node::{Effect, Input};
-use sandtrack_control::sessions::SessionOrder;
+use sandtrack_control::sessions::SessionAction;
 use sandtrack_protocol::frames::{self, ToControl, ToProxy};
 
 const REPLACE: &str = "/v1/configuration/replace";
@@ -215,7 +215,7 @@
         &mut effects,
     );
     assert_eq!(effects.len(), 1, "{effects:?}");
-    let Effect::Session(SessionOrder::Send { bytes, .. }) = &effects[0] else {
+    let Effect::Session(SessionAction::Send { bytes, .. }) = &effects[0] else {
         panic!("{effects:?}")
     };
     let frame = frames::decode::<ToProxy>(bytes)
--- a/crates/sandtrack-control/tests/common/cluster.rs
+++ b/crates/sandtrack-control/tests/common/cluster.rs
@@ -1,12 +1,12 @@
 //! A cluster of control nodes: several of them with links, disks, proxies, callers and a platform, all in one thread on a clock
 //! that is only counted. What is asked of each is carried out after a delay.
 use super::{good, message, settings};
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::control::Reply;
+use sandtrack_control::endpoint_poller::{Page, PageResult};
 use sandtrack_control::node::{ControlNode, Effect, Input, Start};
-use sandtrack_control::peers::{LinkOrder, PeerFrame};
-use sandtrack_control::reader::{Call, Page};
-use sandtrack_control::sessions::SessionOrder;
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::operator_api::Reply;
+use sandtrack_control::peers::{LinkAction, PeerFrame};
+use sandtrack_control::sessions::SessionAction;
 use sandtrack_protocol::frames::{self, ProxyInfo, ProxyState, ToControl, ToProxy, UpstreamEntry};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -230,7 +230,7 @@
         nodes
             .map(|node| {
                 node.control_state()
-                    .evacuated()
+                    .evacuated_zones()
                     .map(str::to_owned)
                     .collect()
             })
@@ -314,7 +314,7 @@
                     }
                 }
                 Effect::Link(order) => self.link_order(number, order),
-                Effect::Session(SessionOrder::Send { session, bytes }) => {
+                Effect::Session(SessionAction::Send { session, bytes }) => {
                     let mut at = 0;
                     while let Some((frame, length)) =
                         frames::decode::<ToProxy>(&bytes[at..]).expect("frames")
@@ -325,7 +325,7 @@
                         }
                     }
                 }
-                Effect::Session(SessionOrder::Close { session }) => {
+                Effect::Session(SessionAction::Close { session }) => {
                     if let Some(name) = self.proxy_of(number, session) {
                         self.later(WAY, Event::ToProxy(name, session, None));
                     }
@@ -347,13 +347,16 @@
                         house.fetches.push(self.now);
                     }
                     let call = match &self.list {
-                        Some(list) => Call::Page(Page {
+                        Some(list) => PageResult::Page(Page {
                             entries: list.clone(),
                             next_token: None,
                         }),
-                        None => Call::Failed("down".to_owned()),
+                        None => PageResult::Failed("down".to_owned()),
                     };
-                    self.later(PLATFORM, Event::Input(number, life, Input::Called(call)));
+                    self.later(
+                        PLATFORM,
+                        Event::Input(number, life, Input::PageFetched(call)),
+                    );
                 }
                 Effect::Exit => {
                     if let Some(house) = self.houses.get_mut(&number) {
@@ -365,10 +368,10 @@
         }
     }
 
-    fn link_order(&mut self, number: usize, order: LinkOrder) {
+    fn link_order(&mut self, number: usize, order: LinkAction) {
         let life = self.life(number);
         match order {
-            LinkOrder::Dial { link, address } => {
+            LinkAction::Dial { link, address } => {
                 let to: usize = address
                     .split('.')
                     .nth(1)
@@ -389,7 +392,7 @@
                     self.later(WAY, Event::Input(number, life, Input::LinkClosed { link }));
                 }
             }
-            LinkOrder::Send { link, frame } => {
+            LinkAction::Send { link, frame } => {
                 if let Some((to, end)) = self.ends.get(&(number, link)).copied() {
                     if let PeerFrame::Replication(message) = &frame {
                         let said = message.to_string();
@@ -417,7 +420,7 @@
                     }
                 }
             }
-            LinkOrder::Close { link } => {
+            LinkAction::Close { link } => {
                 if let Some((to, end)) = self.ends.remove(&(number, link)) {
                     self.ends.remove(&(to, end));
                     if !self.cut.contains(&(number, to)) {
--- a/crates/sandtrack-control/tests/common/mod.rs
+++ b/crates/sandtrack-control/tests/common/mod.rs
@@ -93,7 +93,7 @@
 
 /// Whether an answer says anything of its order. One for a zone whose caller is sent on to another control node does not, as
 /// 503 does not.
-pub fn is_definite(reply: &sandtrack_control::control::Reply) -> bool {
+pub fn is_definite(reply: &sandtrack_control::operator_api::Reply) -> bool {
     let is_sent_on = reply.status == 307
         && reply
             .location
