--- a/crates/sandtrack-control/tests/directory.rs
+++ b/crates/sandtrack-control/tests/directory.rs
@@ -1,8 +1,8 @@
 //! Which proxies clients are sent to: choices as an approved transcript, and what the membership says of who is ready.
 mod common;
 use common::{approve, message};
-use sandtrack_control::directory::{choose, decode, reply, Place};
-use sandtrack_control::membership::{Lost, Member, Membership};
+use sandtrack_control::directory::{choose, decode, reply, ClientLocation};
+use sandtrack_control::membership::{Member, Membership, SessionEnd};
 use sandtrack_control::peers::PeerFrame;
 use sandtrack_protocol::frames::{ProxyInfo, ProxyState};
 
@@ -62,7 +62,7 @@
             .iter()
             .filter(|info| !gone.iter().any(|gone| info.node_name.starts_with(gone)))
             .collect();
-        let place = Place {
+        let place = ClientLocation {
             zone: zone.to_owned(),
             region: region.to_owned(),
         };
@@ -120,7 +120,7 @@
         .map(|at| proxy(&format!("c{at:03}"), "odori", "ishikari"))
         .collect();
     let ready: Vec<&ProxyInfo> = all.iter().collect();
-    let place = Place {
+    let place = ClientLocation {
         zone: "odori".to_owned(),
         region: "ishikari".to_owned(),
     };
@@ -146,15 +146,15 @@
         .expect("a place");
     assert_eq!(
         place,
-        Place {
+        ClientLocation {
             zone: "odori-hall".to_owned(),
             region: "ishikari".to_owned()
         }
     );
-    assert_eq!(decoded("/v1/resolution"), Ok(Place::default()));
+    assert_eq!(decoded("/v1/resolution"), Ok(ClientLocation::default()));
     assert_eq!(
         decoded("/v1/resolution?zone=%zz&region&name="),
-        Ok(Place {
+        Ok(ClientLocation {
             zone: "%zz".to_owned(),
             region: String::new()
         })
@@ -182,9 +182,9 @@
     assert_eq!(ready(&membership, 0.0), "a b c");
     membership.set(member("a", "odori", LEAVING));
     assert_eq!(ready(&membership, 0.0), "b c");
-    membership.gone(0.0, "b", Lost::Broken);
+    membership.session_ended(0.0, "b", SessionEnd::Disconnected);
     assert_eq!(ready(&membership, 0.0), "c");
-    membership.told(
+    membership.apply_sessions(
         0.0,
         "other",
         true,
@@ -196,7 +196,7 @@
         "c e",
         "its own session says more than another's report"
     );
-    membership.told(
+    membership.apply_sessions(
         10.0,
         "other",
         false,
@@ -210,8 +210,8 @@
 fn what_a_silent_control_node_told_holds_for_a_while() {
     let mut membership = Membership::default();
     membership.set(member("a", "odori", READY));
-    membership.told(0.0, "other", true, vec![member("b", "kita", READY)], &[]);
-    membership.lost(1000.0, "other");
+    membership.apply_sessions(0.0, "other", true, vec![member("b", "kita", READY)], &[]);
+    membership.control_node_lost(1000.0, "other");
     let names = |membership: &Membership, now: f64| {
         let ready: Vec<String> = membership
             .ready(now)
@@ -228,7 +228,7 @@
     );
     // It was told to stop, and ends: it is counted no more.
     membership.set(member("a", "odori", LEAVING));
-    membership.gone(3000.0, "a", Lost::Broken);
+    membership.session_ended(3000.0, "a", SessionEnd::Disconnected);
     assert_eq!(
         names(&membership, 3000.0),
         ("b".to_owned(), 1),
@@ -249,9 +249,9 @@
 #[test]
 fn a_proxy_that_came_to_another_control_node_counts_once_as_it_is_there() {
     let mut membership = Membership::default();
-    membership.told(0.0, "one", true, vec![member("a", "odori", READY)], &[]);
-    membership.lost(100.0, "one");
-    membership.told(
+    membership.apply_sessions(0.0, "one", true, vec![member("a", "odori", READY)], &[]);
+    membership.control_node_lost(100.0, "one");
+    membership.apply_sessions(
         400.0,
         "two",
         true,
@@ -263,7 +263,7 @@
         membership.ready(500.0).is_empty(),
         "the later report counts"
     );
-    membership.told(600.0, "one", true, vec![], &[]);
+    membership.apply_sessions(600.0, "one", true, vec![], &[]);
     assert_eq!(membership.members().len(), 1);
 }
 
@@ -272,14 +272,14 @@
     let (mut here, mut there) = (Membership::default(), Membership::default());
     let pass = |here: &Membership, there: &mut Membership, place: Option<u64>| {
         let PeerFrame::Sessions {
-            whole,
+            is_complete,
             present,
-            gone,
+            removed,
         } = here.frame_since(place)
         else {
             panic!("no sessions")
         };
-        there.told(0.0, "here", whole, present, &gone);
+        there.apply_sessions(0.0, "here", is_complete, present, &removed);
         assert_eq!(here.digest(), there.digest_of("here"));
         Some(here.end())
     };
@@ -296,11 +296,11 @@
     ));
     assert_eq!(here.end(), 2, "how much is in hand is nothing to pass on");
     place = pass(&here, &mut there, place);
-    here.gone(0.0, "a", Lost::Broken);
+    here.session_ended(0.0, "a", SessionEnd::Disconnected);
     here.set(member("b", "odori", READY));
     place = pass(&here, &mut there, place);
     here.set(member("c", "odori", LEAVING));
-    here.gone(0.0, "c", Lost::Broken);
+    here.session_ended(0.0, "c", SessionEnd::Disconnected);
     place = pass(&here, &mut there, place);
     let ready = |membership: &Membership| membership.ready(0.0).len();
     assert_eq!(
@@ -316,7 +316,7 @@
         [&"b"],
         "for a while"
     );
-    here.gone(3000.0, "b", Lost::Silent);
+    here.session_ended(3000.0, "b", SessionEnd::TimedOut);
     here.tick(32_999.0);
     place = pass(&here, &mut there, place);
     assert_eq!(there.members().len(), 1, "a silent one for longer");
--- a/crates/sandtrack-control/tests/reader.rs
+++ b/crates/sandtrack-control/tests/endpoint_polling.rs
@@ -1,12 +1,14 @@
 //! Whose duty it is to read the platform's list, and how a reading goes. No platform, no clock.
 mod common;
 use common::approve;
-use sandtrack_control::reader::{Call, Claim, Page, PeerReport, Reader, ReaderElection};
+use sandtrack_control::endpoint_poller::{
+    EndpointPoller, Page, PageResult, PeerReport, PollerElection, PollerLease,
+};
 use sandtrack_control::upstreams::Upstreams;
 use sandtrack_protocol::frames::UpstreamEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn page(names: &[&str], next: Option<&str>) -> Call {
+fn page(names: &[&str], next: Option<&str>) -> PageResult {
     let entry = |name: &&str| UpstreamEntry {
         identifier: (*name).to_owned(),
         service: "lm".to_owned(),
@@ -15,7 +17,7 @@
         slots: 64,
         ..UpstreamEntry::default()
     };
-    Call::Page(Page {
+    PageResult::Page(Page {
         entries: names.iter().map(entry).collect(),
         next_token: next.map(str::to_owned),
     })
@@ -24,7 +26,7 @@
 /// A reader with its table, called for whatever it wants.
 struct Desk {
     now: f64,
-    reader: Reader,
+    reader: EndpointPoller,
     upstreams: Upstreams,
 }
 
@@ -32,7 +34,7 @@
     fn new() -> Desk {
         Desk {
             now: 0.0,
-            reader: Reader::default(),
+            reader: EndpointPoller::default(),
             upstreams: Upstreams::default(),
         }
     }
@@ -48,9 +50,9 @@
         panic!("nothing is ever due");
     }
 
-    fn told(&mut self, call: Call) -> bool {
+    fn told(&mut self, call: PageResult) -> bool {
         self.reader
-            .answered(self.now, false, call, &mut self.upstreams)
+            .page_fetched(self.now, false, call, &mut self.upstreams)
     }
 
     fn known(&self) -> String {
@@ -67,7 +69,7 @@
     assert_eq!(desk.due(), Some("p-2".to_owned()));
     assert_eq!(desk.now, 34.0, "60% of 50 calls a second");
     assert!(desk.told(page(&["c"], None)));
-    assert_eq!(desk.upstreams.round(), 1);
+    assert_eq!(desk.upstreams.polls(), 1);
     assert_eq!(desk.due(), None);
     assert_eq!(desk.now, 400.0, "the next reading");
 }
@@ -104,7 +106,7 @@
     desk.due();
     let mut at = vec![desk.now];
     for _ in 0..4 {
-        assert!(!desk.told(Call::Failed("status 500".to_owned())));
+        assert!(!desk.told(PageResult::Failed("status 500".to_owned())));
         desk.due();
         at.push(desk.now);
     }
@@ -116,7 +118,7 @@
     assert_eq!(desk.now - at[4], 400.0, "all is well again");
     assert!(!desk.told(page(&["a"], Some("p-1"))));
     desk.due();
-    assert!(!desk.told(Call::TooMany));
+    assert!(!desk.told(PageResult::RateLimited));
     assert_eq!(
         desk.due(),
         Some("p-1".to_owned()),
@@ -139,7 +141,7 @@
                 .map_or(0, |token| token.parse().expect("a token"));
             calls += 1;
             if calls % 4 == 0 {
-                assert!(!desk.told(Call::Failed("status 500".to_owned())));
+                assert!(!desk.told(PageResult::Failed("status 500".to_owned())));
                 continue;
             }
             let next = (at + 1 < PAGES).then(|| (at + 1).to_string());
@@ -165,7 +167,7 @@
     desk.told(page(&["a"], Some("p-1")));
     for _ in 0..3 {
         assert_eq!(desk.due(), Some("p-1".to_owned()));
-        desk.told(Call::Failed("status 400".to_owned()));
+        desk.told(PageResult::Failed("status 400".to_owned()));
     }
     assert_eq!(desk.due(), None, "the first page");
 }
@@ -212,11 +214,11 @@
     upstreams.set(800.0, entry(2300, None));
     assert_eq!(upstreams.end(), place, "as it was to be expected");
     assert_eq!(
-        upstreams.excerpt_since(1000.0, None).entries[0].slow_start_remaining_ms,
+        upstreams.update_since(1000.0, None).entries[0].slow_start_remaining_ms,
         2000
     );
     assert_eq!(
-        upstreams.excerpt_since(9000.0, None).entries[0].slow_start_remaining_ms,
+        upstreams.update_since(9000.0, None).entries[0].slow_start_remaining_ms,
         0
     );
     upstreams.set(4000.0, entry(0, None));
@@ -224,24 +226,27 @@
     upstreams.set(5000.0, entry(3000, None));
     assert_eq!(upstreams.end(), place + 1, "cold once more");
     upstreams.set(5400.0, entry(2600, Some(1500)));
-    let told = upstreams.excerpt_since(5900.0, Some(place + 1));
+    let told = upstreams.update_since(5900.0, Some(place + 1));
     assert_eq!(
         (
-            told.whole,
+            told.is_complete,
             told.entries[0].time_left_ms,
             told.entries[0].draining
         ),
         (false, Some(1000), true)
     );
     upstreams.remove("a");
-    let told = upstreams.excerpt_since(6000.0, Some(place));
-    assert_eq!((told.entries.len(), told.gone), (0, vec!["a".to_owned()]));
+    let told = upstreams.update_since(6000.0, Some(place));
+    assert_eq!(
+        (told.entries.len(), told.removed),
+        (0, vec!["a".to_owned()])
+    );
 }
 
 /// Control nodes that only talk of the election. Beats go each 150 ms from everyone to all whom it reaches.
 struct Cluster {
     now: f64,
-    elections: BTreeMap<String, ReaderElection>,
+    elections: BTreeMap<String, PollerElection>,
     down: BTreeSet<String>,
     cut: BTreeSet<(String, String)>,
     heard: BTreeMap<(String, String), (f64, PeerReport)>,
@@ -252,7 +257,7 @@
     fn new(names: &[&str]) -> Cluster {
         let elections = names
             .iter()
-            .map(|name| ((*name).to_owned(), ReaderElection::new(name, 0.0)))
+            .map(|name| ((*name).to_owned(), PollerElection::new(name, 0.0)))
             .collect();
         Cluster {
             now: 0.0,
@@ -281,8 +286,8 @@
     fn beat(&mut self, from: &str) {
         let election = &self.elections[from];
         let report = PeerReport {
-            claim: election.claim().clone(),
-            silent: election.is_silent(self.now),
+            lease: election.lease().clone(),
+            holder_timed_out: election.is_holder_timed_out(self.now),
         };
         for to in self.order() {
             let cut = self.cut.contains(&(from.to_owned(), to.clone()));
@@ -290,7 +295,7 @@
                 self.heard
                     .insert((to.clone(), from.to_owned()), (self.now, report.clone()));
                 if let Some(election) = self.elections.get_mut(&to) {
-                    election.heard_claim(self.now, from, &report.claim);
+                    election.observe_lease(self.now, from, &report.lease);
                 }
             }
         }
@@ -325,17 +330,17 @@
     }
 
     fn note(&mut self) {
-        let holds = |(name, election): (&String, &ReaderElection)| {
-            let holder = match election.claim() {
-                Claim { holder, .. } if holder.is_empty() => "nobody",
-                Claim { holder, .. } => holder.as_str(),
+        let holds = |(name, election): (&String, &PollerElection)| {
+            let holder = match election.lease() {
+                PollerLease { holder, .. } if holder.is_empty() => "nobody",
+                PollerLease { holder, .. } => holder.as_str(),
             };
-            let reads = if election.is_reading(self.now) {
+            let reads = if election.is_polling(self.now) {
                 ", reads"
             } else {
                 ""
             };
-            format!("{name}: {holder} {}{reads}", election.claim().term)
+            format!("{name}: {holder} {}{reads}", election.lease().term)
         };
         let up = self
             .elections
@@ -376,12 +381,12 @@
     cluster.down.remove("a");
     cluster
         .elections
-        .insert("a".to_owned(), ReaderElection::new("a", cluster.now));
+        .insert("a".to_owned(), PollerElection::new("a", cluster.now));
     cluster.run(1500.0);
     cluster.say("b is back and believes nothing");
     cluster
         .elections
-        .insert("b".to_owned(), ReaderElection::new("b", cluster.now));
+        .insert("b".to_owned(), PollerElection::new("b", cluster.now));
     cluster.down.remove("b");
     cluster.run(600.0);
     cluster.say("c freezes for 3 s");
@@ -390,9 +395,9 @@
     cluster.say("c wakes");
     let now = cluster.now;
     if let Some(election) = cluster.elections.get_mut("c") {
-        election.woke(now);
+        election.resumed(now);
         assert!(
-            !election.is_reading(now),
+            !election.is_polling(now),
             "it does not read on belief alone"
         );
     }
@@ -418,8 +423,8 @@
     cluster.cut("a", "b");
     cluster.run(3000.0);
     assert_eq!(
-        cluster.elections["b"].claim(),
-        &Claim {
+        cluster.elections["b"].lease(),
+        &PollerLease {
             term: 1,
             holder: "a".to_owned()
         },
@@ -427,17 +432,22 @@
         cluster.transcript
     );
     assert!(
-        cluster.elections["b"].is_reading(cluster.now),
+        cluster.elections["b"].is_polling(cluster.now),
         "but it needs the list all the same"
     );
-    assert!(!cluster.elections["c"].is_reading(cluster.now));
+    assert!(!cluster.elections["c"].is_polling(cluster.now));
 }
 
 /// When the second reading of a list of one page begins.
-fn second_reading(reader: Reader, alone: bool) -> f64 {
+fn second_reading(reader: EndpointPoller, alone: bool) -> f64 {
     let (mut reader, mut upstreams) = (reader, Upstreams::default());
     assert!(reader.next_page(0.0, alone, 50.0).is_some());
-    reader.answered(1.0, alone, Call::Page(Page::default()), &mut upstreams);
+    reader.page_fetched(
+        1.0,
+        alone,
+        PageResult::Page(Page::default()),
+        &mut upstreams,
+    );
     let due = (1..5000)
         .map(f64::from)
         .find(|now| reader.next_page(*now, alone, 50.0).is_some());
@@ -446,20 +456,26 @@
 
 #[test]
 fn the_list_is_read_as_often_as_draining_asks_for() {
-    assert_eq!(second_reading(Reader::within(4000.0), false), 700.0);
-    assert_eq!(second_reading(Reader::within(5000.0), false), 875.0);
     assert_eq!(
-        second_reading(Reader::within(1000.0), false),
+        second_reading(EndpointPoller::for_drain_bound(4000.0), false),
+        700.0
+    );
+    assert_eq!(
+        second_reading(EndpointPoller::for_drain_bound(5000.0), false),
+        875.0
+    );
+    assert_eq!(
+        second_reading(EndpointPoller::for_drain_bound(1000.0), false),
         400.0,
         "no more often than that"
     );
     assert_eq!(
-        second_reading(Reader::within(60_000.0), false),
+        second_reading(EndpointPoller::for_drain_bound(60_000.0), false),
         1000.0,
         "new ones are to be seen soon"
     );
     assert_eq!(
-        second_reading(Reader::within(4000.0), true),
+        second_reading(EndpointPoller::for_drain_bound(4000.0), true),
         1400.0,
         "one that reads for itself takes turns"
     );
--- a/crates/sandtrack-control/tests/guards.rs
+++ b/crates/sandtrack-control/tests/guards.rs
@@ -3,12 +3,12 @@
 mod common;
 use common::cluster::Cluster;
 use common::{good, message};
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::control_state::{Command, ControlState, Form, Outcome};
-use sandtrack_control::operator_calls::{Known, OperatorCalls, Step};
-use sandtrack_control::reader::{
-    Call, Claim, Page, PeerReport, Reader, ReaderElection, HOLDER_SILENT_MS,
+use sandtrack_control::endpoint_poller::{
+    EndpointPoller, Page, PageResult, PeerReport, PollerElection, PollerLease, HOLDER_TIMEOUT_MS,
 };
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::operator_api::pending_calls::{CallContext, PendingCalls, Step};
+use sandtrack_control::state_machine::{ChangeKind, Command, ControlState, Outcome};
 use sandtrack_control::upstreams::Upstreams;
 use sandtrack_protocol::frames::ToProxy;
 use sandtrack_replication::StateMachine;
@@ -39,39 +39,39 @@
     assert_eq!(counts(&cluster, "c-odori").first(), Some(&2));
 }
 
-fn claim(term: u64, holder: &str) -> Claim {
-    Claim {
+fn lease(term: u64, holder: &str) -> PollerLease {
+    PollerLease {
         term,
         holder: holder.to_owned(),
     }
 }
 
-/// Whether `b` takes the duty of `a`, which fell silent, when `c` says this.
+/// Whether `b` takes the duty of `a`, which fell holder_timed_out, when `c` says this.
 fn takes_over(report: PeerReport) -> bool {
     let names = ["a", "b", "c"].map(str::to_owned);
-    let mut election = ReaderElection::new("b", 0.0);
-    election.heard_claim(0.0, "a", &claim(1, "a"));
+    let mut election = PollerElection::new("b", 0.0);
+    election.observe_lease(0.0, "a", &lease(1, "a"));
     let live = BTreeMap::from([("c".to_owned(), report)]);
-    election.take_over(HOLDER_SILENT_MS + 1.0, &names, &live, &names)
+    election.take_over(HOLDER_TIMEOUT_MS + 1.0, &names, &live, &names)
 }
 
 #[test]
 fn a_duty_passes_only_with_those_who_miss_the_same_holder() {
     assert!(takes_over(PeerReport {
-        claim: claim(1, "a"),
-        silent: true
+        lease: lease(1, "a"),
+        holder_timed_out: true
     }));
     assert!(
         !takes_over(PeerReport {
-            claim: claim(1, "a"),
-            silent: false
+            lease: lease(1, "a"),
+            holder_timed_out: false
         }),
         "it hears the holder"
     );
     assert!(
         !takes_over(PeerReport {
-            claim: claim(2, "c"),
-            silent: true
+            lease: lease(2, "c"),
+            holder_timed_out: true
         }),
         "it knows another holder"
     );
@@ -80,12 +80,12 @@
 fn configure(
     state: &mut ControlState,
     number: u64,
-    form: Form,
+    kind: ChangeKind,
     based_on: u64,
     body: &str,
 ) -> Outcome {
     let command = Command::Configure {
-        form,
+        kind,
         based_on,
         body: body.as_bytes().to_vec(),
     };
@@ -93,34 +93,34 @@
     borsh::from_slice(&outcome).expect("an outcome")
 }
 
-/// Known again is an order of the same kind, on the same version, with the same bytes.
+/// CallContext again is an order of the same kind, on the same version, with the same bytes.
 #[test]
 fn an_order_is_known_again_by_its_kind_and_its_base_too() {
     let mut state = ControlState::default();
     let body = good(7);
     assert_eq!(
-        configure(&mut state, 1, Form::Replace, 0, &body),
-        Outcome::Taken { version: 7 }
+        configure(&mut state, 1, ChangeKind::Replace, 0, &body),
+        Outcome::Accepted { version: 7 }
     );
     assert_eq!(
-        configure(&mut state, 2, Form::Replace, 0, &body),
-        Outcome::Taken { version: 7 }
+        configure(&mut state, 2, ChangeKind::Replace, 0, &body),
+        Outcome::Accepted { version: 7 }
     );
     assert_eq!(
-        configure(&mut state, 3, Form::Replace, 5, &body),
-        Outcome::Other { current: 7 }
+        configure(&mut state, 3, ChangeKind::Replace, 5, &body),
+        Outcome::VersionConflict { current: 7 }
     );
     assert!(!matches!(
-        configure(&mut state, 4, Form::Update, 0, &body),
-        Outcome::Taken { .. }
+        configure(&mut state, 4, ChangeKind::Update, 0, &body),
+        Outcome::Accepted { .. }
     ));
 }
 
 /// A control node that knows no zone.
 struct NoZone;
 
-impl Known for NoZone {
-    fn passes_callers_on(&self) -> bool {
+impl CallContext for NoZone {
+    fn redirects_callers(&self) -> bool {
         false
     }
 
@@ -128,11 +128,11 @@
         0
     }
 
-    fn version_taken(&self, _: &Command) -> Option<u64> {
+    fn accepted_version(&self, _: &Command) -> Option<u64> {
         None
     }
 
-    fn names_zone(&self, _: &str) -> bool {
+    fn knows_zone(&self, _: &str) -> bool {
         false
     }
 }
@@ -141,9 +141,9 @@
 /// it builds on would hold it; it is not even tried.
 #[test]
 fn a_configuration_from_before_a_freeze_is_not_carried_out() {
-    let mut calls = OperatorCalls::new(0.0);
-    (0..20).for_each(|at| drop(calls.look(f64::from(at) * 100.0)));
-    calls.look(5000.0);
+    let mut calls = PendingCalls::new(0.0);
+    (0..20).for_each(|at| drop(calls.check_for_pause(f64::from(at) * 100.0)));
+    calls.check_for_pause(5000.0);
     let replace = message(
         "POST",
         "/v1/configuration/replace",
@@ -152,7 +152,7 @@
     );
     for (arrival, is_carried_out) in [(Arrival::at(1890.0), false), (Arrival::at(5001.0), true)] {
         let call = calls.begin(arrival);
-        let step = calls.call(5002.0, call, &replace, &NoZone);
+        let step = calls.handle(5002.0, call, &replace, &NoZone);
         assert_eq!(
             matches!(step, Step::Submit { .. }),
             is_carried_out,
@@ -165,13 +165,18 @@
 #[test]
 fn one_that_reads_for_itself_takes_a_third_of_the_pace() {
     let pause_between_pages = |alone: bool| {
-        let mut reader = Reader::default();
+        let mut reader = EndpointPoller::default();
         assert!(reader.next_page(0.0, alone, 50.0).is_some());
         let page = Page {
             next_token: Some("p-2".to_owned()),
             ..Page::default()
         };
-        reader.answered(1.0, alone, Call::Page(page), &mut Upstreams::default());
+        reader.page_fetched(
+            1.0,
+            alone,
+            PageResult::Page(page),
+            &mut Upstreams::default(),
+        );
         (0..1000).find(|now| reader.next_page(f64::from(*now), alone, 50.0).is_some())
     };
     assert_eq!(
--- a/crates/sandtrack-control/tests/operator.rs
+++ b/crates/sandtrack-control/tests/operator_api.rs
@@ -1,8 +1,9 @@
 //! The operators' calls and their answers, as whole exchanges with one control state. No replica, no sockets, no clock.
 mod common;
 use common::{approve, configuration, good, message, route, settings, LIMITS, SERVICES};
-use sandtrack_control::control::{self, Order, Reply};
-use sandtrack_control::control_state::{Command, ControlState, Outcome, Question};
+use sandtrack_control::operator_api::requests::{self, Request};
+use sandtrack_control::operator_api::responses::{self, Reply};
+use sandtrack_control::state_machine::{Command, ControlState, Outcome, Query};
 use sandtrack_replication::{Refusal, StateMachine};
 
 /// A counter with one control state behind it: what is ordered is committed at once.
@@ -33,21 +34,21 @@
             .map(|version| ("Based-On-Version", version))
             .into_iter()
             .collect();
-        let reply = match control::decode(&message(method, target, &headers, body)) {
+        let reply = match requests::parse(&message(method, target, &headers, body)) {
             Err(reply) => reply,
-            Ok(Order::Configure(command)) => self.apply(&command),
-            Ok(Order::Evacuate { zone, begin }) if settings(1).zones.contains_key(&zone) => {
+            Ok(Request::Configure(command)) => self.apply(&command),
+            Ok(Request::Evacuate { zone, begin }) if settings(1).zones.contains_key(&zone) => {
                 let seen = self.control_state.last_order(&zone);
                 self.apply(&Command::SetEvacuation { zone, begin, seen })
             }
-            Ok(Order::Evacuate { zone, .. }) => control::unknown_zone(&zone),
-            Ok(Order::Read) => {
+            Ok(Request::Evacuate { zone, .. }) => responses::unknown_zone(&zone),
+            Ok(Request::Read) => {
                 let answer = self
                     .control_state
-                    .query(&borsh::to_vec(&Question::Configuration).expect("a question"));
-                control::answer(Ok(borsh::from_slice(&answer).expect("an answer")))
+                    .query(&borsh::to_vec(&Query::Configuration).expect("a question"));
+                responses::query_result(Ok(borsh::from_slice(&answer).expect("an answer")))
             }
-            Ok(Order::Status) => Reply::success("(status)".to_owned()),
+            Ok(Request::Status) => Reply::success("(status)".to_owned()),
         };
         let version = based_on.map_or(String::new(), |version| format!(" (on {version})"));
         self.transcript
@@ -65,7 +66,7 @@
         let outcome = self
             .control_state
             .apply(self.number, &borsh::to_vec(command).expect("a command"));
-        control::outcome(Ok(
+        responses::command_result(Ok(
             borsh::from_slice::<Outcome>(&outcome).expect("an outcome")
         ))
     }
@@ -335,7 +336,7 @@
         "a repeat changes nothing"
     );
     assert_eq!(
-        counter.control_state.evacuated().collect::<Vec<_>>(),
+        counter.control_state.evacuated_zones().collect::<Vec<_>>(),
         ["odori-hall"]
     );
     assert_eq!(
@@ -346,7 +347,7 @@
         ),
         200
     );
-    assert_eq!(counter.control_state.evacuated().count(), 0);
+    assert_eq!(counter.control_state.evacuated_zones().count(), 0);
     assert_eq!(
         post(
             &mut counter,
@@ -424,8 +425,8 @@
     let mut transcript = String::new();
     for refusal in [Refusal::NoMajority, Refusal::TimedOut, Refusal::Full] {
         for reply in [
-            control::outcome(Err(refusal)),
-            control::answer(Err(refusal)),
+            responses::command_result(Err(refusal)),
+            responses::query_result(Err(refusal)),
         ] {
             transcript.push_str(&format!(
                 "# {refusal}\n{}\n\n",
@@ -442,7 +443,7 @@
     for (number, command) in [
         control_command("0", &good(7)),
         control_command("7", &good(9)),
-        borsh::to_vec(&sandtrack_control::control_state::Command::Evacuate {
+        borsh::to_vec(&sandtrack_control::state_machine::Command::Evacuate {
             zone: "kita-hall".to_owned(),
             begin: true,
         })
@@ -481,8 +482,8 @@
         &[("Based-On-Version", based_on)],
         body,
     );
-    match control::decode(&call) {
-        Ok(Order::Configure(command)) => borsh::to_vec(&command).expect("a command"),
+    match requests::parse(&call) {
+        Ok(Request::Configure(command)) => borsh::to_vec(&command).expect("a command"),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/sandtrack-control/tests/links.rs
+++ b/crates/sandtrack-control/tests/peer_links.rs
@@ -1,6 +1,6 @@
 //! Links between control nodes: which of two stands, when they are opened anew, and the journal that tells what is new.
-use sandtrack_control::journal::Journal;
-use sandtrack_control::peers::{Heard, Hello, LinkOrder, PeerFrame, Peers, FORMAT};
+use sandtrack_control::event_log::EventLog;
+use sandtrack_control::peers::{Hello, LinkAction, LinkEvent, PeerFrame, Peers, FORMAT};
 
 fn peers(address: &str, incarnation: u64) -> Peers {
     let me = Hello {
@@ -12,29 +12,29 @@
     Peers::new(me, 0.0)
 }
 
-fn dials(orders: &[LinkOrder]) -> Vec<u64> {
-    let dial = |order: &LinkOrder| match order {
-        LinkOrder::Dial { link, .. } => Some(*link),
+fn dials(actions: &[LinkAction]) -> Vec<u64> {
+    let dial = |order: &LinkAction| match order {
+        LinkAction::Dial { link, .. } => Some(*link),
         _ => None,
     };
-    orders.iter().filter_map(dial).collect()
+    actions.iter().filter_map(dial).collect()
 }
 
-fn closes(orders: &[LinkOrder]) -> Vec<u64> {
-    let close = |order: &LinkOrder| match order {
-        LinkOrder::Close { link } => Some(*link),
+fn closes(actions: &[LinkAction]) -> Vec<u64> {
+    let close = |order: &LinkAction| match order {
+        LinkAction::Close { link } => Some(*link),
         _ => None,
     };
-    orders.iter().filter_map(close).collect()
+    actions.iter().filter_map(close).collect()
 }
 
 /// Dials that come due up to `until`, looked at each 10 ms.
 fn dialed(peers: &mut Peers, from: f64, until: f64) -> Option<(f64, u64)> {
     let mut now = from;
     while now <= until {
-        let mut orders = Vec::new();
-        peers.tick(now, &mut orders);
-        if let Some(link) = dials(&orders).first() {
+        let mut actions = Vec::new();
+        peers.tick(now, &mut actions);
+        if let Some(link) = dials(&actions).first() {
             return Some((now, *link));
         }
         now += 10.0;
@@ -45,8 +45,8 @@
 #[test]
 fn the_lower_address_dials_first() {
     let (mut a, mut b) = (peers("a", 1), peers("b", 1));
-    a.reach(0.0, ["a", "b"].into_iter());
-    b.reach(0.0, ["a", "b"].into_iter());
+    a.set_wanted(0.0, ["a", "b"].into_iter());
+    b.set_wanted(0.0, ["a", "b"].into_iter());
     assert_eq!(dialed(&mut a, 0.0, 1000.0).map(|(at, _)| at), Some(0.0));
     assert_eq!(dialed(&mut b, 0.0, 1000.0).map(|(at, _)| at), Some(250.0));
     assert_eq!(dialed(&mut a, 10.0, 800.0), None, "one at a time");
@@ -58,17 +58,17 @@
     for a_first_at_a in [true, false] {
         for a_first_at_b in [true, false] {
             let (mut a, mut b) = (peers("a", 1), peers("b", 1));
-            a.reach(0.0, ["b"].into_iter());
-            b.reach(0.0, ["a"].into_iter());
+            a.set_wanted(0.0, ["b"].into_iter());
+            b.set_wanted(0.0, ["a"].into_iter());
             let (_, a_dialed) = dialed(&mut a, 0.0, 1000.0).expect("a dials");
             let (_, b_dialed) = dialed(&mut b, 0.0, 1000.0).expect("b dials");
             let (a_accepted, b_accepted) = (a.accepted(0.0), b.accepted(0.0));
             let meet = |peers: &mut Peers, links: [u64; 2], other: Hello| {
-                let mut orders = Vec::new();
+                let mut actions = Vec::new();
                 for link in links {
-                    peers.hello(1.0, link, other.clone(), &mut orders);
+                    peers.hello(1.0, link, other.clone(), &mut actions);
                 }
-                closes(&orders)
+                closes(&actions)
             };
             let at_a = if a_first_at_a {
                 [a_dialed, a_accepted]
@@ -92,7 +92,7 @@
 #[test]
 fn a_new_life_takes_the_place_of_the_old_one() {
     let mut a = peers("a", 1);
-    a.reach(0.0, ["b"].into_iter());
+    a.set_wanted(0.0, ["b"].into_iter());
     let (_, old) = dialed(&mut a, 0.0, 100.0).expect("a dials");
     let hello = |incarnation| Hello {
         format: FORMAT,
@@ -100,31 +100,31 @@
         incarnation,
         ..Hello::default()
     };
-    let mut orders = Vec::new();
+    let mut actions = Vec::new();
     assert_eq!(
-        a.hello(1.0, old, hello(1), &mut orders),
-        Some(Heard::Found("b".to_owned()))
+        a.hello(1.0, old, hello(1), &mut actions),
+        Some(LinkEvent::Established("b".to_owned()))
     );
     let new = a.accepted(2.0);
     assert_eq!(
-        a.hello(2.0, new, hello(2), &mut orders),
-        Some(Heard::Found("b".to_owned()))
+        a.hello(2.0, new, hello(2), &mut actions),
+        Some(LinkEvent::Established("b".to_owned()))
     );
-    assert_eq!(closes(&orders), [old]);
+    assert_eq!(closes(&actions), [old]);
     assert_eq!(
         a.closed(3.0, old),
         None,
         "the end of the old link is no loss"
     );
     assert_eq!(a.link_to("b"), Some(new));
-    assert_eq!(a.closed(4.0, new), Some(Heard::Lost("b".to_owned())));
+    assert_eq!(a.closed(4.0, new), Some(LinkEvent::Lost("b".to_owned())));
     assert_eq!(dialed(&mut a, 4.0, 1000.0).map(|(at, _)| at), Some(104.0));
 }
 
 #[test]
 fn a_silent_link_is_closed_and_opened_anew() {
     let mut a = peers("a", 1);
-    a.reach(0.0, ["b"].into_iter());
+    a.set_wanted(0.0, ["b"].into_iter());
     let (_, link) = dialed(&mut a, 0.0, 100.0).expect("a dials");
     let hello = Hello {
         format: FORMAT,
@@ -133,13 +133,16 @@
         ..Hello::default()
     };
     a.hello(10.0, link, hello, &mut Vec::new());
-    assert_eq!(a.heard(500.0, link), Some("b".to_owned()));
-    assert!(a.is_heard(1400.0, "b", 900.0) && !a.is_heard(1401.0, "b", 900.0));
-    let mut orders = Vec::new();
-    assert_eq!(a.tick(1400.0, &mut orders).0, []);
-    assert_eq!(a.tick(1401.0, &mut orders).0, [Heard::Lost("b".to_owned())]);
-    assert_eq!(closes(&orders), [link]);
-    assert_eq!(a.heard(1402.0, link), None);
+    assert_eq!(a.frame_received(500.0, link), Some("b".to_owned()));
+    assert!(a.is_seen(1400.0, "b", 900.0) && !a.is_seen(1401.0, "b", 900.0));
+    let mut actions = Vec::new();
+    assert_eq!(a.tick(1400.0, &mut actions).0, []);
+    assert_eq!(
+        a.tick(1401.0, &mut actions).0,
+        [LinkEvent::Lost("b".to_owned())]
+    );
+    assert_eq!(closes(&actions), [link]);
+    assert_eq!(a.frame_received(1402.0, link), None);
     assert_eq!(
         dialed(&mut a, 1402.0, 3000.0).map(|(at, _)| at),
         Some(1502.0)
@@ -156,16 +159,16 @@
     let mut a = peers("a", 1);
     let refused = |a: &mut Peers, hello: Hello| {
         let link = a.accepted(0.0);
-        let mut orders = Vec::new();
-        a.opened(0.0, link, &mut orders);
+        let mut actions = Vec::new();
+        a.opened(0.0, link, &mut actions);
         assert!(matches!(
-            &orders[0],
-            LinkOrder::Send {
+            &actions[0],
+            LinkAction::Send {
                 frame: PeerFrame::Hello(_),
                 ..
             }
         ));
-        a.hello(0.0, link, hello, &mut orders).is_none() && closes(&orders) == [link]
+        a.hello(0.0, link, hello, &mut actions).is_none() && closes(&actions) == [link]
     };
     let me = a.me.clone();
     assert!(refused(&mut a, me));
@@ -180,28 +183,28 @@
     assert_eq!(a.linked(), []);
     let link = a.accepted(0.0);
     assert_eq!(
-        a.heard(0.0, link),
+        a.frame_received(0.0, link),
         None,
         "nothing counts before it is said from whom it is"
     );
-    let mut orders = Vec::new();
-    a.opened(0.0, 99, &mut orders);
-    assert_eq!(closes(&orders), [99]);
+    let mut actions = Vec::new();
+    a.opened(0.0, 99, &mut actions);
+    assert_eq!(closes(&actions), [99]);
 }
 
 #[test]
 fn one_that_nobody_names_is_forgotten_after_a_while() {
     let mut a = peers("a", 1);
-    a.reach(0.0, ["b", "c"].into_iter());
+    a.set_wanted(0.0, ["b", "c"].into_iter());
     for (now, known) in [(59_000.0, 2), (61_000.0, 1)] {
-        a.reach(now, ["b"].into_iter());
+        a.set_wanted(now, ["b"].into_iter());
         assert_eq!(a.all().count(), known);
     }
 }
 
 #[test]
 fn a_journal_tells_what_is_new_or_that_too_much_is() {
-    let mut journal = Journal::new(3);
+    let mut journal = EventLog::new(3);
     assert_eq!(
         (journal.end(), journal.since(0).map(Iterator::count)),
         (0, Some(0))
--- a/crates/sandtrack-control/tests/program.rs
+++ b/crates/sandtrack-control/tests/program.rs
@@ -2,7 +2,7 @@
 //! answers, and never sleeps.
 mod common;
 use common::{configuration, good, route};
-use sandtrack_control::control::BODY_MAX;
+use sandtrack_control::operator_api::requests::MAX_BODY_BYTES;
 use sandtrack_protocol::frames::{self, ProxyInfo, ProxyState, ToControl, ToProxy};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -498,7 +498,7 @@
         assert_eq!(rest(&mut stream), "", "nobody waits for an answer");
     }
     // One byte more than it takes, in both framings; blanks at its end do no harm in themselves.
-    let long = format!("{body}{}", " ".repeat(BODY_MAX + 1 - body.len()));
+    let long = format!("{body}{}", " ".repeat(MAX_BODY_BYTES + 1 - body.len()));
     let chunked = format!("{:x}\r\n{long}\r\n0\r\n\r\n", long.len());
     let too_long = [
         replace_head(&format!("Content-Length: {}", long.len())) + &long,
--- a/crates/sandtrack-control/tests/repeats.rs
+++ b/crates/sandtrack-control/tests/resent_configurations.rs
@@ -3,11 +3,11 @@
 mod common;
 use common::cluster::Cluster;
 use common::{good, is_definite, message, route};
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::control;
-use sandtrack_control::control_state::{Command, ControlState, Form, Outcome, Question};
-use sandtrack_control::operator_calls::{Known, OperatorCalls, Step};
-use sandtrack_control::taken::TAKEN_KEPT;
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::operator_api::pending_calls::{CallContext, PendingCalls, Step};
+use sandtrack_control::operator_api::{requests, responses};
+use sandtrack_control::state_machine::accepted_configurations::MAX_ACCEPTED_CONFIGURATIONS;
+use sandtrack_control::state_machine::{ChangeKind, Command, ControlState, Outcome, Query};
 use sandtrack_replication::{Refusal, StateMachine};
 
 const REPLACE: &str = "/v1/configuration/replace";
@@ -33,7 +33,7 @@
 
     fn replace(&mut self, based_on: u64, body: &str) -> Outcome {
         self.apply(&Command::Configure {
-            form: Form::Replace,
+            kind: ChangeKind::Replace,
             based_on,
             body: body.into(),
         })
@@ -41,7 +41,7 @@
 
     fn update(&mut self, based_on: u64, body: &str) -> Outcome {
         self.apply(&Command::Configure {
-            form: Form::Update,
+            kind: ChangeKind::Update,
             based_on,
             body: body.into(),
         })
@@ -66,11 +66,11 @@
 /// The first configuration, and `count` updates on top of each other.
 fn changed(count: u64) -> Log {
     let mut log = Log::default();
-    assert_eq!(log.replace(0, &good(7)), Outcome::Taken { version: 7 });
+    assert_eq!(log.replace(0, &good(7)), Outcome::Accepted { version: 7 });
     for version in 8..8 + count {
         assert_eq!(
             log.update(version - 1, &update(version)),
-            Outcome::Taken { version }
+            Outcome::Accepted { version }
         );
     }
     log
@@ -78,7 +78,14 @@
 
 #[test]
 fn every_order_is_known_again_after_hundreds_of_changes_or_left_unclear() {
-    for count in [0, 1, TAKEN_KEPT as u64 - 1, TAKEN_KEPT as u64, 300, 700] {
+    for count in [
+        0,
+        1,
+        MAX_ACCEPTED_CONFIGURATIONS as u64 - 1,
+        MAX_ACCEPTED_CONFIGURATIONS as u64,
+        300,
+        700,
+    ] {
         let mut log = changed(count);
         let mut restored = log.restored();
         for log in [&mut log, &mut restored] {
@@ -89,14 +96,14 @@
                     _ => log.update(version - 1, &update(version)),
                 };
                 match outcome {
-                    Outcome::Taken { version: told } => assert_eq!(told, version),
-                    Outcome::Forgotten => unclear += 1,
+                    Outcome::Accepted { version: told } => assert_eq!(told, version),
+                    Outcome::Unknown => unclear += 1,
                     other => panic!("{version} of {count} is refused: {other:?}"),
                 }
             }
             assert_eq!(
                 unclear,
-                (count + 1).saturating_sub(TAKEN_KEPT as u64),
+                (count + 1).saturating_sub(MAX_ACCEPTED_CONFIGURATIONS as u64),
                 "after {count} changes"
             );
             assert_eq!(log.state.version(), 7 + count, "nothing has changed");
@@ -104,7 +111,7 @@
             let current = 7 + count;
             if count > 1 {
                 let lost = log.replace(current - 1, &good(current + 2));
-                assert_eq!(lost, Outcome::Other { current });
+                assert_eq!(lost, Outcome::VersionConflict { current });
             }
         }
     }
@@ -112,9 +119,9 @@
 
 #[test]
 fn what_is_not_known_any_more_has_no_definite_answer() {
-    assert_eq!(control::outcome(Ok(Outcome::Forgotten)).status, 503);
+    assert_eq!(responses::command_result(Ok(Outcome::Unknown)).status, 503);
     assert_eq!(
-        control::outcome(Ok(Outcome::Superseded { number: 3 })).status,
+        responses::command_result(Ok(Outcome::Superseded { number: 3 })).status,
         503
     );
 }
@@ -123,18 +130,21 @@
 fn of_two_orders_under_one_number_one_is_taken() {
     let mut log = changed(3);
     let (mine, theirs) = (good(11), good(11).replace("8000", "5000"));
-    assert_eq!(log.replace(10, &mine), Outcome::Taken { version: 11 });
+    assert_eq!(log.replace(10, &mine), Outcome::Accepted { version: 11 });
     for mut log in [log.restored(), log] {
-        assert_eq!(log.replace(10, &theirs), Outcome::Other { current: 10 + 1 });
-        assert_eq!(log.replace(10, &mine), Outcome::Taken { version: 11 });
+        assert_eq!(
+            log.replace(10, &theirs),
+            Outcome::VersionConflict { current: 10 + 1 }
+        );
+        assert_eq!(log.replace(10, &mine), Outcome::Accepted { version: 11 });
         assert_eq!(
             log.replace(9, &mine),
-            Outcome::Other { current: 11 },
+            Outcome::VersionConflict { current: 11 },
             "the base is part of an order"
         );
         assert_eq!(
             log.update(10, &mine),
-            Outcome::Other { current: 11 },
+            Outcome::VersionConflict { current: 11 },
             "and so is the form"
         );
     }
@@ -258,38 +268,41 @@
         };
         assert_eq!(
             send(&mut log, replaces_first),
-            Outcome::Taken { version: 11 }
+            Outcome::Accepted { version: 11 }
         );
         assert_eq!(
             send(&mut log, !replaces_first),
-            Outcome::Other { current: 11 }
+            Outcome::VersionConflict { current: 11 }
         );
-        let after = format!("{:?}", log.state.whole());
+        let after = format!("{:?}", log.state.configuration_frame());
         for mut log in [log.restored(), log] {
             for _ in 0..2 {
                 assert_eq!(
                     send(&mut log, !replaces_first),
-                    Outcome::Other { current: 11 }
+                    Outcome::VersionConflict { current: 11 }
                 );
                 assert_eq!(
                     send(&mut log, replaces_first),
-                    Outcome::Taken { version: 11 }
+                    Outcome::Accepted { version: 11 }
                 );
             }
             assert_eq!(
-                format!("{:?}", log.state.whole()),
+                format!("{:?}", log.state.configuration_frame()),
                 after,
                 "repeats change nothing"
             );
             // With a change on top of it both keep their answers.
-            assert_eq!(log.update(11, &update(13)), Outcome::Taken { version: 13 });
+            assert_eq!(
+                log.update(11, &update(13)),
+                Outcome::Accepted { version: 13 }
+            );
             assert_eq!(
                 send(&mut log, !replaces_first),
-                Outcome::Other { current: 13 }
+                Outcome::VersionConflict { current: 13 }
             );
             assert_eq!(
                 send(&mut log, replaces_first),
-                Outcome::Taken { version: 11 }
+                Outcome::Accepted { version: 11 }
             );
             assert_eq!(log.state.version(), 13);
         }
@@ -300,23 +313,32 @@
 #[test]
 fn other_bytes_under_the_current_number_are_never_taken() {
     let mut log = changed(3);
-    let before = log.state.whole();
+    let before = log.state.configuration_frame();
     for bytes in [good(10).replace("8000", "5000"), good(10) + "\n"] {
-        assert_eq!(log.replace(9, &bytes), Outcome::Other { current: 10 });
-        assert_eq!(log.replace(0, &bytes), Outcome::Other { current: 10 });
+        assert_eq!(
+            log.replace(9, &bytes),
+            Outcome::VersionConflict { current: 10 }
+        );
+        assert_eq!(
+            log.replace(0, &bytes),
+            Outcome::VersionConflict { current: 10 }
+        );
         assert!(matches!(
             log.replace(10, &bytes),
             Outcome::Invalid { code: 207, .. }
         ));
     }
-    assert_eq!(log.state.whole(), before);
+    assert_eq!(log.state.configuration_frame(), before);
 }
 
 /// Before the first configuration the version is 0.
 #[test]
 fn the_first_configuration_builds_on_0() {
     let mut log = Log::default();
-    assert_eq!(log.replace(1, &good(7)), Outcome::Other { current: 0 });
+    assert_eq!(
+        log.replace(1, &good(7)),
+        Outcome::VersionConflict { current: 0 }
+    );
     assert!(
         matches!(log.replace(0, &good(0)), Outcome::Invalid { .. }),
         "0 is no version"
@@ -327,13 +349,16 @@
     );
     assert_eq!(log.state.version(), 0);
     let (mine, theirs) = (good(7), good(7).replace("8000", "5000"));
-    assert_eq!(log.replace(0, &mine), Outcome::Taken { version: 7 });
-    assert_eq!(log.replace(0, &theirs), Outcome::Other { current: 7 });
-    assert_eq!(log.replace(0, &mine), Outcome::Taken { version: 7 });
+    assert_eq!(log.replace(0, &mine), Outcome::Accepted { version: 7 });
+    assert_eq!(
+        log.replace(0, &theirs),
+        Outcome::VersionConflict { current: 7 }
+    );
+    assert_eq!(log.replace(0, &mine), Outcome::Accepted { version: 7 });
     for header in ["", "-0", "0x0", "0.0", "18446744073709551616"] {
         let call = message("POST", REPLACE, &[("Based-On-Version", header)], &mine);
         assert_eq!(
-            control::decode(&call).map_err(|reply| reply.status),
+            requests::parse(&call).map_err(|reply| reply.status),
             Err(400),
             "`{header}`"
         );
@@ -352,7 +377,10 @@
         let (mine, theirs) = (good(9), good(9).replace("8000", "5000"));
         let mut losers = vec![cluster.call(4, "POST", REPLACE, 7, &mine)];
         cluster.insist(&[3], REPLACE, 7, &theirs);
-        let taken = cluster.control_node(3).control_state().whole();
+        let taken = cluster
+            .control_node(3)
+            .control_state()
+            .configuration_frame();
         if cluster.status(losers[0]) == Some(200) {
             panic!("{delay}: both were acknowledged");
         }
@@ -366,7 +394,10 @@
         assert!(matches!(first, Some(412 | 503)), "{delay}: {first:?}");
         for house in 1..=3 {
             assert_eq!(
-                cluster.control_node(house).control_state().whole(),
+                cluster
+                    .control_node(house)
+                    .control_state()
+                    .configuration_frame(),
                 taken,
                 "{delay}"
             );
@@ -423,11 +454,15 @@
         let mut log = changed(0);
         assert_eq!(
             log.update(7, &body(&more)),
-            Outcome::Taken { version: 9 },
+            Outcome::Accepted { version: 9 },
             "{more}"
         );
         let restored = log.restored();
-        assert_eq!(restored.state.whole(), log.state.whole(), "{more}");
+        assert_eq!(
+            restored.state.configuration_frame(),
+            log.state.configuration_frame(),
+            "{more}"
+        );
         // Both go on alike.
         let add = format!(
             r#"{{"version_number":11,"set_items":{{"routes":[{second}],"tags":[{{"name":"z"}}]}}}}"#
@@ -436,11 +471,15 @@
         for log in &mut both {
             assert_eq!(
                 log.update(9, &add),
-                Outcome::Taken { version: 11 },
+                Outcome::Accepted { version: 11 },
                 "{more}"
             );
         }
-        assert_eq!(both[0].state.whole(), both[1].state.whole(), "{more}");
+        assert_eq!(
+            both[0].state.configuration_frame(),
+            both[1].state.configuration_frame(),
+            "{more}"
+        );
     }
 }
 
@@ -487,8 +526,8 @@
 /// A control node that knows that version 9 was taken.
 struct Took;
 
-impl Known for Took {
-    fn passes_callers_on(&self) -> bool {
+impl CallContext for Took {
+    fn redirects_callers(&self) -> bool {
         false
     }
 
@@ -496,11 +535,11 @@
         0
     }
 
-    fn version_taken(&self, command: &Command) -> Option<u64> {
+    fn accepted_version(&self, command: &Command) -> Option<u64> {
         matches!(command, Command::Configure { based_on: 7, .. }).then_some(9)
     }
 
-    fn names_zone(&self, _: &str) -> bool {
+    fn knows_zone(&self, _: &str) -> bool {
         true
     }
 }
@@ -508,25 +547,25 @@
 #[test]
 fn one_that_is_known_as_taken_waits_for_the_chain_and_is_never_told_as_refused() {
     let contact = borsh::to_vec(&None::<String>).expect("an answer");
-    let unsure = control::unsure();
+    let unsure = responses::unacknowledged();
     for (result, status, body) in [
         (Ok(contact), 200, r#"{"version_number":9}"#),
         (Err(Refusal::TimedOut), 503, unsure.body.as_str()),
         (Err(Refusal::NoMajority), 503, unsure.body.as_str()),
         (Err(Refusal::Full), 503, unsure.body.as_str()),
     ] {
-        let mut calls = OperatorCalls::new(0.0);
+        let mut calls = PendingCalls::new(0.0);
         let call = calls.begin(Arrival::at(10.0));
         let replace = message("POST", REPLACE, &[("Based-On-Version", "7")], &good(9));
-        let step = calls.call(10.0, call, &replace, &Took);
+        let step = calls.handle(10.0, call, &replace, &Took);
         assert_eq!(
             step,
             Step::Read {
                 call,
-                question: Question::Contact
+                question: Query::Liveness
             }
         );
-        let Some(Step::Reply { reply, .. }) = calls.answer(20.0, call, result, &Took) else {
+        let Some(Step::Reply { reply, .. }) = calls.complete(20.0, call, result, &Took) else {
             panic!("it is answered");
         };
         assert_eq!((reply.status, reply.body.as_str()), (status, body));
--- a/crates/sandtrack-control/tests/late_orders.rs
+++ b/crates/sandtrack-control/tests/stale_evacuation_orders.rs
@@ -2,9 +2,11 @@
 mod common;
 use common::cluster::Cluster;
 use common::{good, is_definite, message};
-use sandtrack_control::arrivals::{Arrival, Awake, ARRIVAL_MS, HELD_UP_MS};
-use sandtrack_control::control_state::{Command, ControlState, Outcome, Question};
-use sandtrack_control::operator_calls::{Known, OperatorCalls, Step};
+use sandtrack_control::operator_api::call_age::{
+    Arrival, PauseDetector, MAX_CALL_AGE_MS, MAX_PAUSE_MS,
+};
+use sandtrack_control::operator_api::pending_calls::{CallContext, PendingCalls, Step};
+use sandtrack_control::state_machine::{Command, ControlState, Outcome, Query};
 use sandtrack_replication::StateMachine;
 
 const BEGIN: &str = "/v1/evacuation/kita-hall/begin";
@@ -161,8 +163,8 @@
     }
 }
 
-impl Known for Zone {
-    fn passes_callers_on(&self) -> bool {
+impl CallContext for Zone {
+    fn redirects_callers(&self) -> bool {
         false
     }
 
@@ -170,20 +172,20 @@
         self.last_order
     }
 
-    fn version_taken(&self, _: &Command) -> Option<u64> {
+    fn accepted_version(&self, _: &Command) -> Option<u64> {
         None
     }
 
-    fn names_zone(&self, zone: &str) -> bool {
+    fn knows_zone(&self, zone: &str) -> bool {
         self.is_named && zone == "kita-hall"
     }
 }
 
-fn begin(calls: &mut OperatorCalls, now: f64, arrival: Arrival) -> (u64, Step) {
+fn begin(calls: &mut PendingCalls, now: f64, arrival: Arrival) -> (u64, Step) {
     let call = calls.begin(arrival);
     (
         call,
-        calls.call(now, call, &message("POST", BEGIN, &[], ""), &zone(4)),
+        calls.handle(now, call, &message("POST", BEGIN, &[], ""), &zone(4)),
     )
 }
 
@@ -198,14 +200,14 @@
 /// The state may have been caught up before the late call is read: then its stamp would be a new one.
 #[test]
 fn what_waited_while_the_process_stood_still_is_not_carried_out() {
-    let mut calls = OperatorCalls::new(0.0);
+    let mut calls = PendingCalls::new(0.0);
     for at in 1..=40 {
-        assert!(calls.look(f64::from(at) * 50.0).is_empty());
+        assert!(calls.check_for_pause(f64::from(at) * 50.0).is_empty());
     }
     let (_, step) = begin(&mut calls, 2000.0, Arrival::at(1990.0));
     assert!(is_submitted(&step, 4), "{step:?}");
     // It stands still from 2000 to 9000: what was under way is answered at once, without a definite answer.
-    let steps = calls.look(9000.0);
+    let steps = calls.check_for_pause(9000.0);
     assert!(steps.len() == 1 && is_refused(&steps[0]), "{steps:?}");
     // Accepted before; waiting in the queue; and accepted after it, when the queue was not seen empty since.
     for arrival in [
@@ -235,15 +237,19 @@
 
 #[test]
 fn a_call_that_took_long_to_come_is_not_carried_out() {
-    let mut calls = OperatorCalls::new(0.0);
-    (0..20).for_each(|at| drop(calls.look(f64::from(at) * 100.0)));
-    let (_, step) = begin(&mut calls, 1900.0, Arrival::at(1900.0 - ARRIVAL_MS - 1.0));
+    let mut calls = PendingCalls::new(0.0);
+    (0..20).for_each(|at| drop(calls.check_for_pause(f64::from(at) * 100.0)));
+    let (_, step) = begin(
+        &mut calls,
+        1900.0,
+        Arrival::at(1900.0 - MAX_CALL_AGE_MS - 1.0),
+    );
     assert!(is_refused(&step), "{step:?}");
-    let (_, step) = begin(&mut calls, 1900.0, Arrival::at(1900.0 - ARRIVAL_MS));
+    let (_, step) = begin(&mut calls, 1900.0, Arrival::at(1900.0 - MAX_CALL_AGE_MS));
     assert!(is_submitted(&step, 4), "{step:?}");
     const {
         assert!(
-            HELD_UP_MS + ARRIVAL_MS < 1000.0,
+            MAX_PAUSE_MS + MAX_CALL_AGE_MS < 1000.0,
             "together less than the patience of callers"
         )
     };
@@ -252,20 +258,20 @@
 #[test]
 fn an_overtaken_order_is_never_stamped_anew() {
     let overtaken = borsh::to_vec(&Outcome::Superseded { number: 6 }).expect("an outcome");
-    for after in [0.0, 1.0, 50.0, ARRIVAL_MS, ARRIVAL_MS + 1.0] {
-        let mut calls = OperatorCalls::new(0.0);
-        (0..20).for_each(|at| drop(calls.look(f64::from(at) * 100.0)));
+    for after in [0.0, 1.0, 50.0, MAX_CALL_AGE_MS, MAX_CALL_AGE_MS + 1.0] {
+        let mut calls = PendingCalls::new(0.0);
+        (0..20).for_each(|at| drop(calls.check_for_pause(f64::from(at) * 100.0)));
         let (call, _) = begin(&mut calls, 1900.0, Arrival::at(1900.0));
         let step = calls
-            .answer(1900.0 + after, call, Ok(overtaken.clone()), &zone(4))
+            .complete(1900.0 + after, call, Ok(overtaken.clone()), &zone(4))
             .expect("a step");
         assert!(
             is_refused(&step),
             "its caller may have gone on {after} ms after it came: {step:?}"
         );
-        let taken = borsh::to_vec(&Outcome::Taken { version: 7 }).expect("an outcome");
+        let taken = borsh::to_vec(&Outcome::Accepted { version: 7 }).expect("an outcome");
         assert_eq!(
-            calls.answer(2350.0, call, Ok(taken), &zone(6)),
+            calls.complete(2350.0, call, Ok(taken), &zone(6)),
             None,
             "answered once"
         );
@@ -275,11 +281,11 @@
 /// A call for a zone that nothing names here yet waits for the chain; its stamp is that of when it was read.
 #[test]
 fn an_order_that_waited_for_its_zone_to_be_known_keeps_its_stamp() {
-    let mut calls = OperatorCalls::new(0.0);
-    (0..20).for_each(|at| drop(calls.look(f64::from(at) * 100.0)));
+    let mut calls = PendingCalls::new(0.0);
+    (0..20).for_each(|at| drop(calls.check_for_pause(f64::from(at) * 100.0)));
     let call = calls.begin(Arrival::at(1900.0));
     let order = message("POST", BEGIN, &[], "");
-    let step = calls.call(
+    let step = calls.handle(
         1900.0,
         call,
         &order,
@@ -292,24 +298,24 @@
         step,
         Step::Read {
             call,
-            question: Question::Contact
+            question: Query::Liveness
         }
     );
     let contact = borsh::to_vec(&None::<String>).expect("an answer");
     let step = calls
-        .answer(1950.0, call, Ok(contact), &zone(6))
+        .complete(1950.0, call, Ok(contact), &zone(6))
         .expect("a step");
     assert!(is_submitted(&step, 4), "{step:?}");
 }
 
 #[test]
 fn a_process_is_held_up_by_what_it_did_not_look_at() {
-    let mut awake = Awake::new(100.0);
-    assert!(!awake.look(100.0 + HELD_UP_MS));
-    assert!(awake.has_run_since(&Arrival::at(100.0)));
-    assert!(awake.look(101.0 + 2.0 * HELD_UP_MS));
-    assert_eq!(awake.since(), 101.0 + 2.0 * HELD_UP_MS);
-    assert!(!awake.has_run_since(&Arrival::at(100.0 + HELD_UP_MS)));
+    let mut awake = PauseDetector::new(100.0);
+    assert!(!awake.observe(100.0 + MAX_PAUSE_MS));
+    assert!(awake.ran_since_before(&Arrival::at(100.0)));
+    assert!(awake.observe(101.0 + 2.0 * MAX_PAUSE_MS));
+    assert_eq!(awake.running_since(), 101.0 + 2.0 * MAX_PAUSE_MS);
+    assert!(!awake.ran_since_before(&Arrival::at(100.0 + MAX_PAUSE_MS)));
 }
 
 fn order(state: &mut ControlState, number: u64, begin: bool, seen: u64) -> Outcome {
@@ -325,7 +331,7 @@
 /// Every way of delay comes to this: an order applied after others that were confirmed since it was read.
 #[test]
 fn an_order_that_was_overtaken_changes_nothing() {
-    let taken = Outcome::Taken { version: 0 };
+    let taken = Outcome::Accepted { version: 0 };
     let mut state = ControlState::default();
     assert_eq!(order(&mut state, 1, true, 0), taken);
     assert_eq!(
@@ -343,7 +349,7 @@
         Outcome::Superseded { number: 3 }
     );
     assert_eq!(
-        (state.evacuated().count(), state.evacuation_number()),
+        (state.evacuated_zones().count(), state.evacuation_number()),
         (0, 3)
     );
     assert_eq!(
@@ -365,6 +371,6 @@
             Outcome::Superseded { number: 8 },
             "also after a snapshot"
         );
-        assert_eq!(state.evacuated().collect::<Vec<_>>(), ["kita-hall"]);
+        assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), ["kita-hall"]);
     }
 }
--- a/crates/sandtrack-control/tests/formats.rs
+++ b/crates/sandtrack-control/tests/state_formats.rs
@@ -2,7 +2,7 @@
 //! written by the program of 2 December 2026, before there was a format 2.
 mod common;
 use common::good;
-use sandtrack_control::control_state::{Command, ControlState, Form, Outcome};
+use sandtrack_control::state_machine::{ChangeKind, Command, ControlState, Outcome};
 use sandtrack_replication::StateMachine;
 
 /// Version 7 whole, an update to 9, kita-hall evacuated, odori-hall evacuated and taken back; as the log holds them.
@@ -17,7 +17,7 @@
     for (number, command) in (1..).zip(&commands) {
         let outcome = borsh::from_slice(&state.apply(number, command)).expect("an outcome");
         assert!(
-            matches!(outcome, Outcome::Taken { .. }),
+            matches!(outcome, Outcome::Accepted { .. }),
             "{number}: {outcome:?}"
         );
     }
@@ -47,7 +47,7 @@
             ),
             (9, 2, 5)
         );
-        assert_eq!(state.evacuated().collect::<Vec<_>>(), ["kita-hall"]);
+        assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), ["kita-hall"]);
     }
     assert_eq!(states[0].snapshot(), states[1].snapshot());
     // A snapshot is what it was, and what format 2 adds stands behind it.
@@ -58,27 +58,33 @@
 
 #[test]
 fn orders_of_format_1_are_known_again() {
-    let configure = |form, based_on, body: &str| Command::Configure {
-        form,
+    let configure = |kind, based_on, body: &str| Command::Configure {
+        kind,
         based_on,
         body: body.as_bytes().to_vec(),
     };
     for mut state in [replayed(), restored()] {
         let before = state.snapshot();
-        let first = configure(Form::Replace, 0, &good(7));
-        assert_eq!(apply(&mut state, 6, &first), Outcome::Taken { version: 7 });
+        let first = configure(ChangeKind::Replace, 0, &good(7));
         assert_eq!(
-            apply(&mut state, 7, &configure(Form::Update, 7, UPDATE)),
-            Outcome::Taken { version: 9 }
+            apply(&mut state, 6, &first),
+            Outcome::Accepted { version: 7 }
+        );
+        assert_eq!(
+            apply(&mut state, 7, &configure(ChangeKind::Update, 7, UPDATE)),
+            Outcome::Accepted { version: 9 }
         );
         let old = Command::Update {
             based_on: 7,
             body: UPDATE.as_bytes().to_vec(),
         };
-        assert_eq!(apply(&mut state, 8, &old), Outcome::Taken { version: 9 });
+        assert_eq!(apply(&mut state, 8, &old), Outcome::Accepted { version: 9 });
         assert_eq!(state.snapshot(), before, "repeats change nothing");
-        let other = configure(Form::Replace, 0, &good(8));
-        assert_eq!(apply(&mut state, 9, &other), Outcome::Other { current: 9 });
+        let other = configure(ChangeKind::Replace, 0, &good(8));
+        assert_eq!(
+            apply(&mut state, 9, &other),
+            Outcome::VersionConflict { current: 9 }
+        );
     }
 }
 
@@ -87,16 +93,16 @@
     let mut states = [replayed(), restored()];
     for state in &mut states {
         let next = Command::Configure {
-            form: Form::Replace,
+            kind: ChangeKind::Replace,
             based_on: 9,
             body: good(11).into_bytes(),
         };
-        assert_eq!(apply(state, 6, &next), Outcome::Taken { version: 11 });
+        assert_eq!(apply(state, 6, &next), Outcome::Accepted { version: 11 });
         // An order of format 1 counts for all zones, as its snapshot does not tell them apart.
         for (number, seen, outcome) in [
             (7, 4, Outcome::Superseded { number: 5 }),
-            (8, 5, Outcome::Taken { version: 11 }),
-            (9, 8, Outcome::Taken { version: 11 }),
+            (8, 5, Outcome::Accepted { version: 11 }),
+            (9, 8, Outcome::Accepted { version: 11 }),
         ] {
             let command = Command::SetEvacuation {
                 zone: "odori-hall".to_owned(),
@@ -109,10 +115,10 @@
             based_on: 11,
             body: good(12).into_bytes(),
         };
-        assert_eq!(apply(state, 10, &late), Outcome::Taken { version: 12 });
+        assert_eq!(apply(state, 10, &late), Outcome::Accepted { version: 12 });
         assert_eq!(
             apply(state, 11, &next),
-            Outcome::Taken { version: 11 },
+            Outcome::Accepted { version: 11 },
             "known again"
         );
         let mut again = ControlState::default();
@@ -120,12 +126,12 @@
         assert_eq!(again.snapshot(), state.snapshot());
         assert_eq!(
             apply(&mut again, 12, &late),
-            Outcome::Taken { version: 12 },
+            Outcome::Accepted { version: 12 },
             "known again"
         );
         assert_eq!(
             apply(&mut again, 13, &next),
-            Outcome::Taken { version: 11 },
+            Outcome::Accepted { version: 11 },
             "known again"
         );
     }
--- a/crates/sandtrack-control/tests/bound_voters.rs
+++ b/crates/sandtrack-control/tests/voter_testimony.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::cluster::{upstream, Cluster};
 use common::{good, is_definite};
-use sandtrack_control::contact::LEASE_MS;
+use sandtrack_control::quorum_lease::QUORUM_LEASE_MS;
 use sandtrack_protocol::frames::ToProxy;
 
 const REPLACE: &str = "/v1/configuration/replace";
@@ -75,7 +75,7 @@
 fn nothing_old_is_told(cluster: &mut Cluster, case: &str) {
     let decided = cluster.now;
     cluster.insist(&[HEAD], REPLACE, 7, &good(9));
-    cluster.run((decided + LEASE_MS + 50.0 - cluster.now).max(0.0));
+    cluster.run((decided + QUORUM_LEASE_MS + 50.0 - cluster.now).max(0.0));
     for number in 0..40 {
         let name = format!("c-{number}");
         cluster.connect(&name, "asahi-hall", "kamikawa", LEFT_OUT);
@@ -151,7 +151,7 @@
         cluster.run(1.0);
         for (number, fed) in [LEFT_OUT, VOTER].into_iter().zip(&mut fed) {
             let now = cluster.now;
-            if cluster.control_node(number).may_feed_proxies(now) {
+            if cluster.control_node(number).may_push_configuration(now) {
                 *fed = now;
             }
             longest = longest.max(now - *fed);
--- a/crates/sandtrack-control/tests/disk.rs
+++ b/crates/sandtrack-control/tests/wal_writer.rs
@@ -1,5 +1,5 @@
 //! The thread that writes the WAL: what becomes of it is told, whatever it is.
-use sandtrack_control::disk::{open, start, Done, Order};
+use sandtrack_control::wal_writer::{open, start, WalRequest, WalResult};
 use std::sync::mpsc;
 use std::time::Duration;
 
@@ -11,17 +11,21 @@
     let (orders, ordered) = async_channel::unbounded();
     let (tell, told) = mpsc::channel();
     start(wal, ordered, move |done| match done {
-        Done::Written(_) => panic!("a fault of the program, in the middle of its work"),
+        WalResult::Written(_) => panic!("a fault of the program, in the middle of its work"),
         other => tell.send(other).expect("the test waits"),
     })
     .expect("a thread");
     orders
-        .try_send(Order::Append {
+        .try_send(WalRequest::Append {
             ticket: 1,
             records: vec![b"record".to_vec()],
         })
         .expect("an order");
     let told = told.recv_timeout(Duration::from_secs(20));
     let _ = std::fs::remove_dir_all(&folder);
-    assert_eq!(told, Ok(Done::Unknown), "the process has to start anew");
+    assert_eq!(
+        told,
+        Ok(WalResult::Unknown),
+        "the process has to start anew"
+    );
 }
--- a/crates/sandtrack-invariants/src/lib.rs
+++ b/crates/sandtrack-invariants/src/lib.rs
@@ -63,7 +63,7 @@
     /// Each configuration that is taken has a higher version than the one before.
     VersionRises = "version_rises",
     /// The term of the reader of the list only rises.
-    ReaderTermRises = "reader_term_rises",
+    PollerTermRises = "reader_term_rises",
     /// Each call of an operator is answered once.
     CallAnsweredOnce = "call_answered_once",
 }
--- a/crates/sandtrack-model-checker/src/duty.rs
+++ b/crates/sandtrack-model-checker/src/duty.rs
@@ -1,4 +1,4 @@
-//! Model of the singleton duty: who reads the platform's list. The election is the real [`ReaderElection`] of the control nodes; what the
+//! Model of the singleton duty: who reads the platform's list. The election is the real [`PollerElection`] of the control nodes; what the
 //! control node does with it on a tick, on a beat of a peer and after a freeze is told again here, in small.
 //!
 //! A beat carries the claim, whether the holder is heard, and, from a holder that has read, the list. Links keep the order
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use sandtrack_control::reader::{Claim, PeerReport, ReaderElection, HOLDER_SILENT_MS};
+use sandtrack_control::endpoint_poller::{
+    PeerReport, PollerElection, PollerLease, HOLDER_TIMEOUT_MS,
+};
 
 use crate::node::address;
 
@@ -74,8 +76,8 @@
 }
 
 impl Beat {
-    fn claim(&self) -> Claim {
-        Claim {
+    fn claim(&self) -> PollerLease {
+        PollerLease {
             term: self.claim.0,
             holder: self.claim.1.clone(),
         }
@@ -91,7 +93,7 @@
 
 #[derive(Clone, Debug)]
 struct Process {
-    election: ReaderElection,
+    election: PollerElection,
     heard: BTreeMap<String, Heard>,
     clock: f64,
     /// When it ran last.
@@ -105,7 +107,7 @@
 impl Process {
     fn new(index: usize, now: f64) -> Self {
         Self {
-            election: ReaderElection::new(&address(index), now),
+            election: PollerElection::new(&address(index), now),
             heard: BTreeMap::new(),
             clock: now,
             last: now,
@@ -117,15 +119,15 @@
 
     /// Before all else: a process that did not run for long is the holder no more.
     fn begin(&mut self) {
-        if self.clock - self.last > HOLDER_SILENT_MS {
-            self.election.woke(self.clock);
+        if self.clock - self.last > HOLDER_TIMEOUT_MS {
+            self.election.resumed(self.clock);
         }
         self.last = self.clock;
     }
 
     /// The peers that were heard lately and are not leaving.
     fn live(&self) -> BTreeMap<String, PeerReport> {
-        let live = |heard: &&Heard| !heard.leaving && self.clock - heard.at <= HOLDER_SILENT_MS;
+        let live = |heard: &&Heard| !heard.leaving && self.clock - heard.at <= HOLDER_TIMEOUT_MS;
         let live = self.heard.iter().filter(|(_, heard)| live(heard));
         live.map(|(address, heard)| (address.clone(), heard.report.clone()))
             .collect()
@@ -178,7 +180,7 @@
         let claims = self
             .processes
             .iter()
-            .map(|process| process.election.claim());
+            .map(|process| process.election.lease());
         let claims: Vec<String> = claims
             .map(|claim| format!("{} {}", claim.term, claim.holder))
             .collect();
@@ -361,10 +363,10 @@
 
     fn beat(&mut self, index: usize) {
         let process = &self.processes[index];
-        let claim = process.election.claim();
+        let claim = process.election.lease();
         let beat = Beat {
             claim: (claim.term, claim.holder.clone()),
-            silent: process.election.is_silent(process.clock),
+            silent: process.election.is_holder_timed_out(process.clock),
             leaving: process.leaving,
             list: process.has_list(),
         };
@@ -387,10 +389,12 @@
         let (sender, claim) = (address(from), beat.claim());
         let process = &mut self.processes[to];
         process.begin();
-        process.election.heard_claim(process.clock, &sender, &claim);
+        process
+            .election
+            .observe_lease(process.clock, &sender, &claim);
         let report = PeerReport {
-            claim: claim.clone(),
-            silent: beat.silent,
+            lease: claim.clone(),
+            holder_timed_out: beat.silent,
         };
         process.heard.insert(
             sender,
@@ -400,9 +404,9 @@
                 leaving: beat.leaving,
             },
         );
-        let takes = beat.list && process.election.takes_list_of(&address(from));
+        let takes = beat.list && process.election.accepts_endpoints_from(&address(from));
         if takes {
-            let older = claim < *process.election.claim();
+            let older = claim < *process.election.lease();
             self.givers.insert((claim.term, from));
             self.check(!older, Rule::ListOfOlderTerm);
             let givers = self
@@ -428,7 +432,7 @@
     fn note_holders(&mut self) {
         for (index, process) in self.processes.iter().enumerate() {
             if process.election.is_holder() {
-                self.holders.insert((process.election.claim().term, index));
+                self.holders.insert((process.election.lease().term, index));
             }
         }
         let terms: BTreeSet<u64> = self.holders.iter().map(|(term, _)| *term).collect();
--- a/crates/sandtrack-model-checker/src/interface.rs
+++ b/crates/sandtrack-model-checker/src/interface.rs
@@ -1,7 +1,7 @@
 //! What stands between the callers and the replica of a process.
 use std::hash::Hasher;
 
-use sandtrack_control::arrivals::Arrival;
+use sandtrack_control::operator_api::call_age::Arrival;
 use sandtrack_replication::Refusal;
 
 use crate::order::{Order, Told};
--- a/crates/sandtrack-model-checker/src/machine.rs
+++ b/crates/sandtrack-model-checker/src/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
 
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::control_state::{Command, ControlState, Form, Outcome};
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::state_machine::{ChangeKind, Command, ControlState, Outcome};
 use sandtrack_replication::{Refusal, StateMachine};
 
 use crate::interface::{Interface, Step};
@@ -32,7 +32,7 @@
     match (command, order) {
         (
             Command::Configure {
-                form: Form::Replace,
+                kind: ChangeKind::Replace,
                 based_on,
                 body: text,
             },
@@ -68,11 +68,11 @@
     }
 
     fn is_taken(outcome: &[u8]) -> bool {
-        matches!(borsh::from_slice(outcome), Ok(Outcome::Taken { .. }))
+        matches!(borsh::from_slice(outcome), Ok(Outcome::Accepted { .. }))
     }
 
     fn shown(&self) -> Shown {
-        match self.whole() {
+        match self.configuration_frame() {
             Some(sandtrack_protocol::frames::ToProxy::Configuration { document, .. }) => {
                 shown_in(&document)
             }
@@ -81,7 +81,7 @@
     }
 
     fn is_evacuated(&self) -> bool {
-        self.evacuated().any(|zone| zone == ZONE)
+        self.evacuated_zones().any(|zone| zone == ZONE)
     }
 }
 
--- a/crates/sandtrack-model-checker/src/main.rs
+++ b/crates/sandtrack-model-checker/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
-use sandtrack_control::control_state::ControlState;
+use sandtrack_control::state_machine::ControlState;
 use sandtrack_model_checker::checker::{search, Bounds, Report, Search};
 use sandtrack_model_checker::duty::search::rule_of;
 use sandtrack_model_checker::duty::{self, Budget};
--- a/crates/sandtrack-model-checker/src/node.rs
+++ b/crates/sandtrack-model-checker/src/node.rs
@@ -1,7 +1,7 @@
 //! One machine of the model: the process with its replica, its disk with the write under way, and its steady clock.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use sandtrack_control::arrivals::Arrival;
+use sandtrack_control::operator_api::call_age::Arrival;
 use sandtrack_replication::{Effect, Input, Member, Replica, Settings, Timings};
 
 use crate::hashing::HashWriter;
--- a/crates/sandtrack-model-checker/src/operators.rs
+++ b/crates/sandtrack-model-checker/src/operators.rs
@@ -2,10 +2,10 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use sandtrack_control::arrivals::Arrival;
-use sandtrack_control::control::Reply;
-use sandtrack_control::control_state::{Command, ControlState};
-use sandtrack_control::operator_calls::{self, Known, OperatorCalls};
+use sandtrack_control::operator_api::call_age::Arrival;
+use sandtrack_control::operator_api::pending_calls::{self, CallContext, PendingCalls};
+use sandtrack_control::operator_api::Reply;
+use sandtrack_control::state_machine::{Command, ControlState};
 use sandtrack_replication::Refusal;
 use sandtrack_sidecar_core::message::{Head, Headers, Message};
 
@@ -17,11 +17,11 @@
     fn control_state(&self) -> &ControlState;
 }
 
-/// The control node's [`OperatorCalls`]: the age of a call, the stamp of an evacuation, and the answers as they are on
+/// The control node's [`PendingCalls`]: the age of a call, the stamp of an evacuation, and the answers as they are on
 /// the wire.
 #[derive(Clone, Debug)]
 pub struct Operators {
-    calls: OperatorCalls,
+    calls: PendingCalls,
     /// The model's call and its order, by the process's own number for it.
     numbers: BTreeMap<u64, (u64, Order)>,
 }
@@ -29,8 +29,8 @@
 /// What a control node knows, as far as the model has it: the settings name the zone.
 struct Knowledge<'a, M>(&'a M);
 
-impl<M: ControlMachine> Known for Knowledge<'_, M> {
-    fn passes_callers_on(&self) -> bool {
+impl<M: ControlMachine> CallContext for Knowledge<'_, M> {
+    fn redirects_callers(&self) -> bool {
         false
     }
 
@@ -38,34 +38,34 @@
         self.0.control_state().last_order(zone)
     }
 
-    fn version_taken(&self, command: &Command) -> Option<u64> {
-        self.0.control_state().version_taken(command)
+    fn accepted_version(&self, command: &Command) -> Option<u64> {
+        self.0.control_state().accepted_version(command)
     }
 
-    fn names_zone(&self, zone: &str) -> bool {
+    fn knows_zone(&self, zone: &str) -> bool {
         zone == ZONE
     }
 }
 
 impl Operators {
-    fn step(&mut self, step: operator_calls::Step) -> Option<Step> {
+    fn step(&mut self, step: pending_calls::Step) -> Option<Step> {
         // Plain data in memory: it can always be written.
         match step {
-            operator_calls::Step::Submit {
+            pending_calls::Step::Submit {
                 call: number,
                 command,
             } => Some(Step::Submit {
                 number,
                 command: borsh::to_vec(&command).unwrap_or_default(),
             }),
-            operator_calls::Step::Read {
+            pending_calls::Step::Read {
                 call: number,
                 question,
             } => Some(Step::Read {
                 number,
                 question: borsh::to_vec(&question).unwrap_or_default(),
             }),
-            operator_calls::Step::Reply {
+            pending_calls::Step::Reply {
                 call: number,
                 reply,
             } => {
@@ -75,11 +75,11 @@
                     told: told(order, &reply),
                 })
             }
-            operator_calls::Step::Status { .. } => None,
+            pending_calls::Step::Status { .. } => None,
         }
     }
 
-    fn steps(&mut self, steps: Vec<operator_calls::Step>) -> Vec<Step> {
+    fn steps(&mut self, steps: Vec<pending_calls::Step>) -> Vec<Step> {
         steps
             .into_iter()
             .filter_map(|step| self.step(step))
@@ -90,13 +90,13 @@
 impl<M: ControlMachine> Interface<M> for Operators {
     fn new(now: f64) -> Self {
         Self {
-            calls: OperatorCalls::new(now),
+            calls: PendingCalls::new(now),
             numbers: BTreeMap::new(),
         }
     }
 
     fn look(&mut self, now: f64) -> Vec<Step> {
-        let steps = self.calls.look(now);
+        let steps = self.calls.check_for_pause(now);
         self.steps(steps)
     }
 
@@ -112,7 +112,7 @@
         self.numbers.insert(number, (call, order));
         let step = self
             .calls
-            .call(now, number, &message(order), &Knowledge(machine));
+            .handle(now, number, &message(order), &Knowledge(machine));
         self.step(step)
     }
 
@@ -125,12 +125,12 @@
     ) -> Option<Step> {
         let step = self
             .calls
-            .answer(now, number, result, &Knowledge(machine))?;
+            .complete(now, number, result, &Knowledge(machine))?;
         self.step(step)
     }
 
     fn late(&mut self, now: f64) -> Vec<Step> {
-        let steps = self.calls.late(now);
+        let steps = self.calls.expire(now);
         self.steps(steps)
     }
 
--- a/crates/sandtrack-model-checker/src/world/event.rs
+++ b/crates/sandtrack-model-checker/src/world/event.rs
@@ -1,7 +1,7 @@
 //! What is under way: messages, writes and calls.
 use std::sync::Arc;
 
-use sandtrack_control::arrivals::Arrival;
+use sandtrack_control::operator_api::call_age::Arrival;
 use sandtrack_replication::Message;
 
 use super::callers::order_of;
--- a/crates/sandtrack-model-checker/tests/bounded.rs
+++ b/crates/sandtrack-model-checker/tests/bounded.rs
@@ -1,5 +1,5 @@
 //! The bounded run: all states of small set-ups, the same in every run, within a minute.
-use sandtrack_control::control_state::ControlState;
+use sandtrack_control::state_machine::ControlState;
 use sandtrack_model_checker::checker::{search, Bounds, Report, Search};
 use sandtrack_model_checker::machine::{Machine, Register};
 use sandtrack_model_checker::setup::Setup;
--- a/crates/sandtrack-model-checker/tests/replay.rs
+++ b/crates/sandtrack-model-checker/tests/replay.rs
@@ -1,5 +1,5 @@
 //! Counterexamples are files that replay.
-use sandtrack_control::control_state::ControlState;
+use sandtrack_control::state_machine::ControlState;
 use sandtrack_model_checker::action::Action;
 use sandtrack_model_checker::machine::{Register, Unstamped};
 use sandtrack_model_checker::trace::{Trace, TraceError};
--- a/crates/sandtrack-simulation/src/world/control_effects.rs
+++ b/crates/sandtrack-simulation/src/world/control_effects.rs
@@ -6,10 +6,10 @@
 use crate::machine::{machine_of, DiskOrder};
 use crate::network::{Item, Port, Process};
 use crate::plan::{Millis, ZONES};
+use sandtrack_control::endpoint_poller::{Page, PageResult};
 use sandtrack_control::node::{Effect, Input};
-use sandtrack_control::peers::LinkOrder;
-use sandtrack_control::reader::{Call, Page};
-use sandtrack_control::sessions::SessionOrder;
+use sandtrack_control::peers::LinkAction;
+use sandtrack_control::sessions::SessionAction;
 use sandtrack_protocol::frames::{self, ToProxy, UpstreamEntry};
 use sandtrack_wal::WalError;
 use std::rc::Rc;
@@ -44,9 +44,11 @@
         let state = control.node.control_state();
         let seen = (state.configuration_number(), state.evacuation_number());
         let before = std::mem::replace(&mut control.seen, seen);
-        let configuration = (seen.0 != before.0).then(|| state.whole()).flatten();
+        let configuration = (seen.0 != before.0)
+            .then(|| state.configuration_frame())
+            .flatten();
         let evacuated =
-            (seen.1 != before.1).then(|| state.evacuated().map(str::to_owned).collect());
+            (seen.1 != before.1).then(|| state.evacuated_zones().map(str::to_owned).collect());
         if let Some(ToProxy::Configuration {
             number,
             version,
@@ -109,19 +111,19 @@
         self.plan_arrivals();
     }
 
-    fn session_order(&mut self, machine: usize, order: SessionOrder) {
+    fn session_order(&mut self, machine: usize, order: SessionAction) {
         let life = self.machines[machine].control_life;
         let Some(control) = self.machines[machine].control.as_mut() else {
             return;
         };
         match order {
-            SessionOrder::Send { session, bytes } => {
+            SessionAction::Send { session, bytes } => {
                 if let Some((connection, side)) = control.sessions.get(&session).copied() {
                     self.network
                         .send(self.now, connection, side, Item::Frame(bytes));
                 }
             }
-            SessionOrder::Close { session } => {
+            SessionAction::Close { session } => {
                 let Some((connection, side)) = control.sessions.remove(&session) else {
                     return;
                 };
@@ -144,7 +146,7 @@
 
     pub(super) fn fetch(&mut self, machine: usize, life: u64) {
         let call = if self.platform_down > 0 {
-            Call::Failed("down".to_owned())
+            PageResult::Failed("down".to_owned())
         } else {
             let entry = |number: usize| UpstreamEntry {
                 identifier: format!("i-{number}"),
@@ -154,7 +156,7 @@
                 slots: 6,
                 ..UpstreamEntry::default()
             };
-            Call::Page(Page {
+            PageResult::Page(Page {
                 entries: (1..=4).map(entry).collect(),
                 next_token: None,
             })
@@ -239,10 +241,10 @@
         self.input(machine, input);
     }
 
-    pub(super) fn link_order(&mut self, machine: usize, order: LinkOrder) {
+    pub(super) fn link_order(&mut self, machine: usize, order: LinkAction) {
         let life = self.machines[machine].control_life;
         match order {
-            LinkOrder::Dial { link, address } => {
+            LinkAction::Dial { link, address } => {
                 let Some(to) = machine_of(&address) else {
                     return;
                 };
@@ -254,7 +256,7 @@
                 }
                 self.dial(connection, machine, to);
             }
-            LinkOrder::Send { link, frame } => {
+            LinkAction::Send { link, frame } => {
                 let Some(control) = self.machines[machine].control.as_ref() else {
                     return;
                 };
@@ -264,7 +266,7 @@
                         .send(self.now, connection, side, Item::Frame(bytes));
                 }
             }
-            LinkOrder::Close { link } => {
+            LinkAction::Close { link } => {
                 let Some(control) = self.machines[machine].control.as_mut() else {
                     return;
                 };
--- a/crates/sandtrack-simulation/src/world/event_loop.rs
+++ b/crates/sandtrack-simulation/src/world/event_loop.rs
@@ -3,8 +3,8 @@
 use crate::log_lines;
 use crate::network::{Arrival, Item, Process};
 use crate::plan::Millis;
+use sandtrack_control::endpoint_poller::PageResult;
 use sandtrack_control::node::Input;
-use sandtrack_control::reader::Call;
 use sandtrack_sidecar_core::message::Message;
 use std::collections::VecDeque;
 
@@ -53,7 +53,7 @@
     Called {
         machine: usize,
         life: u64,
-        call: Call,
+        call: PageResult,
     },
     OperatorCall {
         machine: usize,
@@ -305,7 +305,7 @@
                     },
                 ) {
                     if self.machines[machine].control_life == life {
-                        self.input(machine, Input::Called(call));
+                        self.input(machine, Input::PageFetched(call));
                     }
                 }
             }
--- a/crates/sandtrack-simulation/src/world/operator_calls.rs
+++ b/crates/sandtrack-simulation/src/world/operator_calls.rs
@@ -5,9 +5,9 @@
 use crate::machine::ip;
 use crate::plan::{Acknowledged, Millis};
 use rand::Rng;
-use sandtrack_control::arrivals::Arrival as CallArrival;
-use sandtrack_control::control::Reply;
 use sandtrack_control::node::Input;
+use sandtrack_control::operator_api::call_age::Arrival as CallArrival;
+use sandtrack_control::operator_api::Reply;
 use sandtrack_sidecar_core::message::Message;
 use std::collections::BTreeMap;
 
--- a/crates/sandtrack-simulation/src/world/watch.rs
+++ b/crates/sandtrack-simulation/src/world/watch.rs
@@ -7,8 +7,8 @@
 use crate::network::Item;
 use crate::operators::{Outgoing, ACKNOWLEDGE_MS};
 use crate::plan::{Acknowledged, Millis};
-use sandtrack_control::arrivals::Arrival as CallArrival;
 use sandtrack_control::node::Input;
+use sandtrack_control::operator_api::call_age::Arrival as CallArrival;
 
 pub(super) const LOOK_MS: Millis = 50.0;
 /// The operators' list of machines lags by this, in ms.
