--- a/crates/sandtrack-control/tests/data_directory.rs
+++ b/crates/sandtrack-control/tests/data_directory.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::cluster::{upstream, Cluster};
 use common::{good, settings};
-use sandtrack_control::control_state::ControlState;
-use sandtrack_control::disk;
+use sandtrack_control::state_machine::ControlState;
+use sandtrack_control::wal_writer;
 use sandtrack_control::node::{ControlNode, Start};
 use sandtrack_replication::StateMachine;
 use sandtrack_wal::Wal;
@@ -84,7 +84,7 @@
 fn started(name: &str) -> ControlNode {
     let folder = folder(name);
     std::fs::copy(fixture().join(WAL), folder.join(WAL)).expect("a copy");
-    let (_wal, recovered) = disk::open(folder.to_str().expect("a path")).expect("a WAL");
+    let (_wal, recovered) = wal_writer::open(folder.to_str().expect("a path")).expect("a WAL");
     assert_eq!(
         std::fs::read_dir(&folder).expect("the folder").count(),
         1,
@@ -109,8 +109,8 @@
     let node = started("opened");
     let state = node.control_state();
     assert_eq!(state.version(), VERSION);
-    assert_eq!(state.evacuated().collect::<Vec<_>>(), EVACUATED);
-    let figures = node.figures(0.0);
+    assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED);
+    let figures = node.metrics_text(0.0);
     assert!(
         figures.contains(&format!("\nsandtrack_control_view_epoch {EPOCH}\n")),
         "{figures}"
--- a/crates/sandtrack-control/tests/frame_bytes.rs
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -4,11 +4,11 @@
 mod fixtures;
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use sandtrack_control::control_state::{Answer, Command, Form, Outcome, Question};
+use sandtrack_control::state_machine::{ChangeKind, Command, Outcome, Query, QueryResult};
 use sandtrack_control::peer_frames::{
-    Claim, Digest, Excerpt, Heartbeat, Hello, Member, PeerFrame, FORMAT,
+    PollerLease, Digest, EndpointUpdate, Heartbeat, Hello, Member, PeerFrame, FORMAT,
 };
-use sandtrack_protocol::frames::{frame, take, PromptSent, ProxyInfo, ProxyState, UpstreamEntry};
+use sandtrack_protocol::frames::{decode, encode, PromptSent, ProxyInfo, ProxyState, UpstreamEntry};
 use sandtrack_replication::Message;
 use std::fmt::Debug;
 
@@ -23,13 +23,13 @@
 ) {
     let encoded: Vec<_> = values
         .iter()
-        .map(|(name, value)| ((*name).to_owned(), frame(value)))
+        .map(|(name, value)| ((*name).to_owned(), encode(value)))
         .collect();
     fixtures::compare(PACKAGE, file, &encoded);
     for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
-        let (decoded, length) = take::<T>(bytes).expect("a frame").expect("a whole frame");
+        let (decoded, length) = decode::<T>(bytes).expect("a frame").expect("a whole frame");
         assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
-        assert_eq!(&frame(&decoded), bytes, "{name}");
+        assert_eq!(&encode(&decoded), bytes, "{name}");
     }
 }
 
@@ -53,38 +53,38 @@
         incarnation: 9,
         zone: "kita-hall".to_owned(),
         region: "ishikari".to_owned(),
-        front: "10.3.0.9:8161".to_owned(),
+        client_address: "10.3.0.9:8161".to_owned(),
     };
     Member {
         info,
         state: ProxyState {
             ready: true,
-            leaving: false,
+            draining: false,
             version: 7,
-            open: 3,
+            requests_in_flight: 3,
         },
     }
 }
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
-        claim: Claim {
+        lease: PollerLease {
             term: 7,
             holder: "10.1.0.1:7720".to_owned(),
         },
-        silent: true,
-        sessions: Digest {
+        holder_timed_out: true,
+        session_digest: Digest {
             count: 3,
             sum: 0x1122_3344_5566_7788,
         },
-        list_round: 9,
-        list: Digest { count: 4, sum: 5 },
-        leaving: false,
-        settled: true,
+        polls: 9,
+        endpoint_digest: Digest { count: 4, sum: 5 },
+        is_leaving: false,
+        knows_all_proxies: true,
     }
 }
 
-fn excerpt() -> Excerpt {
+fn excerpt() -> EndpointUpdate {
     let entry = UpstreamEntry {
         identifier: "i-7f3a91c2".to_owned(),
         service: "lm".to_owned(),
@@ -92,15 +92,15 @@
         zone: "kita-hall".to_owned(),
         slots: 64,
         draining: true,
-        cold_remaining_ms: 1500,
+        slow_start_remaining_ms: 1500,
         time_left_ms: Some(2500),
         models: vec!["m-1".to_owned()],
     };
-    Excerpt {
-        whole: false,
-        round: 2,
+    EndpointUpdate {
+        is_complete: false,
+        poll: 2,
         entries: vec![entry],
-        gone: vec!["i-1".to_owned()],
+        removed: vec!["i-1".to_owned()],
     }
 }
 
@@ -115,14 +115,14 @@
         (
             "sessions",
             PeerFrame::Sessions {
-                whole: true,
+                is_complete: true,
                 present: vec![member()],
                 gone,
             },
         ),
         ("want_sessions", PeerFrame::WantSessions),
-        ("list", PeerFrame::List(excerpt())),
-        ("want_list", PeerFrame::WantList),
+        ("list", PeerFrame::Endpoints(excerpt())),
+        ("want_list", PeerFrame::WantEndpoints),
         ("heartbeat", PeerFrame::Heartbeat(heartbeat())),
         (
             "prompts_sent",
@@ -160,8 +160,8 @@
                 begin: true,
             },
         ),
-        ("configure_replace", configure(Form::Replace)),
-        ("configure_update", configure(Form::Update)),
+        ("configure_replace", configure(ChangeKind::Replace)),
+        ("configure_update", configure(ChangeKind::Update)),
         (
             "set_evacuation",
             Command::SetEvacuation {
@@ -177,8 +177,8 @@
 #[test]
 fn outcomes_questions_and_answers_keep_their_bytes() {
     let outcomes = [
-        ("taken", Outcome::Taken { version: 7 }),
-        ("other", Outcome::Other { current: 8 }),
+        ("taken", Outcome::Accepted { version: 7 }),
+        ("other", Outcome::VersionConflict { current: 8 }),
         (
             "invalid",
             Outcome::Invalid {
@@ -188,17 +188,17 @@
             },
         ),
         ("superseded", Outcome::Superseded { number: 9 }),
-        ("forgotten", Outcome::Forgotten),
+        ("forgotten", Outcome::Unknown),
     ];
     compare("outcomes.hex", &outcomes);
     compare(
         "questions.hex",
         &[
-            ("configuration", Question::Configuration),
-            ("contact", Question::Contact),
+            ("configuration", Query::Configuration),
+            ("contact", Query::Liveness),
         ],
     );
-    compare::<Answer>(
+    compare::<QueryResult>(
         "answers.hex",
         &[("none", None), ("some", Some("{}".to_owned()))],
     );
--- a/crates/sandtrack-protocol/tests/frame_bytes.rs
+++ b/crates/sandtrack-protocol/tests/frame_bytes.rs
@@ -18,22 +18,22 @@
 ) {
     let encoded: Vec<_> = values
         .iter()
-        .map(|(name, value)| ((*name).to_owned(), frame(value)))
+        .map(|(name, value)| ((*name).to_owned(), encode(value)))
         .collect();
     fixtures::compare(PACKAGE, file, &encoded);
     for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
         let (decoded, length) = take::<T>(bytes).expect("a frame").expect("a whole frame");
         assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
-        assert_eq!(&frame(&decoded), bytes, "{name}");
+        assert_eq!(&encode(&decoded), bytes, "{name}");
     }
 }
 
 fn proxy_state() -> ProxyState {
     ProxyState {
         ready: true,
-        leaving: false,
+        draining: false,
         version: 0x0102_0304_0506_0708,
-        open: 0x090a_0b0c,
+        requests_in_flight: 0x090a_0b0c,
     }
 }
 
@@ -59,7 +59,7 @@
         incarnation: 0x1112_1314_1516_1718,
         zone: "odori-hall".to_owned(),
         region: "ishikari".to_owned(),
-        front: "10.1.0.9:8161".to_owned(),
+        client_address: "10.1.0.9:8161".to_owned(),
     };
     let values = [
         (
@@ -86,7 +86,7 @@
         zone: "kita-hall".to_owned(),
         slots: 64,
         draining: true,
-        cold_remaining_ms: 1500,
+        slow_start_remaining_ms: 1500,
         time_left_ms: Some(2500),
         models: vec!["m-1".to_owned(), "m-2".to_owned()],
     };
@@ -138,10 +138,10 @@
         (
             "upstreams",
             ToProxy::Upstreams {
-                whole: true,
-                round: 4,
+                is_complete: true,
+                poll: 4,
                 entries: vec![entry, on_demand],
-                gone: vec!["i-1".to_owned()],
+                removed: vec!["i-1".to_owned()],
             },
         ),
         (
@@ -152,7 +152,7 @@
                 rank: 3,
             },
         ),
-        ("beat", ToProxy::Beat { attached: true }),
+        ("beat", ToProxy::Heartbeat { attached: true }),
         ("prompts_sent", ToProxy::PromptsSent(prompts())),
     ];
     compare("to-proxy.hex", &values);
--- a/crates/sandtrack-replication/tests/message_bytes.rs
+++ b/crates/sandtrack-replication/tests/message_bytes.rs
@@ -152,7 +152,7 @@
     let member: Member = borsh::from_slice(&identity[1..]).expect("a member");
     for (name, record) in &records {
         let mut settings = Settings::new(&member.address, &[]);
-        settings.incarnation_if_new = member.incarnation + 1;
+        settings.new_incarnation = member.incarnation + 1;
         settings.first_start = false;
         let disk = vec![identity.clone(), record.clone()];
         let (replica, _) = Replica::new(settings, disk, Register::default(), 0.0);
