--- a/crates/sandtrack-control/tests/frame_bytes.rs
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -117,7 +117,7 @@
             PeerFrame::Sessions {
                 is_complete: true,
                 present: vec![member()],
-                gone,
+                removed: gone,
             },
         ),
         ("want_sessions", PeerFrame::WantSessions),
@@ -140,7 +140,7 @@
 fn commands_keep_their_bytes() {
     let (zone, body) = ("kita-hall".to_owned(), b"{}".to_vec());
     let configure = |form| Command::Configure {
-        form,
+        kind: form,
         based_on: 7,
         body: b"{}".to_vec(),
     };
--- a/crates/sandtrack-control/tests/status.rs
+++ b/crates/sandtrack-control/tests/status.rs
@@ -28,5 +28,5 @@
 fn the_metrics_keep_their_names() {
     let mut cluster = busy_cluster();
     let now = cluster.now;
-    approve("metrics", &cluster.control_node(1).figures(now));
+    approve("metrics", &cluster.control_node(1).metrics_text(now));
 }
