--- a/crates/sandtrack-protocol/src/configuration.rs
+++ b/crates/sandtrack-protocol/src/configuration.rs
@@ -160,31 +160,8 @@
             format!("routes `{}`.timeout_ms", item.name),
         ));
     }
-    let kind = match value.get_str("kind") {
-        Some("read_only") => RouteKind::ReadOnly,
-        Some("streaming") => RouteKind::Streaming,
-        // Whatever else it is, it may run once: the careful reading.
-        Some(_) => RouteKind::Mutating,
-        None => return Err(wrong("kind")),
-    };
-    let mut split = Vec::new();
-    if let Some(parts) = value.get_array("weighted_split") {
-        for part in parts.iter() {
-            let service = part
-                .get_str("service")
-                .ok_or_else(|| wrong("weighted_split"))?;
-            let weight = number(part, "weight").ok_or_else(|| wrong("weighted_split"))?;
-            split.push((service.to_owned(), weight));
-        }
-    } else {
-        split.push((text("service")?, 1.0));
-    }
-    if split.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-        return Err(ConfigurationError::new(
-            codes::NO_WEIGHT,
-            format!("routes `{}`.weighted_split", item.name),
-        ));
-    }
+    let kind = route_kind(value).ok_or_else(|| wrong("kind"))?;
+    let split = weighted_split(item)?;
     let homes = value
         .get_array("home_regions")
         .map(|homes| homes.iter())
@@ -209,6 +186,41 @@
     })
 }
 
+/// An unknown kind is treated as the strictest one: its requests are never retried.
+fn route_kind(value: &OwnedValue) -> Option<RouteKind> {
+    match value.get_str("kind")? {
+        "read_only" => Some(RouteKind::ReadOnly),
+        "streaming" => Some(RouteKind::Streaming),
+        _ => Some(RouteKind::Mutating),
+    }
+}
+
+/// The services of a route with their weights: `weighted_split`, or `service` alone.
+fn weighted_split(item: &Item) -> Result<Vec<(String, f64)>, ConfigurationError> {
+    let value = &item.value;
+    let wrong = |field: &str| bad("routes", item, field);
+    let mut split = Vec::new();
+    if let Some(parts) = value.get_array("weighted_split") {
+        for part in parts.iter() {
+            let service = part
+                .get_str("service")
+                .ok_or_else(|| wrong("weighted_split"))?;
+            let weight = number(part, "weight").ok_or_else(|| wrong("weighted_split"))?;
+            split.push((service.to_owned(), weight));
+        }
+    } else {
+        let service = value.get_str("service").ok_or_else(|| wrong("service"))?;
+        split.push((service.to_owned(), 1.0));
+    }
+    if split.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
+        return Err(ConfigurationError::new(
+            codes::NO_WEIGHT,
+            format!("routes `{}`.weighted_split", item.name),
+        ));
+    }
+    Ok(split)
+}
+
 fn service(item: &Item) -> Result<Service, ConfigurationError> {
     let value = &item.value;
     let engine = value
