--- a/crates/sandtrack-control/src/frame_connection.rs
+++ b/crates/sandtrack-control/src/frame_connection.rs
@@ -92,10 +92,10 @@
 pub async fn run<T: BorshDeserialize>(
     stream: &Async<TcpStream>,
     outgoing: &FrameReceiver,
-    told: impl FnMut(T),
+    on_received: impl FnMut(T),
 ) {
     let read = async {
-        match read_frames(stream, told).await {
+        match read_frames(stream, on_received).await {
             Ok(()) => {}
             Err(error) => log::debug!("a connection broke: {error}"),
         }
@@ -125,7 +125,7 @@
 
 async fn read_frames<T: BorshDeserialize>(
     stream: &Async<TcpStream>,
-    mut told: impl FnMut(T),
+    mut on_received: impl FnMut(T),
 ) -> io::Result<()> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
@@ -142,7 +142,7 @@
         while let Some((frame, length)) = frames::decode(&bytes[taken..])
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?
         {
-            told(frame);
+            on_received(frame);
             taken += length;
         }
         bytes.drain(..taken);
--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -33,7 +33,7 @@
 use crate::state_machine::ControlState;
 use crate::upstreams::Upstreams;
 use crate::Millis;
-use peer_links::Announced;
+use peer_links::AnnouncedPositions;
 use sandtrack_protocol::frames::ToControl;
 use sandtrack_protocol::settings::Settings;
 use sandtrack_replication::{self as replication, Replica, Timings};
@@ -164,11 +164,11 @@
     /// Clients that the directory has answered.
     resolutions: usize,
     /// How far the peers were told of sessions and the list.
-    announced: Announced,
+    announced: AnnouncedPositions,
     /// When the replica was caught up last; none since a freeze.
     last_caught_up: Option<Millis>,
     /// The last epoch in which the replica, in the chain, held all that was acknowledged.
-    held_all_in: Option<u64>,
+    complete_in_epoch: Option<u64>,
     started: Millis,
     /// It knows how many proxies there are: what holds over all of them may be shared out.
     knows_all_proxies: bool,
@@ -222,9 +222,9 @@
             calls: PendingCalls::new(now),
             call_log: CallLog::default(),
             resolutions: 0,
-            announced: Announced::default(),
+            announced: AnnouncedPositions::default(),
             last_caught_up: None,
-            held_all_in: None,
+            complete_in_epoch: None,
             started: now,
             knows_all_proxies: false,
             last_input: now,
--- a/crates/sandtrack-control/src/node/peer_links.rs
+++ b/crates/sandtrack-control/src/node/peer_links.rs
@@ -7,13 +7,13 @@
 use sandtrack_protocol::settings::{Settings, PEER_PORT_OFFSET, SESSION_PORT_OFFSET};
 use sandtrack_replication::{self as replication, Address, Message};
 
-/// How far all links were told: where nothing is new they are not looked through.
+/// Positions up to which all links were brought; while they are unchanged, the links need not be looked through.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Announced {
+pub(super) struct AnnouncedPositions {
     /// Place in the journal of the membership.
     membership: u64,
     /// Place in the journal of the platform's list.
-    list: u64,
+    endpoints: u64,
 }
 
 /// The links of the control nodes that the settings name, in their order.
@@ -60,7 +60,7 @@
         self.peer_link_event(now, heard, out);
     }
 
-    /// A peer is heard of from now on, or is no longer.
+    /// A link with a peer was established or lost.
     pub(super) fn peer_link_event(
         &mut self,
         now: Millis,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Tells a peer what is new, and that this control node is there.
+    /// Sends a peer the updates that it lacks, and a heartbeat.
     pub(super) fn send_heartbeat(&mut self, now: Millis, peer: &str, out: &mut Vec<Effect>) {
         let Some(link) = self.peers.link_to(peer) else {
             return;
@@ -244,29 +244,29 @@
         }
     }
 
-    /// Tells all peers what is new, if anything is.
+    /// Sends all peers what changed, if anything did.
     pub(super) fn announce_changes(&mut self, now: Millis, out: &mut Vec<Effect>) {
-        let ends = Announced {
+        let ends = AnnouncedPositions {
             membership: self.membership.end(),
-            list: self.upstreams.end(),
+            endpoints: self.upstreams.end(),
         };
         if std::mem::replace(&mut self.announced, ends) != ends {
             self.announce_to_all(now, out);
         }
     }
 
-    /// Tells all peers what each was not told yet.
+    /// Sends each peer the updates that it lacks.
     pub(super) fn announce_to_all(&mut self, now: Millis, out: &mut Vec<Effect>) {
         for (link, _) in self.peers.linked() {
             self.announce_to(now, link, out);
         }
     }
 
-    /// Tells the other end of a link what changed of the sessions here, and of the list if it is read here.
+    /// Sends the other end of a link what changed of the sessions here, and of the endpoints if they are polled here.
     fn announce_to(&mut self, now: Millis, link: u64, out: &mut Vec<Effect>) {
-        let ends = Announced {
+        let ends = AnnouncedPositions {
             membership: self.membership.end(),
-            list: self.upstreams.end(),
+            endpoints: self.upstreams.end(),
         };
         let tells_list = self.election.is_holder() && self.upstreams.polls() > 0;
         let Some((sessions, list)) = self.peers.announced(link) else {
@@ -277,9 +277,9 @@
             *sessions = Some(ends.membership);
             out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
-        if tells_list && *list != Some(ends.list) {
+        if tells_list && *list != Some(ends.endpoints) {
             let frame = PeerFrame::Endpoints(self.upstreams.update_since(now, *list));
-            *list = Some(ends.list);
+            *list = Some(ends.endpoints);
             out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
         if !tells_list {
--- a/crates/sandtrack-control/src/node/proxy_sessions.rs
+++ b/crates/sandtrack-control/src/node/proxy_sessions.rs
@@ -6,7 +6,7 @@
 use crate::Millis;
 use sandtrack_protocol::frames::{self, ProxyInfo, ProxyState, ToControl, ToProxy};
 
-/// After its start, in ms, it takes the proxies that have come for all that there are; sooner where a peer knows.
+/// This long after its start, in ms, a control node takes the proxies that it knows of for all of them; sooner where a peer does.
 const PROXY_DISCOVERY_MS: Millis = 2500.0;
 
 impl ControlNode {
@@ -86,7 +86,7 @@
         out.extend(actions.into_iter().map(Effect::Session));
     }
 
-    /// Tells the proxies what is new, if anything is.
+    /// Sends the proxies what changed, if anything did.
     pub(super) fn update_proxies(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let mut shared = SharedState {
             control_state: self.replica.machine(),
@@ -125,7 +125,7 @@
         out.extend(actions.into_iter().map(Effect::Session));
     }
 
-    /// Sends all proxies to other control nodes.
+    /// Closes all sessions, so that the proxies go to other control nodes.
     pub(super) fn close_proxy_sessions(&mut self, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         self.sessions
--- a/crates/sandtrack-control/src/node/quorum.rs
+++ b/crates/sandtrack-control/src/node/quorum.rs
@@ -39,7 +39,7 @@
         let is_confirmed =
             self.quorum_lease
                 .is_valid(now, me, self.replica.testimony(), self.replica.view());
-        self.has_quorum(now) && is_confirmed && self.replica.holds_all(self.held_all_in)
+        self.has_quorum(now) && is_confirmed && self.replica.holds_all(self.complete_in_epoch)
     }
 
     /// Addresses of the voters of the view.
--- a/crates/sandtrack-control/src/node/timers.rs
+++ b/crates/sandtrack-control/src/node/timers.rs
@@ -49,7 +49,7 @@
         if self.replica.is_caught_up() {
             self.last_caught_up = Some(now);
         }
-        self.held_all_in = self.held_all_in.max(self.replica.holds_all_in());
+        self.complete_in_epoch = self.complete_in_epoch.max(self.replica.holds_all_in());
         self.tick_peers(now, out);
         self.tick_sessions(now, out);
         self.membership.tick(now);
--- a/crates/sandtrack-control/src/platform_client.rs
+++ b/crates/sandtrack-control/src/platform_client.rs
@@ -24,7 +24,7 @@
 }
 
 /// Calls for one page after another until nobody wants any more.
-pub async fn run(wanted: async_channel::Receiver<Fetch>, told: impl Fn(PageResult)) {
+pub async fn run(wanted: async_channel::Receiver<Fetch>, on_received: impl Fn(PageResult)) {
     let mut kept: Option<(String, Async<TcpStream>)> = None;
     while let Ok(fetch) = wanted.recv().await {
         let reused = kept
@@ -39,7 +39,7 @@
             kept = None;
             called = within(call(&mut kept, &fetch)).await;
         }
-        told(called.unwrap_or_else(|why| {
+        on_received(called.unwrap_or_else(|why| {
             kept = None;
             PageResult::Failed(why)
         }));
--- a/crates/sandtrack-control/src/program/listeners.rs
+++ b/crates/sandtrack-control/src/program/listeners.rs
@@ -97,11 +97,15 @@
     runtime.executor.spawn(serving).detach();
 }
 
-/// Where it listens for the system's own traffic: at the address that others are told, unless something that passes the
+/// Where it listens for the system's own traffic: at the address that others are on_received, unless something that passes the
 /// traffic on stands there and `listen_addresses` names another one.
 fn internal_listener(settings: &Settings, name: &str, offset: u16) -> String {
-    let told = || settings.internal_address(&settings.ip_address, offset);
-    settings.listen.get(name).cloned().unwrap_or_else(told)
+    let on_received = || settings.internal_address(&settings.ip_address, offset);
+    settings
+        .listen
+        .get(name)
+        .cloned()
+        .unwrap_or_else(on_received)
 }
 
 fn spawn_control(
@@ -185,8 +189,8 @@
     outgoing: &frame_connection::FrameReceiver,
 ) {
     runtime.tell(Input::LinkOpened { link });
-    let told = |frame: PeerFrame| runtime.tell(Input::LinkFrame { link, frame });
-    frame_connection::run(stream, outgoing, told).await;
+    let on_received = |frame: PeerFrame| runtime.tell(Input::LinkFrame { link, frame });
+    frame_connection::run(stream, outgoing, on_received).await;
     runtime.links.borrow_mut().remove(&link);
     runtime.tell(Input::LinkClosed { link });
 }
@@ -214,8 +218,8 @@
     stream: &Async<TcpStream>,
     outgoing: &frame_connection::FrameReceiver,
 ) {
-    let told = |frame: ToControl| runtime.tell(Input::SessionFrame { session, frame });
-    frame_connection::run(stream, outgoing, told).await;
+    let on_received = |frame: ToControl| runtime.tell(Input::SessionFrame { session, frame });
+    frame_connection::run(stream, outgoing, on_received).await;
     runtime.sessions.borrow_mut().remove(&session);
     runtime.tell(Input::SessionClosed { session });
 }
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -23,7 +23,7 @@
     /// Numbers of the configuration and of the evacuations that it was sent, and its position in the endpoint log.
     configuration: Option<u64>,
     evacuation: Option<u64>,
-    list: Option<u64>,
+    endpoint_position: Option<u64>,
     /// The last census that it was sent.
     census: Option<ToProxy>,
     /// It was sent the first frame.
@@ -330,7 +330,7 @@
         if shared.may_push {
             pending.append(&mut self.held_back);
         }
-        let mut lists: BTreeMap<Option<u64>, Bytes> = BTreeMap::new();
+        let mut endpoint_frames: BTreeMap<Option<u64>, Bytes> = BTreeMap::new();
         let mut changes: BTreeMap<u64, Option<Bytes>> = BTreeMap::new();
         let Sessions {
             sessions,
@@ -371,23 +371,29 @@
             } else if session.lacks(shared.control_state) {
                 held_back.insert(*number);
             }
-            if shared.upstreams.polls() > 0 && session.list != Some(shared.upstreams.end()) {
-                let frame = lists.entry(session.list).or_insert_with(|| {
-                    let EndpointUpdate {
-                        is_complete,
-                        poll,
-                        entries,
-                        removed,
-                    } = shared.upstreams.update_since(now, session.list);
-                    bytes(&ToProxy::Upstreams {
-                        is_complete,
-                        poll,
-                        entries,
-                        removed,
-                    })
-                });
+            if shared.upstreams.polls() > 0
+                && session.endpoint_position != Some(shared.upstreams.end())
+            {
+                let frame = endpoint_frames
+                    .entry(session.endpoint_position)
+                    .or_insert_with(|| {
+                        let EndpointUpdate {
+                            is_complete,
+                            poll,
+                            entries,
+                            removed,
+                        } = shared
+                            .upstreams
+                            .update_since(now, session.endpoint_position);
+                        bytes(&ToProxy::Upstreams {
+                            is_complete,
+                            poll,
+                            entries,
+                            removed,
+                        })
+                    });
                 send(frame.clone());
-                session.list = Some(shared.upstreams.end());
+                session.endpoint_position = Some(shared.upstreams.end());
             }
         }
         // Nobody is told of a share in what holds over all before all are known.
