--- a/crates/sandtrack-control/src/node/quorum.rs
+++ b/crates/sandtrack-control/src/node/quorum.rs
@@ -1,5 +1,5 @@
-//! Whether a control node is attached: in contact with a majority of the voters of its view, and caught up. Proxies and
-//! the directory are told so, and nothing that was committed is passed on without it.
+//! Whether a control node has a quorum: it hears a majority of the voters of its view, and is caught up. On the wire, in the
+//! status and in metrics that is called `attached`. Without it no committed state is served.
 use super::ControlNode;
 use crate::Millis;
 use sandtrack_replication::Address;
@@ -32,14 +32,14 @@
         lately || self.replica.is_caught_up()
     }
 
-    /// Whether proxies may be given configurations and evacuations: the view was confirmed within the lease, and all that
-    /// was acknowledged in it is known here.
+    /// Whether proxies may be sent configurations and evacuations: the quorum lease is valid, and everything that was
+    /// acknowledged in the view is known here.
     pub fn may_push_configuration(&self, now: Millis) -> bool {
         let me = &self.peers.me.address;
         let is_confirmed =
             self.quorum_lease
-                .is_valid(now, me, self.replica.view_attestation(), self.replica.view());
-        self.has_quorum(now) && is_confirmed && self.replica.is_up_to_date(self.held_all_in)
+                .is_valid(now, me, self.replica.testimony(), self.replica.view());
+        self.has_quorum(now) && is_confirmed && self.replica.holds_all(self.complete_in_epoch)
     }
 
     /// Addresses of the voters of the view.
--- a/crates/sandtrack-control/src/platform_client.rs
+++ b/crates/sandtrack-control/src/platform_client.rs
@@ -1,5 +1,4 @@
-//! Calls to the platform for its list, over one connection that is kept. It owns that socket; when to call is decided
-//! elsewhere.
+//! The HTTP client of the platform's API, over one persistent connection.
 use crate::endpoint_poller::{Page, PageResult};
 use crate::frame_connection;
 use async_io::{Async, Timer};
@@ -25,7 +24,7 @@
 }
 
 /// Calls for one page after another until nobody wants any more.
-pub async fn run(wanted: async_channel::Receiver<Fetch>, told: impl Fn(PageResult)) {
+pub async fn run(wanted: async_channel::Receiver<Fetch>, on_received: impl Fn(PageResult)) {
     let mut kept: Option<(String, Async<TcpStream>)> = None;
     while let Ok(fetch) = wanted.recv().await {
         let reused = kept
@@ -40,7 +39,7 @@
             kept = None;
             called = within(call(&mut kept, &fetch)).await;
         }
-        told(called.unwrap_or_else(|why| {
+        on_received(called.unwrap_or_else(|why| {
             kept = None;
             PageResult::Failed(why)
         }));
