--- a/crates/sandtrack-proxy/src/shared.rs
+++ b/crates/sandtrack-proxy/src/context.rs
@@ -1,8 +1,8 @@
 //! What the tasks of a proxy share.
-use crate::outcomes::Outcomes;
 use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
-use crate::pool::Pool;
+use crate::telemetry::outcomes::Outcomes;
+use crate::upstream_connections::pool::Pool;
 use async_executor::LocalExecutor;
 use sandtrack_net::byte_budget::ByteBudget;
 use sandtrack_net::socket::Clock;
@@ -31,7 +31,7 @@
     }
 }
 
-pub struct Shared {
+pub struct ProxyContext {
     /// The constants that decisions go by.
     pub policy: Rc<Policy>,
     pub settings: RefCell<Settings>,
@@ -52,18 +52,18 @@
     pub connections: Cell<usize>,
 }
 
-impl Shared {
+impl ProxyContext {
     pub fn new(
         settings: Settings,
         balancer: Balancer,
         executor: Rc<LocalExecutor<'static>>,
         incarnation: u64,
         left: async_channel::Receiver<()>,
-    ) -> Shared {
+    ) -> ProxyContext {
         let (news_sender, news) = async_channel::bounded(1);
         let memory = Memory::of(&settings);
         let policy = balancer.policy.clone();
-        Shared {
+        ProxyContext {
             memory,
             settings: RefCell::new(settings),
             balancer: RefCell::new(balancer),
--- a/crates/sandtrack-proxy/src/session.rs
+++ b/crates/sandtrack-proxy/src/control_session/connection.rs
@@ -1,9 +1,11 @@
 //! The session with the control plane: this proxy is a member while it stands. Opened with the nearest control node that
 //! answers and hears a majority of its kind; opened anew elsewhere when that falls silent. What is decided is in
 //! `session_policy`; here are the sockets.
+use crate::context::ProxyContext;
+use crate::control_session::decisions::{
+    candidates, connect_timeout, judge_welcome, Accepted, Standing,
+};
 use crate::placement::balancer::Folded;
-use crate::session_policy::{candidates, connect_timeout, judge_welcome, Accepted, Standing};
-use crate::shared::Shared;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use sandtrack_net::ring::Ring;
@@ -88,11 +90,11 @@
 }
 
 /// Keeps a session for the life of the process.
-pub async fn run(shared: Rc<Shared>) {
+pub async fn run(context: Rc<ProxyContext>) {
     let mut vain_rounds: u32 = 0;
     loop {
-        let accepted = Accepted::in_round(shared.balancer.borrow().is_ready(), vain_rounds);
-        let mut session = seek(&shared, accepted, connect_timeout(vain_rounds), None).await;
+        let accepted = Accepted::in_round(context.balancer.borrow().is_ready(), vain_rounds);
+        let mut session = seek(&context, accepted, connect_timeout(vain_rounds), None).await;
         vain_rounds = if session.is_none() {
             vain_rounds + 1
         } else {
@@ -102,27 +104,27 @@
             Timer::after(PAUSE).await;
         }
         while let Some(held) = session {
-            session = hold(&shared, held).await;
+            session = hold(&context, held).await;
         }
     }
 }
 
 /// Asks one candidate after the other, but for the one that it is with.
 async fn seek(
-    shared: &Shared,
+    context: &ProxyContext,
     accepted: Accepted,
     patience: Duration,
     except: Option<&str>,
 ) -> Option<Session> {
     let tried = candidates(
-        &shared.settings.borrow(),
-        &shared.balancer.borrow().control_nodes,
+        &context.settings.borrow(),
+        &context.balancer.borrow().control_nodes,
     );
     for address in tried
         .iter()
         .filter(|address| Some(address.as_str()) != except)
     {
-        if let Some(session) = open(shared, address, accepted, patience).await {
+        if let Some(session) = open(context, address, accepted, patience).await {
             return Some(session);
         }
     }
@@ -131,7 +133,7 @@
 
 /// Opens a session with one control node; none where that does not answer or is not accepted.
 async fn open(
-    shared: &Shared,
+    context: &ProxyContext,
     address: &str,
     accepted: Accepted,
     patience: Duration,
@@ -143,7 +145,7 @@
     let connecting = Async::<TcpStream>::connect(address.parse::<SocketAddr>().ok()?);
     let stream = future::or(connecting, late).await.ok()?;
     no_delay(&stream);
-    if !write(&stream, &hello(shared)).await {
+    if !write(&stream, &hello(context)).await {
         return None;
     }
     let mut incoming = Incoming::new();
@@ -162,7 +164,7 @@
         return None;
     }
     log::info!("session with {control_node} stands");
-    let standing = RefCell::new(Standing::new(shared.clock.now(), *attached));
+    let standing = RefCell::new(Standing::new(context.clock.now(), *attached));
     Some(Session {
         address: address.to_owned(),
         stream,
@@ -171,11 +173,11 @@
     })
 }
 
-fn hello(shared: &Shared) -> ToControl {
-    let settings = shared.settings.borrow();
+fn hello(context: &ProxyContext) -> ToControl {
+    let settings = context.settings.borrow();
     let info = ProxyInfo {
         node_name: settings.node_name.clone(),
-        incarnation: shared.incarnation,
+        incarnation: context.incarnation,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         front: settings.listen.get("front").cloned().unwrap_or_default(),
@@ -183,12 +185,12 @@
     ToControl::Hello {
         format: FORMAT,
         info,
-        state: shared.balancer.borrow().state(),
+        state: context.balancer.borrow().state(),
     }
 }
 
 /// Holds a session until it breaks; a better one where such was found before that.
-async fn hold(shared: &Shared, session: Session) -> Option<Session> {
+async fn hold(context: &ProxyContext, session: Session) -> Option<Session> {
     let Session {
         address,
         stream,
@@ -197,14 +199,14 @@
     } = session;
     let (want, wants) = async_channel::unbounded();
     let telling = async {
-        tell(shared, &stream, wants).await;
+        tell(context, &stream, wants).await;
         None
     };
     let listening = async {
-        listen(shared, &stream, incoming, &standing, want).await;
+        listen(context, &stream, incoming, &standing, want).await;
         None
     };
-    let looking = look(shared, &address, &standing);
+    let looking = look(context, &address, &standing);
     future::or(
         listening,
         future::or(telling, async { Some(looking.await) }),
@@ -213,14 +215,14 @@
 }
 
 /// While its control node hears no majority, asks the others for one that does, and goes on with this one meanwhile.
-async fn look(shared: &Shared, address: &str, standing: &RefCell<Standing>) -> Session {
+async fn look(context: &ProxyContext, address: &str, standing: &RefCell<Standing>) -> Session {
     let mut vain_rounds = 0;
     loop {
         Timer::after(LOOK_EVERY).await;
-        let due = standing.borrow_mut().take_look(shared.clock.now());
+        let due = standing.borrow_mut().take_look(context.clock.now());
         if due {
             let patience = connect_timeout(vain_rounds);
-            if let Some(better) = seek(shared, Accepted::Attached, patience, Some(address)).await {
+            if let Some(better) = seek(context, Accepted::Attached, patience, Some(address)).await {
                 return better;
             }
             vain_rounds += 1;
@@ -237,7 +239,7 @@
 
 /// Says with each beat, and at once when something changed, how this proxy is. Returns when the session broke.
 async fn tell(
-    shared: &Shared,
+    context: &ProxyContext,
     stream: &Async<TcpStream>,
     wants: async_channel::Receiver<ToControl>,
 ) {
@@ -249,15 +251,15 @@
                 return;
             }
         }
-        let sent = shared.balancer.borrow_mut().take_prompts_sent();
-        if shared.policy.tells_prompts
+        let sent = context.balancer.borrow_mut().take_prompts_sent();
+        if context.policy.tells_prompts
             && !sent.is_empty()
             && !write(stream, &ToControl::PromptsSent(sent)).await
         {
             return;
         }
-        let now = shared.clock.now();
-        let state = shared.balancer.borrow().state();
+        let now = context.clock.now();
+        let state = context.balancer.borrow().state();
         let same = |a: &sandtrack_protocol::frames::ProxyState| {
             (a.ready, a.leaving, a.version) == (state.ready, state.leaving, state.version)
         };
@@ -268,7 +270,7 @@
             (told, told_at) = (Some(state), now);
         }
         let wanted = async {
-            let _ = shared.news.recv().await;
+            let _ = context.news.recv().await;
         };
         let beat = async {
             Timer::after(Duration::from_millis(BEAT_MS)).await;
@@ -279,24 +281,24 @@
 
 /// Takes what control tells until the session breaks.
 async fn listen(
-    shared: &Shared,
+    context: &ProxyContext,
     stream: &Async<TcpStream>,
     mut incoming: Incoming,
     standing: &RefCell<Standing>,
     want: async_channel::Sender<ToControl>,
 ) {
     while let Some(message) = incoming.next(stream).await {
-        let now = shared.clock.now();
+        let now = context.clock.now();
         if let ToProxy::Beat { attached } = &message {
             standing.borrow_mut().beat(now, *attached);
         }
-        let folded = shared.balancer.borrow_mut().fold(now, message);
+        let folded = context.balancer.borrow_mut().fold(now, message);
         if folded == Folded::WantConfiguration {
             let _ = want.try_send(ToControl::WantConfiguration);
-            shared.tell_news();
+            context.tell_news();
         }
-        if std::mem::take(&mut shared.balancer.borrow_mut().changed) {
-            shared.tell_news();
+        if std::mem::take(&mut context.balancer.borrow_mut().changed) {
+            context.tell_news();
         }
     }
 }
--- a/crates/sandtrack-proxy/src/attempt.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt.rs
@@ -1,14 +1,15 @@
 //! One send of a request to one upstream: opens or takes a connection, writes the request and reads the answer, a step at a
 //! time. What a step's outcome means is decided in `exchange_state`.
-use crate::exchange::{ask, next, written_head, Asked, Waited};
-use crate::exchange_state::{AnswerId, Broke, HeadFacts, SendEvent, Terms};
+use crate::context::ProxyContext;
+use crate::exchange::state::{AnswerId, HeadFacts, SendEvent, Terms};
 use crate::placement::balancer::Ended;
 use crate::placement::prefill::Estimate;
 use crate::placement::upstreams::Load;
 use crate::policy::Policy;
-use crate::pool::{connect, kept_for, Connection};
 use crate::request::ProxyRequest;
-use crate::shared::Shared;
+use crate::upstream_connections::pool::{connect, kept_for, Connection};
+use crate::upstream_connections::response_error::ResponseError;
+use crate::upstream_connections::wire::{ask, next, written_head, Asked, Waited};
 use sandtrack_net::byte_budget::Held;
 use sandtrack_net::http::Part;
 use sandtrack_sidecar_core::message::Head;
@@ -19,15 +20,15 @@
 
 /// Tells the balancer when a send is over, whatever becomes of it.
 struct Reported<'a> {
-    shared: &'a Shared,
+    context: &'a ProxyContext,
     place: usize,
     ended: Ended,
 }
 
 impl Drop for Reported<'_> {
     fn drop(&mut self) {
-        let now = self.shared.clock.now();
-        self.shared
+        let now = self.context.clock.now();
+        self.context
             .balancer
             .borrow_mut()
             .ended(now, self.place, self.ended);
@@ -43,7 +44,7 @@
 }
 
 pub struct Attempt<'a> {
-    shared: &'a Shared,
+    context: &'a ProxyContext,
     request: &'a ProxyRequest,
     terms: Terms,
     upstream: Upstream,
@@ -71,21 +72,21 @@
 
 impl Body {
     /// One of which nothing has come.
-    fn of(shared: &Shared) -> Body {
+    fn of(context: &ProxyContext) -> Body {
         Body {
             bytes: Vec::new(),
-            held: shared.memory.answers.message(),
+            held: context.memory.answers.message(),
         }
     }
 
     /// Takes a piece; no where it is too long, or the process has no room for it.
-    fn take(&mut self, piece: &[u8]) -> Result<(), Broke> {
+    fn take(&mut self, piece: &[u8]) -> Result<(), ResponseError> {
         if self.bytes.len() + piece.len() > ANSWER_MAX {
-            return Err(Broke::Spoilt);
+            return Err(ResponseError::Malformed);
         }
         match self.held.extend(&mut self.bytes, piece) {
             true => Ok(()),
-            false => Err(Broke::NoMemory),
+            false => Err(ResponseError::OutOfMemory),
         }
     }
 }
@@ -93,19 +94,19 @@
 impl<'a> Attempt<'a> {
     /// Counts from here on as a send at its upstream.
     pub fn new(
-        shared: &'a Shared,
+        context: &'a ProxyContext,
         request: &'a ProxyRequest,
         terms: Terms,
         place: usize,
         reuse: bool,
         resume: Option<u64>,
     ) -> Attempt<'a> {
-        let mut balancer = shared.balancer.borrow_mut();
+        let mut balancer = context.balancer.borrow_mut();
         balancer.sent(place);
-        let estimate = balancer.prompt_sent(shared.clock.now(), request, place);
+        let estimate = balancer.prompt_sent(context.clock.now(), request, place);
         let connection_share = balancer.connection_share(place);
         if estimate.is_some() {
-            shared.tell_news();
+            context.tell_news();
         }
         let known = balancer.upstreams.get(place);
         let upstream = Upstream {
@@ -114,7 +115,7 @@
             connection_share,
         };
         Attempt {
-            shared,
+            context,
             request,
             terms,
             upstream,
@@ -122,7 +123,7 @@
             resume,
             connection: None,
             reported: Reported {
-                shared,
+                context,
                 place,
                 ended: Ended::GivenUp,
             },
@@ -130,7 +131,7 @@
             asked: None,
             written: false,
             head: None,
-            body: Body::of(shared),
+            body: Body::of(context),
         }
     }
 
@@ -150,7 +151,7 @@
 
     /// Whether its upstream is in another region.
     pub fn is_far(&self) -> bool {
-        let balancer = self.shared.balancer.borrow();
+        let balancer = self.context.balancer.borrow();
         balancer.upstreams.get(self.reported.place).region != balancer.region
     }
 
@@ -163,7 +164,7 @@
         let head = self.head.take()?;
         Some((
             head,
-            std::mem::replace(&mut self.body, Body::of(self.shared)),
+            std::mem::replace(&mut self.body, Body::of(self.context)),
         ))
     }
 
@@ -186,17 +187,17 @@
             .headers
             .get("cold-remaining")
             .and_then(|value| value.trim().parse().ok());
-        self.shared
+        self.context
             .balancer
             .borrow_mut()
-            .told(self.shared.clock.now(), self.place(), load, cold);
+            .told(self.context.clock.now(), self.place(), load, cold);
     }
 
     /// How long the first part of the answer took.
     pub fn note_pace(&self) {
         if let Some(asked) = self.asked {
-            let elapsed = self.shared.clock.now() - asked;
-            self.shared.balancer.borrow_mut().paced(
+            let elapsed = self.context.clock.now() - asked;
+            self.context.balancer.borrow_mut().paced(
                 self.request,
                 self.place(),
                 elapsed,
@@ -214,8 +215,8 @@
     pub fn pool(&mut self, ended: Ended) {
         self.reported.ended = ended;
         if let (Some(connection), Some(head)) = (self.connection.take(), &self.head) {
-            let now = self.shared.clock.now();
-            self.shared
+            let now = self.context.clock.now();
+            self.context
                 .pool
                 .borrow_mut()
                 .give(&self.upstream.identifier, connection, head, now);
@@ -223,37 +224,37 @@
     }
 
     async fn connect(&mut self) -> SendEvent {
-        let (shared, clock) = (self.shared, self.shared.clock);
+        let (context, clock) = (self.context, self.context.clock);
         let identifier = self.upstream.identifier.as_str();
         let now = clock.now();
         let reuse = self.reuse
-            || shared
+            || context
                 .balancer
                 .borrow()
                 .is_proven_alive(now, self.reported.place);
         let idle = reuse
-            .then(|| shared.pool.borrow_mut().take(identifier, now))
+            .then(|| context.pool.borrow_mut().take(identifier, now))
             .flatten();
         if let Some(connection) = idle {
             let reused = connection.reused;
             self.connection = Some(connection);
             return SendEvent::Connected { reused };
         }
-        let full = shared.pool.borrow().open(identifier) >= self.upstream.connection_share;
-        if full && !shared.pool.borrow_mut().drop_idle(identifier) {
+        let full = context.pool.borrow().open(identifier) >= self.upstream.connection_share;
+        if full && !context.pool.borrow_mut().drop_idle(identifier) {
             return SendEvent::NoConnection { share_full: true };
         }
         let place = self.reported.place;
-        let patience = shared
+        let patience = context
             .balancer
             .borrow()
             .connect_timeout(self.request, place);
         let patience = patience.min(self.request.left(now));
-        match connect(&shared.pool, identifier, &self.upstream.address, patience).await {
+        match connect(&context.pool, identifier, &self.upstream.address, patience).await {
             Ok(connection) => {
                 self.connection = Some(connection);
                 let elapsed = clock.now() - now;
-                shared
+                context
                     .balancer
                     .borrow_mut()
                     .note_trip(clock.now(), place, elapsed);
@@ -265,7 +266,7 @@
                     self.request.id
                 );
                 if error.kind() == std::io::ErrorKind::TimedOut {
-                    shared
+                    context
                         .balancer
                         .borrow_mut()
                         .connect_timed_out(clock.now(), place);
@@ -279,7 +280,7 @@
         let Some(connection) = &self.connection else {
             return SendEvent::WriteFailed;
         };
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         self.asked = Some(now);
         let left = self.request.left(now);
         let head = written_head(
@@ -287,7 +288,7 @@
             &self.upstream.identifier,
             left,
             self.resume,
-            self.shared.policy.urgency,
+            self.context.policy.urgency,
         );
         match ask(connection, &head, &self.request.body, left).await {
             Asked::Written => {
@@ -303,19 +304,19 @@
     async fn read(&mut self) -> SendEvent {
         loop {
             let Some(connection) = &mut self.connection else {
-                return SendEvent::Broke(Broke::Connection);
+                return SendEvent::Broke(ResponseError::ConnectionLost);
             };
-            let waited = next(connection, self.shared.clock, self.request.deadline).await;
+            let waited = next(connection, self.context.clock, self.request.deadline).await;
             if matches!(waited, Waited::Part(_)) {
-                self.shared
+                self.context
                     .balancer
                     .borrow_mut()
-                    .heard(self.shared.clock.now(), self.reported.place);
+                    .heard(self.context.clock.now(), self.reported.place);
             }
             let is_wordless = connection.reused && self.head.is_none();
-            if is_wordless && matches!(waited, Waited::Broke(Broke::Connection)) {
-                let now = self.shared.clock.now();
-                self.shared
+            if is_wordless && matches!(waited, Waited::Broke(ResponseError::ConnectionLost)) {
+                let now = self.context.clock.now();
+                self.context
                     .balancer
                     .borrow_mut()
                     .idle_connection_broke(now, self.reported.place);
@@ -324,7 +325,7 @@
                 Waited::Broke(broke) => return SendEvent::Broke(broke),
                 Waited::Time => return SendEvent::TimeOver,
                 Waited::Part(Part::Head(_)) if self.head.is_some() => {
-                    return SendEvent::Broke(Broke::Spoilt)
+                    return SendEvent::Broke(ResponseError::Malformed)
                 }
                 Waited::Part(Part::Head(head)) => return SendEvent::Head(self.took_head(head)),
                 Waited::Part(Part::End) => {
@@ -351,7 +352,7 @@
     }
 
     fn took_head(&mut self, head: Head) -> HeadFacts {
-        let facts = head_facts(&head, &self.request.id, &self.shared.policy);
+        let facts = head_facts(&head, &self.request.id, &self.context.policy);
         let turned_away = facts.not_executed || facts.status == 421;
         let is_anothers = match facts.id {
             AnswerId::Own => false,
--- a/crates/sandtrack-proxy/src/carry.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward.rs
@@ -1,17 +1,17 @@
 //! Carries one request: does what [`Exchange`] decides, and tells it what happened. It owns the sends that are under way.
-use crate::answers::{come_back_after, Client};
-use crate::attempt::{head_facts, Attempt, Body};
-use crate::events::GivenIds;
-use crate::exchange_state::{
+use crate::context::ProxyContext;
+use crate::exchange::attempt::{head_facts, Attempt, Body};
+use crate::exchange::client_response::{come_back_after, Client};
+use crate::exchange::event_stream::GivenIds;
+use crate::exchange::request_log::RequestLog;
+use crate::exchange::state::{
     is_promise, Action, AnswerId, Exchange, Final, Input, Phase, SendEvent, SendId, Terms, Watched,
     SENDS,
 };
-use crate::outcomes::Outcome;
 use crate::placement::balancer::Ended;
 use crate::placement::choice::Placed;
 use crate::request::ProxyRequest;
-use crate::request_log::RequestLog;
-use crate::shared::Shared;
+use crate::telemetry::outcomes::Outcome;
 use async_io::Timer;
 use futures_lite::future;
 use sandtrack_invariants::{check, Invariant};
@@ -86,7 +86,7 @@
 
 /// One request on its way.
 struct Carried<'a> {
-    shared: &'a Shared,
+    context: &'a ProxyContext,
     request: &'a ProxyRequest,
     client: Client<'a>,
     terms: Terms,
@@ -107,18 +107,18 @@
 }
 
 /// Carries the request and answers on `client`; whether that connection can be used on.
-pub async fn carry(shared: &Shared, request: &ProxyRequest, client: Client<'_>) -> bool {
-    shared
+pub async fn carry(context: &ProxyContext, request: &ProxyRequest, client: Client<'_>) -> bool {
+    context
         .balancer
         .borrow_mut()
-        .came(shared.clock.now(), request);
+        .came(context.clock.now(), request);
     let terms = Terms {
         idempotent: request.is_idempotent(),
         streaming: request.is_stream(),
         attempts: request.route.attempts,
     };
     let carried = Carried {
-        shared,
+        context,
         request,
         client,
         terms,
@@ -128,7 +128,7 @@
         watch: None,
         failure: None,
         whole: None,
-        log: RequestLog::new(shared, request),
+        log: RequestLog::new(context, request),
         given: GivenIds::default(),
         last_piece: request.arrived,
     };
@@ -166,7 +166,7 @@
                 resume,
             } => {
                 let attempt =
-                    Attempt::new(self.shared, self.request, self.terms, place, reuse, resume);
+                    Attempt::new(self.context, self.request, self.terms, place, reuse, resume);
                 self.log.send_begins(attempt.identifier().to_owned());
                 self.lanes[send] = Lane::Paused(Box::new(attempt));
             }
@@ -189,7 +189,7 @@
                 bytes,
                 ends,
             } => {
-                let patience = self.request.left(self.shared.clock.now()) + LAST_PIECE;
+                let patience = self.request.left(self.context.clock.now()) + LAST_PIECE;
                 let rises = self.given.note(&bytes);
                 check(Invariant::EventsRise, rises, || {
                     format!("{} at {:?}", self.request.id, self.given)
@@ -229,7 +229,7 @@
 
     /// A piece of a stream goes to the client: its lateness is counted.
     fn note_piece(&mut self, send: SendId, begins: bool) {
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         let pause = now - std::mem::replace(&mut self.last_piece, now);
         if begins {
             self.note_answer_begins(send);
@@ -290,7 +290,7 @@
 
     /// Checks that an upstream's answer that is passed on is one to this request.
     fn check_is_own(&self, head: &Head) {
-        let facts = head_facts(head, &self.request.id, &self.shared.policy);
+        let facts = head_facts(head, &self.request.id, &self.context.policy);
         let is_own = facts.id == AnswerId::Own && (facts.sealed || !facts.is_success());
         check(
             Invariant::AnswerIsItsRequests,
@@ -303,10 +303,10 @@
     async fn find_place(&self) -> Input {
         let request = self.request;
         let hold = (request.route.target_latency_ms).min(request.left(request.arrived))
-            * self.shared.policy.hold;
+            * self.context.policy.hold;
         let refuse_at = request.arrived + hold;
         loop {
-            let now = self.shared.clock.now();
+            let now = self.context.clock.now();
             if now >= request.deadline {
                 return Input::TimeOver;
             }
@@ -319,16 +319,16 @@
                 };
             }
             let refused = now >= refuse_at && self.exchange.refuses_early();
-            if refused || now + self.shared.policy.look_again_ms >= request.deadline {
+            if refused || now + self.context.policy.look_again_ms >= request.deadline {
                 return Input::NoRoom;
             }
-            sleep(self.shared.policy.look_again_ms).await;
+            sleep(self.context.policy.look_again_ms).await;
         }
     }
 
     fn place(&self, now: Millis, tried: &[usize]) -> Option<usize> {
         match self
-            .shared
+            .context
             .balancer
             .borrow_mut()
             .place(now, self.request, tried)
@@ -340,7 +340,7 @@
 
     /// One more send beyond the first, if the budget has it.
     fn pay(&self, now: Millis) -> bool {
-        self.shared
+        self.context
             .balancer
             .borrow_mut()
             .may_repeat(now, &self.request.service)
@@ -374,11 +374,11 @@
 
     /// Looks whether the watched send is silent, and whether it may be raced at another upstream.
     fn look(&mut self) -> Option<usize> {
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         let watch = self.watch.as_mut()?;
         let place = watch.watched.place;
         let healthy = self
-            .shared
+            .context
             .balancer
             .borrow()
             .upstreams
@@ -387,20 +387,20 @@
             .is_healthy();
         if now < watch.silent_at && healthy {
             watch.look.set_at(
-                self.shared.clock.at(watch
+                self.context.clock.at(watch
                     .silent_at
-                    .min(now + self.shared.policy.suspect_look_ms)),
+                    .min(now + self.context.policy.suspect_look_ms)),
             );
             return None;
         }
         watch.silent_at = now;
         watch.look.set_at(
-            self.shared
+            self.context
                 .clock
-                .at(now + self.shared.policy.suspect_look_ms),
+                .at(now + self.context.policy.suspect_look_ms),
         );
-        self.shared.balancer.borrow_mut().suspect(now, place);
-        if !self.exchange.may_race() || !self.shared.policy.races {
+        self.context.balancer.borrow_mut().suspect(now, place);
+        if !self.exchange.may_race() || !self.context.policy.races {
             return None;
         }
         let mut tried = self.tried.clone();
@@ -412,7 +412,7 @@
     /// Silence counts from the last thing that the watched send relayed, or from its start. `from`: the send that something
     /// happened to.
     fn set_watch(&mut self, from: Option<SendId>) {
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         let Some(watched) = self.exchange.watched() else {
             self.watch = None;
             return;
@@ -422,18 +422,18 @@
         if let Some(watch) = self.watch.as_mut().filter(|watch| watch.watched == watched) {
             if relayed {
                 // It is looked when it would have been: that is before this silence is over.
-                watch.silent_at = now + longest_pause(self.shared, self.request, watched.place);
+                watch.silent_at = now + longest_pause(self.context, self.request, watched.place);
             }
             return;
         }
-        let clock = self.shared.clock;
+        let clock = self.context.clock;
         let (silent_at, look_at) = if relaying && !relayed {
             // The one that raced it came to nothing: it is silent still.
-            (now, now + self.shared.policy.suspect_look_ms)
+            (now, now + self.context.policy.suspect_look_ms)
         } else {
             let silent_at = now + self.patience(relaying, watched.place);
             let healthy = self
-                .shared
+                .context
                 .balancer
                 .borrow()
                 .upstreams
@@ -443,7 +443,7 @@
             (
                 silent_at,
                 if healthy {
-                    silent_at.min(now + self.shared.policy.suspect_look_ms)
+                    silent_at.min(now + self.context.policy.suspect_look_ms)
                 } else {
                     now
                 },
@@ -459,17 +459,17 @@
     /// How long the send at this place may be silent from now on, in ms.
     fn patience(&self, relaying: bool, place: usize) -> Millis {
         if relaying {
-            longest_pause(self.shared, self.request, place)
+            longest_pause(self.context, self.request, place)
         } else {
-            self.shared.balancer.borrow().patience(self.request, place)
+            self.context.balancer.borrow().patience(self.request, place)
         }
     }
 }
 
 /// A stream that pauses for longer is silent, in ms.
-fn longest_pause(shared: &Shared, request: &ProxyRequest, place: usize) -> Millis {
+fn longest_pause(context: &ProxyContext, request: &ProxyRequest, place: usize) -> Millis {
     let aim = request.route.gap_aim_ms.unwrap_or(GAP_AIM);
-    let average = shared
+    let average = context
         .balancer
         .borrow()
         .upstreams
@@ -477,7 +477,7 @@
         .average
         .get()
         .unwrap_or(0.0);
-    aim * shared.policy.pause + 2.0 * average
+    aim * context.policy.pause + 2.0 * average
 }
 
 async fn sleep(time: Millis) {
--- a/crates/sandtrack-proxy/src/request_log.rs
+++ b/crates/sandtrack-proxy/src/exchange/request_log.rs
@@ -1,17 +1,17 @@
 //! One request in the log: told where its client did not get an upstream's good answer, with every upstream that it was at.
 //! Lines are bounded, so that an overload is not made worse by its log.
-use crate::lateness::Timeline;
-use crate::outcomes::Outcome;
+use crate::context::ProxyContext;
 use crate::placement::balancer::Ended;
 use crate::request::ProxyRequest;
-use crate::shared::Shared;
+use crate::telemetry::latency_cause::Timeline;
+use crate::telemetry::outcomes::Outcome;
 use sandtrack_protocol::codes::Code;
 use sandtrack_tiers::Millis;
 use std::fmt::Write;
 
 /// One request on its way: whatever becomes of it is counted once, and told where it is no good end.
 pub struct RequestLog<'a> {
-    shared: &'a Shared,
+    context: &'a ProxyContext,
     request: &'a ProxyRequest,
     sends: Vec<Send>,
     is_over: bool,
@@ -27,9 +27,9 @@
 
 impl<'a> RequestLog<'a> {
     /// A request that begins to be carried.
-    pub fn new(shared: &'a Shared, request: &'a ProxyRequest) -> RequestLog<'a> {
+    pub fn new(context: &'a ProxyContext, request: &'a ProxyRequest) -> RequestLog<'a> {
         RequestLog {
-            shared,
+            context,
             request,
             sends: Vec::new(),
             is_over: false,
@@ -40,15 +40,15 @@
     pub fn send_begins(&mut self, identifier: String) {
         self.sends.push(Send {
             identifier,
-            begun: self.shared.clock.now(),
+            begun: self.context.clock.now(),
             ended: None,
         });
     }
 
     /// A send of it is over.
     pub fn send_over(&mut self, identifier: &str, ended: Ended) {
-        self.shared.outcomes.borrow_mut().note_send(ended);
-        let now = self.shared.clock.now();
+        self.context.outcomes.borrow_mut().note_send(ended);
+        let now = self.context.clock.now();
         let mut under_way = self.sends.iter_mut().filter(|send| send.ended.is_none());
         if let Some(send) = under_way.find(|send| send.identifier == identifier) {
             send.ended = Some((ended, now));
@@ -58,7 +58,7 @@
     /// The first part of its answer is there, of a send that was begun to be written at `asked` to an upstream in another region
     /// (`far`).
     pub fn answer_begins(&mut self, identifier: &str, asked: Millis, far: bool) {
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         let request = self.request;
         if now - request.arrived <= request.route.target_latency_ms {
             return;
@@ -78,14 +78,17 @@
             far,
         };
         let cause = timeline.cause();
-        let mut outcomes = self.shared.outcomes.borrow_mut();
+        let mut outcomes = self.context.outcomes.borrow_mut();
         outcomes.note_late_first_part(cause);
         if let Some(left_out) = outcomes.take_line(now) {
             let mut line = self.ways();
             let counts = request.tokens.map_or(0, |(prompt, _)| prompt);
-            let shared = request.shared_tokens();
+            let shared_tokens = request.shared_tokens();
             // Writing into memory can't fail.
-            let _ = write!(line, "; prompt of {counts} tokens, {shared} of them shared");
+            let _ = write!(
+                line,
+                "; prompt of {counts} tokens, {shared_tokens} of them shared"
+            );
             let what = format!("begins late by {}", cause.name());
             log::info!(
                 "{}{}",
@@ -97,8 +100,8 @@
 
     /// Its stream paused for longer than its route's aim.
     pub fn paused(&mut self, pause: Millis) {
-        let now = self.shared.clock.now();
-        let mut outcomes = self.shared.outcomes.borrow_mut();
+        let now = self.context.clock.now();
+        let mut outcomes = self.context.outcomes.borrow_mut();
         outcomes.note_late_pause();
         if let Some(left_out) = outcomes.take_line(now) {
             let what = format!("paused for {pause:.0} ms");
@@ -115,8 +118,8 @@
         if std::mem::replace(&mut self.is_over, true) {
             return;
         }
-        let now = self.shared.clock.now();
-        let mut outcomes = self.shared.outcomes.borrow_mut();
+        let now = self.context.clock.now();
+        let mut outcomes = self.context.outcomes.borrow_mut();
         outcomes.note(outcome, now - self.request.deadline);
         if outcome.is_good() {
             return;
@@ -174,9 +177,9 @@
 }
 
 /// Counts and tells a request that this process answers before it carries it.
-pub fn refused(shared: &Shared, id: &str, status: u16, why: Code) {
-    let now = shared.clock.now();
-    let mut outcomes = shared.outcomes.borrow_mut();
+pub fn refused(context: &ProxyContext, id: &str, status: u16, why: Code) {
+    let now = context.clock.now();
+    let mut outcomes = context.outcomes.borrow_mut();
     let outcome = Outcome::Own(status, why);
     outcomes.note(outcome, 0.0);
     if let Some(left_out) = outcomes.take_line(now) {
--- a/crates/sandtrack-proxy/src/exchange_state.rs
+++ b/crates/sandtrack-proxy/src/exchange/state.rs
@@ -6,11 +6,11 @@
 //! `docs/system/exchange.md` names the test that falls for each guard here.
 mod messages;
 
-use crate::events::{Scanned, Scanner};
+use crate::exchange::event_stream::{Scanned, Scanner};
 use crate::placement::balancer::Ended;
+use crate::upstream_connections::response_error::ResponseError;
 pub use messages::{
-    is_promise, may_use_idle, Action, AnswerId, Broke, Final, HeadFacts, Input, SendEvent, SendId,
-    Terms, SENDS,
+    is_promise, Action, AnswerId, Final, HeadFacts, Input, SendEvent, SendId, Terms, SENDS,
 };
 use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::codes::{self, Code};
@@ -268,11 +268,11 @@
                 // A connection that stood idle and broke without a word says nothing of its upstream.
                 let wordless = send.reused && stage == Stage::AwaitingHead;
                 let ended = match broke {
-                    Broke::Spoilt => Ended::Faulty,
+                    ResponseError::Malformed => Ended::Faulty,
                     // It is no fault of its upstream.
-                    Broke::NoMemory => Ended::GivenUp,
-                    Broke::Connection if wordless => Ended::GivenUp,
-                    Broke::Connection => Ended::Broken,
+                    ResponseError::OutOfMemory => Ended::GivenUp,
+                    ResponseError::ConnectionLost if wordless => Ended::GivenUp,
+                    ResponseError::ConnectionLost => Ended::Broken,
                 };
                 self.fail(id, ended, actions);
             }
--- a/crates/sandtrack-proxy/src/exchange_state/messages.rs
+++ b/crates/sandtrack-proxy/src/exchange/state/messages.rs
@@ -1,5 +1,6 @@
 //! What an exchange is told and what it asks for: plain data, and what is read off it alone. Pure.
 use crate::placement::balancer::Ended;
+use crate::upstream_connections::response_error::ResponseError;
 use sandtrack_protocol::codes::Code;
 
 /// Which of the two sends that may be under way.
@@ -64,17 +65,6 @@
     }
 }
 
-/// Why an answer came to nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broke {
-    /// The connection ended or broke.
-    Connection,
-    /// What came is no answer, or not the answer to this request.
-    Spoilt,
-    /// This process has no room for the answer.
-    NoMemory,
-}
-
 /// What happened to a send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SendEvent {
@@ -97,7 +87,7 @@
     End {
         surplus: bool,
     },
-    Broke(Broke),
+    Broke(ResponseError),
     /// The request's time is over.
     TimeOver,
 }
@@ -173,13 +163,3 @@
 pub fn is_promise(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
-
-/// An idle connection may be used: its upstream does not close it soon, and nothing came on it, no end either. Whatever
-/// comes while nothing was asked belongs to no request.
-pub fn may_use_idle(
-    quiet: bool,
-    now: sandtrack_tiers::Millis,
-    until: sandtrack_tiers::Millis,
-) -> bool {
-    quiet && now < until
-}
--- a/crates/sandtrack-proxy/src/probing.rs
+++ b/crates/sandtrack-proxy/src/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health probes: asks upstreams that are due, each in a task of its own.
+use crate::context::ProxyContext;
 use crate::placement::upstreams::Load;
-use crate::pool::connect;
-use crate::shared::Shared;
+use crate::upstream_connections::pool::connect;
 use async_io::Timer;
 use futures_lite::future;
 use sandtrack_net::http::Part;
@@ -16,26 +16,26 @@
 const TICK: Duration = Duration::from_millis(50);
 
 /// Probes for the life of the process.
-pub async fn run(shared: Rc<Shared>) {
+pub async fn run(context: Rc<ProxyContext>) {
     loop {
-        let now = shared.clock.now();
-        let due = shared.balancer.borrow_mut().probes_due(now);
+        let now = context.clock.now();
+        let due = context.balancer.borrow_mut().probes_due(now);
         for (place, address, path) in due {
-            let probing = shared.clone();
-            shared
+            let probing = context.clone();
+            context
                 .executor
                 .spawn(async move { probe(probing, place, address, path).await })
                 .detach();
         }
-        shared.pool.borrow_mut().sweep(now);
+        context.pool.borrow_mut().sweep(now);
         Timer::after(TICK).await;
     }
 }
 
-async fn probe(shared: Rc<Shared>, place: usize, address: String, path: String) {
-    let began = shared.clock.now();
+async fn probe(context: Rc<ProxyContext>, place: usize, address: String, path: String) {
+    let began = context.clock.now();
     let (identifier, patience) = {
-        let balancer = shared.balancer.borrow();
+        let balancer = context.balancer.borrow();
         (
             balancer.upstreams.get(place).entry.identifier.clone(),
             balancer.probe_timeout(began, place),
@@ -46,12 +46,12 @@
         None
     };
     let answered = future::or(
-        ask(&shared, place, &identifier, &address, &path, patience),
+        ask(&context, place, &identifier, &address, &path, patience),
         late,
     )
     .await;
-    let now = shared.clock.now();
-    shared
+    let now = context.clock.now();
+    context
         .balancer
         .borrow_mut()
         .probed(now, place, answered.map(|asked| now - asked.max(began)));
@@ -59,26 +59,26 @@
 
 /// When the question was written, if the upstream answers that it is well.
 async fn ask(
-    shared: &Shared,
+    context: &ProxyContext,
     place: usize,
     identifier: &str,
     address: &str,
     path: &str,
     patience: Millis,
 ) -> Option<Millis> {
-    let idle = shared
+    let idle = context
         .pool
         .borrow_mut()
-        .take(identifier, shared.clock.now());
+        .take(identifier, context.clock.now());
     let mut connection = match idle {
         Some(connection) => connection,
-        None => connect(&shared.pool, identifier, address, patience)
+        None => connect(&context.pool, identifier, address, patience)
             .await
             .ok()?,
     };
     let host = [("Host", address)].into_iter();
     let bytes = message::request("GET", path, host, b"");
-    let asked = shared.clock.now();
+    let asked = context.clock.now();
     let mut output = Ring::new(bytes.len());
     if !output.push(&bytes)
         || !write_within(&connection.stream, &mut output, Duration::from_secs(1)).await
@@ -88,27 +88,27 @@
     let until = asked + patience;
     let mut head = None;
     loop {
-        match crate::exchange::next(&mut connection, shared.clock, until).await {
-            crate::exchange::Waited::Part(Part::Head(came)) => head = Some(came),
-            crate::exchange::Waited::Part(Part::Data(_)) => {}
-            crate::exchange::Waited::Part(Part::End) => break,
+        match crate::upstream_connections::wire::next(&mut connection, context.clock, until).await {
+            crate::upstream_connections::wire::Waited::Part(Part::Head(came)) => head = Some(came),
+            crate::upstream_connections::wire::Waited::Part(Part::Data(_)) => {}
+            crate::upstream_connections::wire::Waited::Part(Part::End) => break,
             _ => return None,
         }
     }
     let head = head?;
-    let now = shared.clock.now();
+    let now = context.clock.now();
     let load = head.headers.get("server-load").and_then(Load::parse);
     let cold = head
         .headers
         .get("cold-remaining")
         .and_then(|value| value.trim().parse().ok());
-    shared.balancer.borrow_mut().told(now, place, load, cold);
+    context.balancer.borrow_mut().told(now, place, load, cold);
     let itself = head
         .headers
         .get("instance-id")
         .is_none_or(|instance| instance == identifier);
     let well = head.status == 200 && itself;
-    shared
+    context
         .pool
         .borrow_mut()
         .give(identifier, connection, &head, now);
--- a/crates/sandtrack-proxy/src/lib.rs
+++ b/crates/sandtrack-proxy/src/lib.rs
@@ -1,28 +1,21 @@
-//! The data plane of the system: takes clients' requests and carries each to an upstream of its route's service.
+//! The data plane of the system: accepts clients' requests and forwards each to an upstream of its route's service.
 //!
-//! What is decided is pure and apart from sockets: [`placement::balancer`] (what is known, and where a request goes), [`placement::budget`]
-//! (bounds that hold over all proxies), [`exchange_state`] (one request: where it is sent, and what its client gets),
-//! [`events`] (pieces of a stream), [`session_policy`] (which control node). The rest owns sockets, one task each: [`front`] (clients), [`carry`] (one request) with
-//! [`attempt`] (one send of it) and [`answers`], [`exchange`] and [`pool`] (upstream connections), [`probing`], [`session`]
-//! (the control plane), [`outcomes`], [`lateness`] and [`request_log`] (how requests ended), [`figures`], [`program`].
-pub mod answers;
-pub mod attempt;
-pub mod carry;
-pub mod events;
+//! Decisions are pure and apart from sockets: [`placement`] (which upstream a request is sent to), [`exchange::state`]
+//! (one request: where it is sent, and which response its client gets), [`exchange::event_stream`] (events of a stream),
+//! [`control_session::decisions`] (which control node). All tasks run on one thread and share a [`context::ProxyContext`].
+//!
+//! The way of a request: [`listener`] reads it, [`request`] decodes it, [`exchange::forward`] runs its exchange, with an
+//! [`exchange::attempt`] for each send to an upstream over [`upstream_connections`].
+pub mod context;
+pub mod control_session;
 pub mod exchange;
-pub mod exchange_state;
-pub mod figures;
-pub mod front;
-pub mod lateness;
-pub mod outcomes;
+pub mod health_checks;
+pub mod listener;
+pub mod metrics;
 pub mod placement;
 pub mod policy;
-pub mod pool;
-pub mod probing;
 pub mod program;
-pub mod reading;
 pub mod request;
-pub mod request_log;
-pub mod session;
-pub mod session_policy;
-pub mod shared;
+pub mod socket_read;
+pub mod telemetry;
+pub mod upstream_connections;
--- a/crates/sandtrack-proxy/src/front.rs
+++ b/crates/sandtrack-proxy/src/listener.rs
@@ -1,11 +1,11 @@
 //! Clients' connections: reads one request after another and has each carried. It owns those sockets.
-use crate::answers::Client;
-use crate::carry::carry;
-use crate::exchange_state::is_promise;
-use crate::reading::read_some;
+use crate::context::ProxyContext;
+use crate::exchange::client_response::Client;
+use crate::exchange::forward::carry;
+use crate::exchange::request_log::refused;
+use crate::exchange::state::is_promise;
 use crate::request::{held_at_most, ProxyRequest, Refused};
-use crate::request_log::refused;
-use crate::shared::Shared;
+use crate::socket_read::read_some;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use sandtrack_net::byte_budget::Held;
@@ -40,7 +40,7 @@
 
 /// Accepts until the listener is told to stop (the sender of `stop` is closed).
 pub async fn accept(
-    shared: Rc<Shared>,
+    context: Rc<ProxyContext>,
     listener: Async<TcpListener>,
     stop: async_channel::Receiver<()>,
 ) {
@@ -52,8 +52,8 @@
         match future::or(async { Some(listener.accept().await) }, stopped).await {
             None => return,
             Some(Ok((stream, _))) => {
-                let serving = shared.clone();
-                shared
+                let serving = context.clone();
+                context
                     .executor
                     .spawn(async move { serve(serving, stream).await })
                     .detach();
@@ -92,8 +92,8 @@
 }
 
 /// Those of the configuration in force.
-fn limits(shared: &Shared) -> Limits {
-    let balancer = shared.balancer.borrow();
+fn limits(context: &ProxyContext) -> Limits {
+    let balancer = context.balancer.borrow();
     let limits = balancer
         .configuration
         .as_ref()
@@ -106,21 +106,21 @@
     }
 }
 
-async fn serve(shared: Rc<Shared>, stream: Async<TcpStream>) {
+async fn serve(context: Rc<ProxyContext>, stream: Async<TcpStream>) {
     no_delay(&stream);
-    shared.connections.set(shared.connections.get() + 1);
-    let _count = Counted(shared.clone());
-    let before = limits(&shared);
+    context.connections.set(context.connections.get() + 1);
+    let _count = Counted(context.clone());
+    let before = limits(&context);
     let mut input = Ring::new(before.input());
     let mut parser = Parser::with_head_max(Side::Request, before.head);
     // When the first byte of the next request came while the last one was carried.
     let early = Cell::new(None);
     loop {
-        let came = read(&shared, &stream, &mut parser, &mut input, early.take()).await;
+        let came = read(&context, &stream, &mut parser, &mut input, early.take()).await;
         let (head, body, _held, arrived) = match came {
             Came::Ended => return,
             Came::Bad(status, why, id) => {
-                refused(&shared, &id, status, why);
+                refused(&context, &id, status, why);
                 let again = is_promise(status).then_some(COME_BACK);
                 Client {
                     stream: &stream,
@@ -132,10 +132,10 @@
             }
             Came::Request(head, body, held, arrived) => (head, body, held, arrived),
         };
-        let close = !head.keep_alive || shared.balancer.borrow().leaving;
+        let close = !head.keep_alive || context.balancer.borrow().leaving;
         let id = request_id(&head);
         let decoded = {
-            let mut balancer = shared.balancer.borrow_mut();
+            let mut balancer = context.balancer.borrow_mut();
             let draw = balancer.draw_fraction();
             match balancer.configuration.clone() {
                 None => Err(Refused(503, codes::NO_CONFIGURATION)),
@@ -146,7 +146,7 @@
         };
         let open = match decoded {
             Err(Refused(status, why)) => {
-                refused(&shared, &id, status, why);
+                refused(&context, &id, status, why);
                 let again = is_promise(status).then_some(COME_BACK);
                 Client {
                     stream: &stream,
@@ -157,16 +157,16 @@
                     && !close
             }
             Ok(request) => {
-                shared.open(1);
-                let _open = OpenRequest(shared.clone());
+                context.open(1);
+                let _open = OpenRequest(context.clone());
                 let gone = async {
-                    gone(&shared, &stream, &mut input, &early).await;
+                    gone(&context, &stream, &mut input, &early).await;
                     false
                 };
                 future::or(
                     gone,
                     carry(
-                        &shared,
+                        &context,
                         &request,
                         Client {
                             stream: &stream,
@@ -183,7 +183,7 @@
     }
 }
 
-struct Counted(Rc<Shared>);
+struct Counted(Rc<ProxyContext>);
 
 impl Drop for Counted {
     fn drop(&mut self) {
@@ -191,7 +191,7 @@
     }
 }
 
-struct OpenRequest(Rc<Shared>);
+struct OpenRequest(Rc<ProxyContext>);
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
@@ -201,17 +201,17 @@
 
 /// Returns once the client is gone. What it sends meanwhile waits, and its time counts from then (`early`).
 async fn gone(
-    shared: &Shared,
+    context: &ProxyContext,
     stream: &Async<TcpStream>,
     input: &mut Ring,
     early: &Cell<Option<Millis>>,
 ) {
     if !input.is_empty() {
-        early.set(Some(shared.clock.now()));
+        early.set(Some(context.clock.now()));
     }
     while input.room() > 0 {
         match read_some(stream, input).await {
-            Ok(count) if count > 0 => early.set(early.get().or(Some(shared.clock.now()))),
+            Ok(count) if count > 0 => early.set(early.get().or(Some(context.clock.now()))),
             _ => return,
         }
     }
@@ -230,8 +230,8 @@
 }
 
 /// Until when a request is waited for whose head is there and whose body is not.
-fn body_until(shared: &Shared, head: &Head, arrived: Millis, head_time: Millis) -> Millis {
-    let balancer = shared.balancer.borrow();
+fn body_until(context: &ProxyContext, head: &Head, arrived: Millis, head_time: Millis) -> Millis {
+    let balancer = context.balancer.borrow();
     let held = balancer
         .configuration
         .as_ref()
@@ -243,21 +243,21 @@
 /// Reads the next request whole. `early`: its first bytes were read at that time. The limits are those in force when its head
 /// comes, also on a connection that has rested since before a change of them.
 async fn read(
-    shared: &Shared,
+    context: &ProxyContext,
     stream: &Async<TcpStream>,
     parser: &mut Parser,
     input: &mut Ring,
     early: Option<Millis>,
 ) -> Came {
-    let mut limits = limits(shared);
-    let clock = shared.clock;
+    let mut limits = limits(context);
+    let clock = context.clock;
     let began = clock.now();
     let mut first_byte = early;
     let mut begun: Option<Begun> = None;
-    let (mut body, mut held) = (Vec::new(), shared.memory.requests.message());
+    let (mut body, mut held) = (Vec::new(), context.memory.requests.message());
     loop {
         if begun.is_none() {
-            limits = self::limits(shared);
+            limits = self::limits(context);
             parser.set_head_max(limits.head);
             input.set_bound(limits.input());
         }
@@ -318,7 +318,7 @@
             (Some(at), None) => at.max(began) + limits.head_time,
             (_, Some(begun)) => {
                 if begun.until.is_infinite() {
-                    begun.until = body_until(shared, &begun.head, begun.arrived, limits.head_time);
+                    begun.until = body_until(context, &begun.head, begun.arrived, limits.head_time);
                 }
                 begun.until
             }
@@ -331,7 +331,7 @@
             }
             // An idle connection ends soon after this process was told to stop.
             let leaving = async {
-                let _ = shared.left.recv().await;
+                let _ = context.left.recv().await;
                 Timer::after(Duration::from_secs_f64(LEAVING_IDLE / 1000.0)).await;
             };
             let idle = async {
@@ -345,8 +345,8 @@
             Some(_) => return Came::Ended,
             None if within => return Came::Bad(408, codes::DEADLINE, id_of(&begun)),
             // The time to rest may have grown meanwhile.
-            None if clock.now() < began + self::limits(shared).idle
-                && !shared.balancer.borrow().leaving => {}
+            None if clock.now() < began + self::limits(context).idle
+                && !context.balancer.borrow().leaving => {}
             None => return Came::Ended,
         }
     }
@@ -373,12 +373,12 @@
 }
 
 /// The platform's own check: whether this process takes traffic.
-pub async fn readiness(shared: Rc<Shared>, listener: Async<TcpListener>) {
+pub async fn readiness(context: Rc<ProxyContext>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let checked = shared.clone();
-                shared
+                let checked = context.clone();
+                context
                     .executor
                     .spawn(async move { check(checked, stream).await })
                     .detach();
@@ -390,12 +390,12 @@
     }
 }
 
-async fn check(shared: Rc<Shared>, stream: Async<TcpStream>) {
+async fn check(context: Rc<ProxyContext>, stream: Async<TcpStream>) {
     let mut input = Ring::new(HEAD_MAX);
     let mut parser = Parser::new(Side::Request);
-    while let Came::Request(head, ..) = read(&shared, &stream, &mut parser, &mut input, None).await
+    while let Came::Request(head, ..) = read(&context, &stream, &mut parser, &mut input, None).await
     {
-        let ready = shared.balancer.borrow().is_ready();
+        let ready = context.balancer.borrow().is_ready();
         let (status, body): (u16, &[u8]) = match (head.target.as_str(), ready) {
             ("/v1/readiness", true) => (200, b"{\"ready\":true}"),
             ("/v1/readiness", false) => (503, b"{\"ready\":false}"),
--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/metrics.rs
@@ -1,5 +1,5 @@
 //! The figures of a proxy, for scrapers and for whoever looks at an incident.
-use crate::shared::Shared;
+use crate::context::ProxyContext;
 use sandtrack_protocol::metrics::{Kind, MetricsText};
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 }
 
 /// All figures of this process as text.
-pub fn text(shared: &Shared) -> String {
+pub fn text(context: &ProxyContext) -> String {
     let mut text = MetricsText::default();
-    shared.outcomes.borrow().tell(&mut text);
-    tell_state(shared, &mut text);
-    tell_upstreams(shared, &mut text);
+    context.outcomes.borrow().tell(&mut text);
+    tell_state(context, &mut text);
+    tell_upstreams(context, &mut text);
     text.invariants();
     text.logs();
     text.into_text()
 }
 
-fn tell_state(shared: &Shared, text: &mut MetricsText) {
-    let balancer = shared.balancer.borrow();
+fn tell_state(context: &ProxyContext, text: &mut MetricsText) {
+    let balancer = context.balancer.borrow();
     let state = balancer.state();
     let gauges: [(&str, &str, u64); 10] = [
         ("ready", "Whether it takes traffic", u64::from(state.ready)),
@@ -42,17 +42,17 @@
         (
             "client_connections",
             "Connections of clients",
-            shared.connections.get() as u64,
+            context.connections.get() as u64,
         ),
         (
             "request_bytes_held",
             "Bodies of requests in hand",
-            shared.memory.requests.held() as u64,
+            context.memory.requests.held() as u64,
         ),
         (
             "answer_bytes_held",
             "Collected answers in hand",
-            shared.memory.answers.held() as u64,
+            context.memory.answers.held() as u64,
         ),
         (
             "proxies_known",
@@ -67,7 +67,7 @@
         (
             "up_seconds",
             "Since the start of the process",
-            (shared.clock.now() / 1000.0) as u64,
+            (context.clock.now() / 1000.0) as u64,
         ),
     ];
     for (name, help, value) in gauges {
@@ -75,8 +75,8 @@
     }
 }
 
-fn tell_upstreams(shared: &Shared, text: &mut MetricsText) {
-    let balancer = shared.balancer.borrow();
+fn tell_upstreams(context: &ProxyContext, text: &mut MetricsText) {
+    let balancer = context.balancer.borrow();
     let mut services: BTreeMap<&str, Seen> = BTreeMap::new();
     for place in balancer.upstreams.listed() {
         let upstream = balancer.upstreams.get(place);
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -1,8 +1,8 @@
 //! The proxy's process: settings, listeners, signals, and the tasks that share one thread.
+use crate::context::ProxyContext;
 use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
-use crate::shared::Shared;
-use crate::{figures, front, probing, session};
+use crate::{control_session, health_checks, listener, metrics as process_metrics};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
@@ -113,9 +113,9 @@
 
 /// Clients wait in the listener's queue until there is a configuration to serve by; after [`READY_PATIENCE`] they are told
 /// that there is none.
-async fn until_ready(shared: &Shared) {
-    let late = shared.clock.now() + READY_PATIENCE;
-    while !shared.balancer.borrow().is_ready() && shared.clock.now() < late {
+async fn until_ready(context: &ProxyContext) {
+    let late = context.clock.now() + READY_PATIENCE;
+    while !context.balancer.borrow().is_ready() && context.clock.now() < late {
         Timer::after(READY_LOOK).await;
     }
 }
@@ -139,7 +139,7 @@
 }
 
 /// Reads the settings again at SIGHUP, and where their file has changed without one. Returns at any other signal.
-async fn until_told_to_stop(shared: &Shared, path: &Path, signals: &mut Signals) {
+async fn until_told_to_stop(context: &ProxyContext, path: &Path, signals: &mut Signals) {
     let mut file = FileChange::of(path.to_owned());
     loop {
         let signal = async { Some(signals.next().await) };
@@ -148,20 +148,20 @@
             None
         };
         match future::or(signal, look).await {
-            Some(Some(Ok(Signal::Hup))) => read_again(shared, path),
+            Some(Some(Ok(Signal::Hup))) => read_again(context, path),
             Some(_) => return,
-            None if file.is_new() => read_again(shared, path),
+            None if file.is_new() => read_again(context, path),
             None => {}
         }
     }
 }
 
 /// A faulty file changes nothing.
-fn read_again(shared: &Shared, path: &Path) {
+fn read_again(context: &ProxyContext, path: &Path) {
     match Settings::read(path) {
         Ok(settings) => {
-            shared.balancer.borrow_mut().settings_changed(&settings);
-            *shared.settings.borrow_mut() = settings;
+            context.balancer.borrow_mut().settings_changed(&settings);
+            *context.settings.borrow_mut() = settings;
             log::info!("settings read again");
         }
         Err(error) => log::error!("settings are kept as they were: {error}"),
@@ -183,7 +183,7 @@
     let checks = bind(&settings, "readiness")?;
     let scraped = metrics_listener(&settings);
     let balancer = Balancer::with_policy(&settings, seed, Rc::new(policy));
-    let shared = Rc::new(Shared::new(
+    let context = Rc::new(ProxyContext::new(
         settings,
         balancer,
         executor.clone(),
@@ -191,33 +191,35 @@
         left,
     ));
     if let Some(listener) = listener {
-        let serving = shared.clone();
+        let serving = context.clone();
         let accepting = async move {
             until_ready(&serving).await;
-            front::accept(serving, listener, stopped).await;
+            listener::accept(serving, listener, stopped).await;
         };
         executor.spawn(accepting).detach();
     }
     if let Some(checks) = checks {
         executor
-            .spawn(front::readiness(shared.clone(), checks))
+            .spawn(listener::readiness(context.clone(), checks))
             .detach();
     }
     if let Some(scraped) = scraped {
-        let told = shared.clone();
+        let told = context.clone();
         let serving = async move {
-            text_server::serve(scraped, metrics::PATH, || figures::text(&told)).await
+            text_server::serve(scraped, metrics::PATH, || process_metrics::text(&told)).await
         };
         executor.spawn(serving).detach();
     }
-    executor.spawn(session::run(shared.clone())).detach();
-    executor.spawn(probing::run(shared.clone())).detach();
+    executor
+        .spawn(control_session::connection::run(context.clone()))
+        .detach();
+    executor.spawn(health_checks::run(context.clone())).detach();
     log::info!("proxy started");
-    until_told_to_stop(&shared, &path, &mut signals).await;
+    until_told_to_stop(&context, &path, &mut signals).await;
     // Out of the directory first; clients that hold an old answer are served on; then what is open ends.
-    let told = shared.clock.now();
-    shared.balancer.borrow_mut().leaving = true;
-    shared.tell_news();
+    let told = context.clock.now();
+    context.balancer.borrow_mut().leaving = true;
+    context.tell_news();
     leave.close();
     log::info!("told to stop");
     Timer::after(Duration::from_secs_f64(
@@ -225,7 +227,7 @@
     ))
     .await;
     stop.close();
-    while shared.connections.get() > 0 && shared.clock.now() - told < grace - GRACE_MARGIN {
+    while context.connections.get() > 0 && context.clock.now() - told < grace - GRACE_MARGIN {
         Timer::after(Duration::from_millis(20)).await;
     }
     log::info!("proxy ends");
--- a/crates/sandtrack-proxy/src/outcomes.rs
+++ b/crates/sandtrack-proxy/src/telemetry/outcomes.rs
@@ -1,6 +1,6 @@
 //! How the requests of a process ended so far: counted all of them. Pure.
-use crate::lateness::LateCause;
 use crate::placement::balancer::Ended;
+use crate::telemetry::latency_cause::LateCause;
 use sandtrack_protocol::codes::Code;
 use sandtrack_protocol::metrics::{Kind, MetricsText};
 use sandtrack_tiers::Millis;
--- a/crates/sandtrack-proxy/src/pool.rs
+++ b/crates/sandtrack-proxy/src/upstream_connections/pool.rs
@@ -1,6 +1,5 @@
 //! Connections to upstreams that stand idle, and how many are open. It owns idle sockets; one that is handed out belongs to
 //! the exchange until it is given back or dropped.
-use crate::exchange_state::may_use_idle;
 use crate::policy::Policy;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -183,3 +182,9 @@
         _open: open,
     })
 }
+
+/// An idle connection may be used: its upstream does not close it soon, and nothing came on it, no end either. Whatever
+/// comes while nothing was asked belongs to no request.
+pub fn may_use_idle(quiet: bool, now: Millis, until: Millis) -> bool {
+    quiet && now < until
+}
--- a/crates/sandtrack-proxy/tests/kept_connections.rs
+++ b/crates/sandtrack-proxy/tests/connection_reuse.rs
@@ -1,11 +1,12 @@
 //! Two exchanges one after the other on one connection: what is left of the first never gets to the second's client.
-use sandtrack_proxy::attempt::head_facts;
-use sandtrack_proxy::exchange_state::{
-    may_use_idle, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, SendEvent, Terms,
+use sandtrack_proxy::exchange::attempt::head_facts;
+use sandtrack_proxy::exchange::state::{
+    Action, AnswerId, Exchange, Final, HeadFacts, Input, SendEvent, Terms,
 };
 use sandtrack_proxy::placement::balancer::Ended;
 use sandtrack_proxy::policy::Policy;
-use sandtrack_proxy::pool::kept_for;
+use sandtrack_proxy::upstream_connections::pool::{kept_for, may_use_idle};
+use sandtrack_proxy::upstream_connections::response_error::ResponseError;
 use sandtrack_sidecar_core::message::{Head, Headers};
 
 const READ_ONLY: Terms = Terms {
@@ -133,7 +134,10 @@
 /// It closes as the second request is written: an upstream that says nothing may have run it all the same.
 #[test]
 fn a_connection_that_closes_under_the_second_request_is_no_promise() {
-    for event in [SendEvent::WriteFailed, SendEvent::Broke(Broke::Connection)] {
+    for event in [
+        SendEvent::WriteFailed,
+        SendEvent::Broke(ResponseError::ConnectionLost),
+    ] {
         for (terms, may_go_on) in [(READ_ONLY, true), (MUTATING, false)] {
             let mut exchange = Exchange::new(terms);
             let start = exchange.on(Input::Placed(0));
--- a/crates/sandtrack-proxy/tests/session_policy.rs
+++ b/crates/sandtrack-proxy/tests/control_session.rs
@@ -1,7 +1,7 @@
 //! Which control node a proxy is with: pure decisions, on a clock that is only counted.
 use sandtrack_protocol::frames::FORMAT;
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::session_policy::{
+use sandtrack_proxy::control_session::decisions::{
     candidates, judge_welcome, Accepted, Refused, Standing, DETACHED_LOOK_MS,
 };
 
--- a/crates/sandtrack-proxy/tests/distances.rs
+++ b/crates/sandtrack-proxy/tests/distances.rs
@@ -2,11 +2,11 @@
 mod common;
 use common::{balancer, entry, request};
 use sandtrack_protocol::frames::UpstreamEntry;
+use sandtrack_proxy::control_session::decisions::connect_timeout;
 use sandtrack_proxy::placement::balancer::{Balancer, Ended};
 use sandtrack_proxy::placement::choice::Placed;
 use sandtrack_proxy::placement::region_trips::RegionTrips;
 use sandtrack_proxy::policy::Policy;
-use sandtrack_proxy::session_policy::connect_timeout;
 
 /// One-way delays in ms.
 const WAYS: [f64; 10] = [
--- a/crates/sandtrack-proxy/tests/events.rs
+++ b/crates/sandtrack-proxy/tests/event_stream.rs
@@ -1,6 +1,6 @@
 //! Streams are passed on by whole events.
 use assert_matches::assert_matches;
-use sandtrack_proxy::events::{GivenIds, Scanned, Scanner};
+use sandtrack_proxy::exchange::event_stream::{GivenIds, Scanned, Scanner};
 
 const STREAM: &[u8] =
     b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n";
--- a/crates/sandtrack-proxy/tests/exchange/held.rs
+++ b/crates/sandtrack-proxy/tests/exchange/deadlines.rs
@@ -1,6 +1,6 @@
 //! Nothing is held a quarter of a second past its route's `timeout_ms`, whoever is silent; what has not run by then is told
 //! when to come back.
-use crate::stage::{printer, request, Stage};
+use crate::harness::{printer, request, Stage};
 use crate::upstream::Asked;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/sandtrack-proxy/tests/exchange/limits.rs
+++ b/crates/sandtrack-proxy/tests/exchange/limits.rs
@@ -1,5 +1,5 @@
 //! Limits that change while a connection rests: those in force count.
-use crate::stage::{request, Stage, ROUTES};
+use crate::harness::{request, Stage, ROUTES};
 use std::time::Duration;
 
 const SHORT_REST_MS: u64 = 2000;
--- a/crates/sandtrack-proxy/tests/exchange/main.rs
+++ b/crates/sandtrack-proxy/tests/exchange/main.rs
@@ -2,7 +2,8 @@
 //! addresses. Tests wait on sockets and never on the clock. What was said is held against approved transcripts
 //! (tests/transcripts): with `APPROVE_TRANSCRIPTS=1` they are written anew, to be read before they are committed.
 mod control_node;
-mod held;
+mod deadlines;
+mod harness;
 mod limits;
 mod memory;
 mod mixed;
@@ -11,7 +12,6 @@
 mod plain;
 mod process;
 mod sessions;
-mod stage;
 mod stops;
 mod streams;
 mod transcript;
--- a/crates/sandtrack-proxy/tests/exchange/memory.rs
+++ b/crates/sandtrack-proxy/tests/exchange/memory.rs
@@ -1,6 +1,6 @@
 //! The memory that a process may have bounds the bodies that it holds in sum, not only each: one that passes it is killed, with
 //! all requests in hand.
-use crate::stage::{request, Stage, ROUTES};
+use crate::harness::{request, Stage, ROUTES};
 use crate::upstream::{seal, Asked};
 
 const MEMORY_MB: u32 = 64;
--- a/crates/sandtrack-proxy/tests/exchange/mixed.rs
+++ b/crates/sandtrack-proxy/tests/exchange/mixed.rs
@@ -1,6 +1,6 @@
 //! MIXED: upstreams in trouble. A client gets the whole answer to its own request, with its seal, or an answer that is no
 //! success.
-use crate::stage::Stage;
+use crate::harness::Stage;
 use crate::upstream::Asked;
 use crate::wire::PATIENCE;
 use std::io::{Read, Write};
--- a/crates/sandtrack-proxy/tests/exchange/once.rs
+++ b/crates/sandtrack-proxy/tests/exchange/once.rs
@@ -1,5 +1,5 @@
 //! TWICE: what may run once is sent again only where it has not run for certain. REFUSED: no promise where it may have run.
-use crate::stage::{printer, request, Stage};
+use crate::harness::{printer, request, Stage};
 use crate::upstream::seal;
 
 /// Routes whose requests may run once, with two upstreams a try.
@@ -157,7 +157,7 @@
     let stage = Stage::empty("a_refused_connection_goes_elsewhere");
     stage.tell_alone();
     // Nothing listens there.
-    let address = format!("{}:9", crate::stage::fresh_ip());
+    let address = format!("{}:9", crate::harness::fresh_ip());
     stage.list(vec![printer("i-dead", address)]);
     stage.settle();
     let mut client = stage.client();
--- a/crates/sandtrack-proxy/tests/exchange/placing.rs
+++ b/crates/sandtrack-proxy/tests/exchange/placing.rs
@@ -1,6 +1,6 @@
 //! Where requests go as control tells: DRAIN, EVAC, HOME, ROUTE, CONFIG.
 use crate::control_node::Heard;
-use crate::stage::{document, Stage, ROUTES, SERVICES};
+use crate::harness::{document, Stage, ROUTES, SERVICES};
 use sandtrack_protocol::document::Document;
 use sandtrack_protocol::frames::{ItemChange, ToProxy, UpstreamEntry};
 
--- a/crates/sandtrack-proxy/tests/exchange/plain.rs
+++ b/crates/sandtrack-proxy/tests/exchange/plain.rs
@@ -1,5 +1,5 @@
 //! Requests that meet no trouble, and those that are refused before they are carried.
-use crate::stage::{request, Stage, ROUTES};
+use crate::harness::{request, Stage, ROUTES};
 use crate::upstream::seal;
 
 /// MIXED, UNASKED: method, path, query, headers and body reach the upstream unchanged, the answer the client; what concerns
--- a/crates/sandtrack-proxy/tests/exchange/sessions.rs
+++ b/crates/sandtrack-proxy/tests/exchange/sessions.rs
@@ -1,7 +1,7 @@
 //! The session with control: which control node it is with, and what that is told.
 use crate::control_node::{ControlNode, Heard};
+use crate::harness::{control_node, fresh_ip, settings, Stage, BOUNDS, ROUTES};
 use crate::process::Proxy;
-use crate::stage::{control_node, fresh_ip, settings, Stage, BOUNDS, ROUTES};
 use sandtrack_protocol::frames::ProxyState;
 
 /// A proxy on a machine without a control node, whose seeds are these.
--- a/crates/sandtrack-proxy/tests/exchange/stops.rs
+++ b/crates/sandtrack-proxy/tests/exchange/stops.rs
@@ -1,6 +1,6 @@
 //! Signals, and settings that are wrong. LOST: around planned work nobody loses a request.
+use crate::harness::{fresh_ip, settings, Stage, BOUNDS};
 use crate::process::Proxy;
-use crate::stage::{fresh_ip, settings, Stage, BOUNDS};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
--- a/crates/sandtrack-proxy/tests/exchange/streams.rs
+++ b/crates/sandtrack-proxy/tests/exchange/streams.rs
@@ -1,5 +1,5 @@
 //! ORDER, and what becomes of streams: no event twice, none missing, and none that looks complete and is not.
-use crate::stage::{request, Stage};
+use crate::harness::{request, Stage};
 use sandtrack_protocol::frames::UpstreamEntry;
 
 /// Events are passed on as they come, with the head and the stamp of the upstream.
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -1,11 +1,12 @@
 //! Every order of what may happen to one exchange, enumerated: upstreams that run or don't, races, breaks at each step, foreign
 //! and surplus answers, streams cut and taken up, clients that leave, time that runs out. A rule is one function; each holds in
 //! every script. What an upstream did is known here and not to the exchange: whether it has run is judged by the worst case.
-use sandtrack_proxy::exchange_state::{
-    is_promise, Action, AnswerId, Broke, Exchange, Final, HeadFacts, Input, Phase, SendEvent,
-    SendId, Terms, SENDS,
+use sandtrack_proxy::exchange::state::{
+    is_promise, Action, AnswerId, Exchange, Final, HeadFacts, Input, Phase, SendEvent, SendId,
+    Terms, SENDS,
 };
 use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::upstream_connections::response_error::ResponseError;
 use std::collections::HashSet;
 
 /// Scripts are enumerated one by one up to this many inputs, for each kind and number of attempts.
@@ -429,8 +430,8 @@
             return events;
         }
         let mut events = vec![
-            SendEvent::Broke(Broke::Connection),
-            SendEvent::Broke(Broke::Spoilt),
+            SendEvent::Broke(ResponseError::ConnectionLost),
+            SendEvent::Broke(ResponseError::Malformed),
             SendEvent::TimeOver,
         ];
         if !side.written {
@@ -448,7 +449,7 @@
         ];
         if !self.terms.relays(head.status) || head.not_run() {
             events.extend(ends);
-            events.push(SendEvent::Broke(Broke::NoMemory));
+            events.push(SendEvent::Broke(ResponseError::OutOfMemory));
             return events;
         }
         if side.event < LAST_EVENT {
@@ -739,7 +740,7 @@
 fn a_stream_that_broke_goes_on_behind_its_last_event() {
     let inputs = [Input::Placed(0)].into_iter().chain(head_came(0)).chain([
         Input::Send(0, SendEvent::Data(event(true, 1))),
-        Input::Send(0, SendEvent::Broke(Broke::Connection)),
+        Input::Send(0, SendEvent::Broke(ResponseError::ConnectionLost)),
         Input::Placed(1),
     ]);
     assert_eq!(
@@ -759,7 +760,7 @@
     let inputs = [Input::Placed(0)].into_iter().chain(head_came(0)).chain([
         Input::Send(0, SendEvent::Data(event(true, 1))),
         Input::Spare(1),
-        Input::Send(0, SendEvent::Broke(Broke::Connection)),
+        Input::Send(0, SendEvent::Broke(ResponseError::ConnectionLost)),
     ]);
     let mut exchange = Exchange::new(RESUMABLE);
     let actions = inputs.map(|input| exchange.on(input)).last();
--- a/crates/sandtrack-proxy/tests/lateness.rs
+++ b/crates/sandtrack-proxy/tests/latency_cause.rs
@@ -1,5 +1,5 @@
 //! Why an answer began late.
-use sandtrack_proxy::lateness::{LateCause, Timeline};
+use sandtrack_proxy::telemetry::latency_cause::{LateCause, Timeline};
 
 const ON_TIME: Timeline = Timeline {
     arrived: 0.0,
--- a/crates/sandtrack-proxy/tests/outcomes.rs
+++ b/crates/sandtrack-proxy/tests/outcomes.rs
@@ -1,8 +1,8 @@
 //! How requests ended: counted all, told within bounds.
 use sandtrack_protocol::codes;
 use sandtrack_protocol::metrics::MetricsText;
-use sandtrack_proxy::outcomes::{Outcome, Outcomes};
 use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::telemetry::outcomes::{Outcome, Outcomes};
 
 #[test]
 fn all_ends_are_counted_and_late_ones_apart() {
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -5,8 +5,8 @@
     self, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
 };
 use sandtrack_protocol::settings::Settings;
+use sandtrack_proxy::control_session::decisions::{candidates, judge_welcome, Accepted, Standing};
 use sandtrack_proxy::placement::balancer::{Balancer, Folded};
-use sandtrack_proxy::session_policy::{candidates, judge_welcome, Accepted, Standing};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
