--- a/crates/sandtrack-proxy/src/control_session.rs
+++ b/crates/sandtrack-proxy/src/control_session.rs
@@ -2,3 +2,4 @@
 //! the [`connection`], and the pure [`decisions`] on which control node it is opened with.
 pub mod connection;
 pub mod decisions;
+mod frame_reader;
--- a/crates/sandtrack-proxy/src/control_session/connection.rs
+++ b/crates/sandtrack-proxy/src/control_session/connection.rs
@@ -1,155 +1,99 @@
-//! The session with the control plane: this proxy is a member while it stands. Opened with the nearest control node that
-//! answers and hears a majority of its kind; opened anew elsewhere when that falls silent. What is decided is in
-//! `session_policy`; here are the sockets.
+//! The sockets of the session with the control plane. It is opened with the nearest control node that answers and is
+//! attached, and opened again elsewhere when that node fails.
+use super::decisions::{candidates, check_welcome, connect_timeout, AcceptedNodes, Attachment};
+use super::frame_reader::FrameReader;
 use crate::context::ProxyContext;
-use crate::control_session::decisions::{
-    candidates, connect_timeout, judge_welcome, Accepted, Standing,
-};
 use crate::placement::balancer::Folded;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use sandtrack_net::ring::Ring;
 use sandtrack_net::socket::{no_delay, write_within};
 use sandtrack_protocol::frames::{
-    frame, take, ProxyInfo, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
+    frame, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
 };
 use std::cell::RefCell;
-use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-/// Pause after all were tried in vain.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How often it is seen whether another control node is to be looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(BEAT_MS);
-/// An end that was not heard for so long takes the session for broken.
-const SILENCE: Duration = Duration::from_millis(SILENCE_MS);
-/// A wait for a frame that took so long was no wait: timers of a process that runs go off before.
-const SILENT_FOR_LONG: Duration = Duration::from_millis(2 * SILENCE_MS);
-/// Bytes that are kept for what was read of a session and is not a whole frame yet.
-const HELD_KEPT: usize = 64 * 1024;
+/// Pause after a failed round through all candidates.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(BEAT_MS);
+/// How often it is checked whether an attached control node is to be searched for.
+const ATTACHMENT_POLL_INTERVAL: Duration = HEARTBEAT_INTERVAL;
+const WRITE_TIMEOUT: Duration = Duration::from_millis(SILENCE_MS);
 
-/// A session that was accepted, with what came after its first frame.
+/// A session that was accepted, with what came behind its first frame.
 struct Session {
     address: String,
     stream: Async<TcpStream>,
-    incoming: Incoming,
-    standing: RefCell<Standing>,
-}
-
-/// Frames as they come over a session.
-struct Incoming {
-    held: Vec<u8>,
-    buffer: Vec<u8>,
-}
-
-impl Incoming {
-    fn new() -> Incoming {
-        Incoming {
-            held: Vec::new(),
-            buffer: vec![0; 16 * 1024],
-        }
-    }
-
-    /// The next frame; `None` where the session is over, silent, or speaks something else.
-    async fn next(&mut self, stream: &Async<TcpStream>) -> Option<ToProxy> {
-        loop {
-            match take::<ToProxy>(&self.held) {
-                Ok(Some((message, length))) => {
-                    self.held.drain(..length);
-                    if self.held.is_empty() {
-                        self.held.shrink_to(HELD_KEPT);
-                    }
-                    return Some(message);
-                }
-                Ok(None) => {}
-                Err(error) => {
-                    log::error!("session with control: {error}");
-                    return None;
-                }
-            }
-            let late = async {
-                Timer::after(SILENCE).await;
-                None
-            };
-            let began = Instant::now();
-            let buffer = &mut self.buffer;
-            let read = async { Some(stream.read_with(|mut socket| socket.read(buffer)).await) };
-            let read = future::or(read, late).await;
-            if began.elapsed() > SILENT_FOR_LONG {
-                // This process stood still: what lies in the socket was said before, and says nothing of now.
-                return None;
-            }
-            match read {
-                Some(Ok(count)) if count > 0 => self.held.extend_from_slice(&self.buffer[..count]),
-                _ => return None,
-            }
-        }
-    }
+    frames: FrameReader,
+    attachment: RefCell<Attachment>,
 }
 
 /// Keeps a session for the life of the process.
 pub async fn run(context: Rc<ProxyContext>) {
-    let mut vain_rounds: u32 = 0;
+    let mut failed_rounds: u32 = 0;
     loop {
-        let accepted = Accepted::in_round(context.balancer.borrow().is_ready(), vain_rounds);
-        let mut session = seek(&context, accepted, connect_timeout(vain_rounds), None).await;
-        vain_rounds = if session.is_none() {
-            vain_rounds + 1
+        let accepted =
+            AcceptedNodes::for_round(context.balancer.borrow().is_ready(), failed_rounds);
+        let mut session =
+            open_with_any(&context, accepted, connect_timeout(failed_rounds), None).await;
+        failed_rounds = if session.is_none() {
+            failed_rounds + 1
         } else {
             0
         };
         if session.is_none() {
-            Timer::after(PAUSE).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
-        while let Some(held) = session {
-            session = hold(&context, held).await;
+        while let Some(established) = session {
+            session = maintain(&context, established).await;
         }
     }
 }
 
-/// Asks one candidate after the other, but for the one that it is with.
-async fn seek(
+/// Tries one candidate after the other, but for `except`.
+async fn open_with_any(
     context: &ProxyContext,
-    accepted: Accepted,
-    patience: Duration,
+    accepted: AcceptedNodes,
+    timeout: Duration,
     except: Option<&str>,
 ) -> Option<Session> {
-    let tried = candidates(
+    let addresses = candidates(
         &context.settings.borrow(),
         &context.balancer.borrow().control_nodes,
     );
-    for address in tried
+    for address in addresses
         .iter()
         .filter(|address| Some(address.as_str()) != except)
     {
-        if let Some(session) = open(context, address, accepted, patience).await {
+        if let Some(session) = open(context, address, accepted, timeout).await {
             return Some(session);
         }
     }
     None
 }
 
-/// Opens a session with one control node; none where that does not answer or is not accepted.
+/// Opens a session with one control node; `None` where it does not answer or is not accepted.
 async fn open(
     context: &ProxyContext,
     address: &str,
-    accepted: Accepted,
-    patience: Duration,
+    accepted: AcceptedNodes,
+    timeout: Duration,
 ) -> Option<Session> {
-    let late = async {
-        Timer::after(patience).await;
+    let timer = async {
+        Timer::after(timeout).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
     let connecting = Async::<TcpStream>::connect(address.parse::<SocketAddr>().ok()?);
-    let stream = future::or(connecting, late).await.ok()?;
+    let stream = future::or(connecting, timer).await.ok()?;
     no_delay(&stream);
     if !write(&stream, &hello(context)).await {
         return None;
     }
-    let mut incoming = Incoming::new();
-    let first = incoming.next(&stream).await?;
+    let mut frames = FrameReader::new();
+    let first = frames.next(&stream).await?;
     let ToProxy::Welcome {
         format,
         control_node,
@@ -159,17 +103,17 @@
         log::error!("session with control: {address} does not begin with a welcome");
         return None;
     };
-    if let Err(refused) = judge_welcome(*format, *attached, accepted) {
-        log::debug!("no session with {control_node}: {refused}");
+    if let Err(error) = check_welcome(*format, *attached, accepted) {
+        log::debug!("no session with {control_node}: {error}");
         return None;
     }
     log::info!("session with {control_node} stands");
-    let standing = RefCell::new(Standing::new(context.clock.now(), *attached));
+    let attachment = RefCell::new(Attachment::new(context.clock.now(), *attached));
     Some(Session {
         address: address.to_owned(),
         stream,
-        incoming,
-        standing,
+        frames,
+        attachment,
     })
 }
 
@@ -189,116 +133,126 @@
     }
 }
 
-/// Holds a session until it breaks; a better one where such was found before that.
-async fn hold(context: &ProxyContext, session: Session) -> Option<Session> {
+/// Maintains a session until it fails; returns one with an attached control node where such was found before that.
+async fn maintain(context: &ProxyContext, session: Session) -> Option<Session> {
     let Session {
         address,
         stream,
-        incoming,
-        standing,
+        frames,
+        attachment,
     } = session;
-    let (want, wants) = async_channel::unbounded();
-    let telling = async {
-        tell(context, &stream, wants).await;
+    let (request_sender, requests) = async_channel::unbounded();
+    let sending = async {
+        send(context, &stream, requests).await;
         None
     };
-    let listening = async {
-        listen(context, &stream, incoming, &standing, want).await;
+    let receiving = async {
+        receive(context, &stream, frames, &attachment, request_sender).await;
         None
     };
-    let looking = look(context, &address, &standing);
+    let searching = search_attached(context, &address, &attachment);
     future::or(
-        listening,
-        future::or(telling, async { Some(looking.await) }),
+        receiving,
+        future::or(sending, async { Some(searching.await) }),
     )
     .await
 }
 
-/// While its control node hears no majority, asks the others for one that does, and goes on with this one meanwhile.
-async fn look(context: &ProxyContext, address: &str, standing: &RefCell<Standing>) -> Session {
-    let mut vain_rounds = 0;
+/// While the control node is detached, tries the others for one that is attached. The session goes on meanwhile.
+async fn search_attached(
+    context: &ProxyContext,
+    address: &str,
+    attachment: &RefCell<Attachment>,
+) -> Session {
+    let mut failed_rounds = 0;
     loop {
-        Timer::after(LOOK_EVERY).await;
-        let due = standing.borrow_mut().take_look(context.clock.now());
-        if due {
-            let patience = connect_timeout(vain_rounds);
-            if let Some(better) = seek(context, Accepted::Attached, patience, Some(address)).await {
-                return better;
-            }
-            vain_rounds += 1;
+        Timer::after(ATTACHMENT_POLL_INTERVAL).await;
+        let due = attachment.borrow_mut().take_search_due(context.clock.now());
+        if !due {
+            continue;
+        }
+        let timeout = connect_timeout(failed_rounds);
+        let found = open_with_any(context, AcceptedNodes::Attached, timeout, Some(address)).await;
+        if let Some(session) = found {
+            return session;
         }
+        failed_rounds += 1;
     }
 }
 
 async fn write(stream: &Async<TcpStream>, message: &ToControl) -> bool {
     let bytes = frame(message);
     let mut output = Ring::new(bytes.len());
-    output.push(&bytes)
-        && write_within(stream, &mut output, Duration::from_millis(SILENCE_MS)).await
+    output.push(&bytes) && write_within(stream, &mut output, WRITE_TIMEOUT).await
 }
 
-/// Says with each beat, and at once when something changed, how this proxy is. Returns when the session broke.
-async fn tell(
+/// Sends this proxy's state with each heartbeat, and at once when it changed. Returns when the session failed.
+async fn send(
     context: &ProxyContext,
     stream: &Async<TcpStream>,
-    wants: async_channel::Receiver<ToControl>,
+    requests: async_channel::Receiver<ToControl>,
 ) {
-    let mut told = None;
-    let mut told_at = 0.0;
+    let mut last_state: Option<ProxyState> = None;
+    let mut sent_at = 0.0;
     loop {
-        while let Ok(want) = wants.try_recv() {
-            if !write(stream, &want).await {
+        while let Ok(request) = requests.try_recv() {
+            if !write(stream, &request).await {
                 return;
             }
         }
-        let sent = context.balancer.borrow_mut().take_prompts_sent();
+        let prompts = context.balancer.borrow_mut().take_prompts_sent();
         if context.policy.tells_prompts
-            && !sent.is_empty()
-            && !write(stream, &ToControl::PromptsSent(sent)).await
+            && !prompts.is_empty()
+            && !write(stream, &ToControl::PromptsSent(prompts)).await
         {
             return;
         }
         let now = context.clock.now();
         let state = context.balancer.borrow().state();
-        let same = |a: &sandtrack_protocol::frames::ProxyState| {
-            (a.ready, a.leaving, a.version) == (state.ready, state.leaving, state.version)
-        };
-        if now - told_at >= BEAT_MS as f64 || !told.as_ref().is_some_and(same) {
+        let is_unchanged = last_state
+            .as_ref()
+            .is_some_and(|last| is_same_state(last, &state));
+        if now - sent_at >= BEAT_MS as f64 || !is_unchanged {
             if !write(stream, &ToControl::State(state.clone())).await {
                 return;
             }
-            (told, told_at) = (Some(state), now);
+            (last_state, sent_at) = (Some(state), now);
         }
-        let wanted = async {
-            let _ = context.news.recv().await;
+        let changed = async {
+            let _ = context.state_changed.recv().await;
         };
-        let beat = async {
-            Timer::after(Duration::from_millis(BEAT_MS)).await;
+        let heartbeat = async {
+            Timer::after(HEARTBEAT_INTERVAL).await;
         };
-        future::or(wanted, beat).await;
+        future::or(changed, heartbeat).await;
     }
 }
 
-/// Takes what control tells until the session breaks.
-async fn listen(
+/// Whether two states are the same but for the number of open requests, which waits for the heartbeat.
+fn is_same_state(one: &ProxyState, other: &ProxyState) -> bool {
+    (one.ready, one.leaving, one.version) == (other.ready, other.leaving, other.version)
+}
+
+/// Takes what control sends until the session fails.
+async fn receive(
     context: &ProxyContext,
     stream: &Async<TcpStream>,
-    mut incoming: Incoming,
-    standing: &RefCell<Standing>,
-    want: async_channel::Sender<ToControl>,
+    mut frames: FrameReader,
+    attachment: &RefCell<Attachment>,
+    requests: async_channel::Sender<ToControl>,
 ) {
-    while let Some(message) = incoming.next(stream).await {
+    while let Some(message) = frames.next(stream).await {
         let now = context.clock.now();
         if let ToProxy::Beat { attached } = &message {
-            standing.borrow_mut().beat(now, *attached);
+            attachment.borrow_mut().on_heartbeat(now, *attached);
         }
         let folded = context.balancer.borrow_mut().fold(now, message);
         if folded == Folded::WantConfiguration {
-            let _ = want.try_send(ToControl::WantConfiguration);
-            context.tell_news();
+            let _ = requests.try_send(ToControl::WantConfiguration);
+            context.notify_state_changed();
         }
         if std::mem::take(&mut context.balancer.borrow_mut().changed) {
-            context.tell_news();
+            context.notify_state_changed();
         }
     }
 }
--- /dev/null
+++ b/crates/sandtrack-proxy/src/exchange/attempt/head_summary.rs
@@ -0,0 +1,21 @@
+//! What counts of a response's head. Pure.
+use crate::exchange::state::{HeadSummary, ResponseOwner};
+use crate::policy::Policy;
+use crate::upstream_connections::pool::idle_timeout;
+use sandtrack_sidecar_core::message::Head;
+
+/// Summarizes a response's head for the request with this id.
+#[must_use]
+pub fn summarize_head(head: &Head, request_id: &str, policy: &Policy) -> HeadSummary {
+    HeadSummary {
+        owner: match head.headers.get("request-id") {
+            Some(id) if id == request_id => ResponseOwner::ThisRequest,
+            Some(_) => ResponseOwner::OtherRequest,
+            None => ResponseOwner::Unidentified,
+        },
+        status: head.status,
+        not_executed: head.headers.get("not-executed").is_some(),
+        sealed: head.headers.get("server-seal").is_some(),
+        keep_alive: idle_timeout(head, policy).is_some(),
+    }
+}
--- /dev/null
+++ b/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
@@ -0,0 +1,206 @@
+//! The steps of an attempt: connect, write the request, read the response.
+use super::{summarize_head, Attempt};
+use crate::exchange::state::{AttemptEvent, HeadSummary, ResponseOwner};
+use crate::upstream_connections::pool::{connect, Connection};
+use crate::upstream_connections::response_error::ResponseError;
+use crate::upstream_connections::wire::{
+    read_part, request_head, write_request, RequestHeadOptions, WaitResult, WriteResult,
+};
+use sandtrack_net::http::Part;
+use sandtrack_sidecar_core::message::Head;
+use sandtrack_tiers::Millis;
+
+impl Attempt<'_> {
+    /// Waits for the next event.
+    pub async fn step(&mut self) -> AttemptEvent {
+        if self.connection.is_none() {
+            self.connect().await
+        } else if !self.request_written {
+            self.write().await
+        } else {
+            self.read().await
+        }
+    }
+
+    async fn connect(&mut self) -> AttemptEvent {
+        let now = self.context.clock.now();
+        if let Some(connection) = self.take_idle_connection(now) {
+            let reused = connection.reused;
+            self.connection = Some(connection);
+            return AttemptEvent::Connected { reused };
+        }
+        if !self.reserve_connection() {
+            return AttemptEvent::ConnectFailed {
+                connection_limit_reached: true,
+            };
+        }
+        let timeout = self
+            .context
+            .balancer
+            .borrow()
+            .connect_timeout(self.request, self.upstream());
+        let timeout = timeout.min(self.request.left(now));
+        let address = &self.address;
+        let pool = &self.context.pool;
+        match connect(pool, &address.identifier, &address.address, timeout).await {
+            Ok(connection) => {
+                self.connection = Some(connection);
+                let connected_at = self.context.clock.now();
+                self.context.balancer.borrow_mut().note_trip(
+                    connected_at,
+                    self.upstream(),
+                    connected_at - now,
+                );
+                AttemptEvent::Connected { reused: false }
+            }
+            Err(error) => {
+                self.on_connect_error(&error);
+                AttemptEvent::ConnectFailed {
+                    connection_limit_reached: false,
+                }
+            }
+        }
+    }
+
+    /// An idle connection, where one will do.
+    fn take_idle_connection(&self, now: Millis) -> Option<Connection> {
+        let may_reuse = self.options.may_reuse_connection
+            || self
+                .context
+                .balancer
+                .borrow()
+                .is_proven_alive(now, self.upstream());
+        if !may_reuse {
+            return None;
+        }
+        let mut pool = self.context.pool.borrow_mut();
+        pool.take_idle(&self.address.identifier, now)
+    }
+
+    /// Makes room for one more connection to the upstream; returns whether this process may open it.
+    fn reserve_connection(&self) -> bool {
+        let identifier = &self.address.identifier;
+        let mut pool = self.context.pool.borrow_mut();
+        let is_full = pool.open_connections(identifier) >= self.address.connection_limit;
+        !is_full || pool.close_one_idle(identifier)
+    }
+
+    fn on_connect_error(&self, error: &std::io::Error) {
+        let identifier = &self.address.identifier;
+        log::debug!(
+            "request {}: no connection to {identifier}: {error}",
+            self.request.id
+        );
+        if error.kind() == std::io::ErrorKind::TimedOut {
+            let now = self.context.clock.now();
+            self.context
+                .balancer
+                .borrow_mut()
+                .connect_timed_out(now, self.upstream());
+        }
+    }
+
+    async fn write(&mut self) -> AttemptEvent {
+        let Some(connection) = &self.connection else {
+            return AttemptEvent::WriteFailed;
+        };
+        let now = self.context.clock.now();
+        self.write_started_at = Some(now);
+        let remaining = self.request.left(now);
+        let head = request_head(
+            self.request,
+            &RequestHeadOptions {
+                identifier: &self.address.identifier,
+                remaining,
+                resume_after: self.options.resume_after,
+                with_priority: self.context.policy.urgency,
+            },
+        );
+        match write_request(connection, &head, &self.request.body, remaining).await {
+            WriteResult::Written => {
+                self.request_written = true;
+                AttemptEvent::RequestWritten
+            }
+            WriteResult::ConnectionFailed => AttemptEvent::WriteFailed,
+            WriteResult::TimedOut => AttemptEvent::DeadlineExceeded,
+        }
+    }
+
+    /// Reads the next part of the response; of one that is collected, its head or its end.
+    async fn read(&mut self) -> AttemptEvent {
+        loop {
+            let Some(connection) = &mut self.connection else {
+                return AttemptEvent::ResponseFailed(ResponseError::ConnectionLost);
+            };
+            let result = read_part(connection, self.context.clock, self.request.deadline).await;
+            let has_trailing_bytes = !connection.input.is_empty();
+            self.observe_read(&result);
+            match result {
+                WaitResult::Failed(error) => return AttemptEvent::ResponseFailed(error),
+                WaitResult::TimedOut => return AttemptEvent::DeadlineExceeded,
+                WaitResult::Part(Part::Head(_)) if self.head.is_some() => {
+                    return AttemptEvent::ResponseFailed(ResponseError::Malformed)
+                }
+                WaitResult::Part(Part::Head(head)) => {
+                    return AttemptEvent::Head(self.accept_head(head))
+                }
+                WaitResult::Part(Part::End) => {
+                    return AttemptEvent::BodyEnd {
+                        trailing_bytes: has_trailing_bytes,
+                    };
+                }
+                WaitResult::Part(Part::Data(data)) if self.is_relayed() => {
+                    return AttemptEvent::BodyChunk(data)
+                }
+                WaitResult::Part(Part::Data(data)) => {
+                    if let Err(error) = self.body.append(&data) {
+                        return AttemptEvent::ResponseFailed(error);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Lets the balancer know that the upstream is alive, or that a connection that was idle broke without a byte.
+    fn observe_read(&self, result: &WaitResult) {
+        let now = self.context.clock.now();
+        let mut balancer = self.context.balancer.borrow_mut();
+        match result {
+            WaitResult::Part(_) => balancer.heard(now, self.upstream()),
+            WaitResult::Failed(ResponseError::ConnectionLost) => {
+                let reused = self
+                    .connection
+                    .as_ref()
+                    .is_some_and(|connection| connection.reused);
+                if reused && self.head.is_none() {
+                    balancer.idle_connection_broke(now, self.upstream());
+                }
+            }
+            WaitResult::Failed(_) | WaitResult::TimedOut => {}
+        }
+    }
+
+    fn is_relayed(&self) -> bool {
+        self.head
+            .as_ref()
+            .is_some_and(|head| self.params.relays(head.status))
+    }
+
+    fn accept_head(&mut self, head: Head) -> HeadSummary {
+        let summary = summarize_head(&head, &self.request.id, &self.context.policy);
+        let is_foreign = match summary.owner {
+            ResponseOwner::ThisRequest => false,
+            ResponseOwner::OtherRequest => true,
+            ResponseOwner::Unidentified => !summary.was_not_executed(),
+        };
+        if is_foreign || summary.is_success() && !summary.sealed {
+            let identifier = &self.address.identifier;
+            log::info!(
+                "request {}: {identifier} sent what is no answer to it",
+                self.request.id
+            );
+        }
+        self.head = Some(head);
+        summary
+    }
+}
--- a/crates/sandtrack-proxy/src/exchange/client_response.rs
+++ b/crates/sandtrack-proxy/src/exchange/client_response.rs
@@ -1,4 +1,4 @@
-//! What a client is answered: an upstream's answer as it is, pieces of a stream, or an answer of this process's own.
+//! What is written to a client: an upstream's response as it is, chunks of a stream, or a response of this process's own.
 use async_io::Async;
 use sandtrack_net::socket::write_message_within;
 use sandtrack_protocol::codes::Code;
@@ -7,43 +7,62 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A client that takes nothing for so long is gone, in ms.
-pub const CLIENT_PATIENCE: Millis = 5000.0;
-/// A client is told to come back after this part of its route's aim, within these bounds, in ms (ours).
-const COME_BACK: f64 = 0.1;
-const COME_BACK_LEAST: Millis = 20.0;
-const COME_BACK_MOST: Millis = 500.0;
+/// A client that reads nothing for this long is gone, in ms.
+pub const CLIENT_WRITE_TIMEOUT_MS: Millis = 5000.0;
+/// A client is asked to retry after this part of its route's latency target ...
+const RETRY_AFTER_TARGET_SHARE: f64 = 0.1;
+/// ... within these bounds, in ms.
+const MIN_RETRY_AFTER_MS: Millis = 20.0;
+const MAX_RETRY_AFTER_MS: Millis = 500.0;
 
-/// One client's connection, and whether it is closed behind the answer.
+/// One client's connection.
 #[derive(Clone, Copy)]
-pub struct Client<'a> {
+pub struct ClientConnection<'a> {
+    /// The socket.
     pub stream: &'a Async<TcpStream>,
+    /// Whether the connection is closed behind the response.
     pub close: bool,
 }
 
-impl Client<'_> {
-    /// Writes a head and what is behind it; whether the client took all within `patience` ms.
-    async fn write(&self, head: &[u8], body: &[u8], patience: Millis) -> bool {
-        let patience = Duration::from_secs_f64(patience.max(1.0) / 1000.0);
-        write_message_within(self.stream, head, body, patience).await
+/// Part of a stream.
+pub struct StreamChunk<'a> {
+    /// The response's head, before the first chunk.
+    pub head: Option<&'a Head>,
+    /// Complete events.
+    pub bytes: &'a [u8],
+    /// The stream is complete with them.
+    pub is_last: bool,
+}
+
+/// A response of this process's own.
+pub struct LocalResponse<'a> {
+    /// The status code.
+    pub status: u16,
+    /// The numbered code in the body.
+    pub code: Code,
+    /// The request's id; empty where it is not known.
+    pub request_id: &'a str,
+    /// `Retry-After`, in seconds.
+    pub retry_after: Option<&'a str>,
+}
+
+impl ClientConnection<'_> {
+    /// Writes a head and a body; returns whether the client took all within `timeout` ms.
+    async fn write(&self, head: &[u8], body: &[u8], timeout: Millis) -> bool {
+        let timeout = Duration::from_secs_f64(timeout.max(1.0) / 1000.0);
+        write_message_within(self.stream, head, body, timeout).await
     }
 
-    /// Passes an upstream's answer on.
-    pub async fn pass_on(&self, head: &Head, body: &[u8]) -> bool {
+    /// Writes an upstream's response; returns whether the client took it.
+    pub async fn send_response(&self, head: &Head, body: &[u8]) -> bool {
         let flow = Flow::Length(body.len());
         let head = message::response_head(head.status, head.headers.end_to_end(), flow, self.close);
-        self.write(&head, body, CLIENT_PATIENCE).await
+        self.write(&head, body, CLIENT_WRITE_TIMEOUT_MS).await
     }
 
-    /// Passes a piece of a stream on; `begins`: behind this head; `ends`: nothing follows.
-    pub async fn relay(
-        &self,
-        begins: Option<&Head>,
-        bytes: &[u8],
-        ends: bool,
-        patience: Millis,
-    ) -> bool {
-        let mut out = begins.map_or_else(Vec::new, |head| {
+    /// Writes part of a stream; returns whether the client took it within `timeout` ms.
+    pub async fn relay(&self, chunk: &StreamChunk<'_>, timeout: Millis) -> bool {
+        let mut bytes = chunk.head.map_or_else(Vec::new, |head| {
             message::response_head(
                 head.status,
                 head.headers.end_to_end(),
@@ -51,31 +70,38 @@
                 self.close,
             )
         });
-        if !bytes.is_empty() {
-            out.extend(message::chunk(bytes));
+        if !chunk.bytes.is_empty() {
+            bytes.extend(message::chunk(chunk.bytes));
         }
-        if ends {
-            out.extend(message::chunk(b""));
+        if chunk.is_last {
+            bytes.extend(message::chunk(b""));
         }
-        out.is_empty() || self.write(&out, &[], patience.min(CLIENT_PATIENCE)).await
+        bytes.is_empty()
+            || self
+                .write(&bytes, &[], timeout.min(CLIENT_WRITE_TIMEOUT_MS))
+                .await
     }
 
-    /// An answer of this process's own, with its numbered code. `come_back`: after so many seconds the client may try again.
-    pub async fn own(&self, status: u16, id: &str, come_back: Option<&str>, why: Code) -> bool {
-        let body = format!("{{\"code\":{},\"what\":\"{}\"}}", why.0, why.meaning());
+    /// Writes a response of this process's own; returns whether the client took it.
+    pub async fn send_local_response(&self, response: &LocalResponse<'_>) -> bool {
+        let LocalResponse { status, code, .. } = *response;
+        let body = format!("{{\"code\":{},\"what\":\"{}\"}}", code.0, code.meaning());
+        let id = response.request_id;
         let id = (!id.is_empty()).then_some(("Request-Id", id));
-        let again = come_back.map(|seconds| ("Retry-After", seconds));
+        let retry_after = response.retry_after.map(|seconds| ("Retry-After", seconds));
         let headers = [("Content-Type", "application/json")]
             .into_iter()
             .chain(id)
-            .chain(again);
+            .chain(retry_after);
         let bytes = message::response(status, headers, body.as_bytes(), self.close);
-        self.write(&bytes, &[], CLIENT_PATIENCE).await
+        self.write(&bytes, &[], CLIENT_WRITE_TIMEOUT_MS).await
     }
 }
 
-/// When a client whose request has not run is to come back, in seconds, for a route with this aim in ms.
-pub fn come_back_after(target_latency: Millis) -> String {
-    let pause = (target_latency * COME_BACK).clamp(COME_BACK_LEAST, COME_BACK_MOST);
+/// When a client whose request was not executed should retry, in seconds, for a route with this latency target in ms.
+#[must_use]
+pub fn retry_after_seconds(target_latency: Millis) -> String {
+    let pause =
+        (target_latency * RETRY_AFTER_TARGET_SHARE).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
     format!("{:.3}", pause / 1000.0)
 }
--- a/crates/sandtrack-proxy/src/exchange/event_stream.rs
+++ b/crates/sandtrack-proxy/src/exchange/event_stream.rs
@@ -1,113 +1,117 @@
-//! Pieces of a stream of events (`text/event-stream`): only whole events are passed on, so that a stream that breaks can be
-//! taken up elsewhere, and none comes twice or out of order. Pure.
+//! Server-sent events (`text/event-stream`, WHATWG HTML, 9.2): only complete events are relayed, so that a stream that breaks
+//! can be resumed at another upstream, and none is delivered twice or out of order. Pure.
 
-/// What a line with an event's id begins with.
-const ID: &[u8] = b"id:";
+/// The field of an event that holds its id.
+const ID_FIELD: &[u8] = b"id:";
 
-/// An event may be so long, in bytes: many times what one of these services has. What is held of one is bounded by it.
-const EVENT_MAX: usize = 1 << 20;
+/// Longest event, in bytes: many times the longest of these services. It bounds what is buffered of a stream.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Scanner {
-    held: Vec<u8>,
-    /// Of the held bytes so many were searched for the end of the event.
-    searched: usize,
-    /// Id of the last event that was passed on and had one.
-    last: Option<u64>,
-    /// Data without an id was passed on behind it: a run that goes on behind the id would bring it again.
-    unnumbered: bool,
+pub struct EventScanner {
+    /// The begin of an event that is not complete.
+    buffer: Vec<u8>,
+    /// Bytes of the buffer that were searched for the end of the event.
+    searched_bytes: usize,
+    /// Id of the last event that was relayed and had one.
+    last_id: Option<u64>,
+    /// Data without an id was relayed behind it: a stream that resumes behind the id would deliver it again.
+    has_unnumbered_tail: bool,
 }
 
-/// What a piece of a stream came to.
+/// What a chunk of a stream came to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Scanned {
-    /// Whole events, to be passed on as they are; may be empty.
+pub enum ScanResult {
+    /// Complete events, to be relayed as they are; may be empty.
     Events(Vec<u8>),
-    /// An id did not rise, or an event has no end: the stream is spoilt from here on.
-    Spoilt(Vec<u8>),
+    /// An id did not rise, or an event is too long: the stream is malformed behind these events.
+    Malformed(Vec<u8>),
 }
 
-impl Scanner {
-    /// Takes bytes as they came.
-    pub fn push(&mut self, bytes: &[u8]) -> Scanned {
-        self.held.extend_from_slice(bytes);
-        let mut whole = 0;
-        let mut searched = std::mem::take(&mut self.searched);
-        while let Some(end) = end_of_event(&self.held[whole..], searched) {
+impl EventScanner {
+    /// Takes a chunk; returns the events that it completes.
+    pub fn push(&mut self, bytes: &[u8]) -> ScanResult {
+        self.buffer.extend_from_slice(bytes);
+        let mut complete = 0;
+        let mut searched = std::mem::take(&mut self.searched_bytes);
+        while let Some(end) = end_of_event(&self.buffer[complete..], searched) {
             searched = 0;
-            let event = &self.held[whole..whole + end];
+            let event = &self.buffer[complete..complete + end];
             if let Some(id) = id_of(event) {
-                // One that goes on from another upstream's has the next id, whatever step they take.
-                if self.last.is_some_and(|last| id <= last) {
-                    return self.spoilt(whole);
+                // A resumed stream has the next id, whatever step the ids take.
+                if self.last_id.is_some_and(|last| id <= last) {
+                    return self.malformed(complete);
                 }
-                self.last = Some(id);
-                self.unnumbered = false;
+                self.last_id = Some(id);
+                self.has_unnumbered_tail = false;
             } else if has_data(event) {
-                self.unnumbered = true;
+                self.has_unnumbered_tail = true;
             }
-            whole += end;
+            complete += end;
         }
-        let left = self.held.len() - whole;
-        if left > EVENT_MAX {
-            return self.spoilt(whole);
+        let left = self.buffer.len() - complete;
+        if left > MAX_EVENT_BYTES {
+            return self.malformed(complete);
         }
-        // The two line breaks that end an event may come in two pieces.
-        self.searched = left.saturating_sub(2);
-        Scanned::Events(self.held.drain(..whole).collect())
+        // The two line breaks that end an event may come in two chunks.
+        self.searched_bytes = left.saturating_sub(2);
+        ScanResult::Events(self.buffer.drain(..complete).collect())
     }
 
-    /// The events up to `whole` count; nothing behind them is held.
-    fn spoilt(&mut self, whole: usize) -> Scanned {
-        let events = self.held.drain(..whole).collect();
-        self.held = Vec::new();
-        Scanned::Spoilt(events)
+    /// The events up to `complete` count; nothing behind them is kept.
+    fn malformed(&mut self, complete: usize) -> ScanResult {
+        let events = self.buffer.drain(..complete).collect();
+        self.buffer = Vec::new();
+        ScanResult::Malformed(events)
     }
 
-    /// Bytes that are no whole event yet.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Number of bytes that are no complete event yet.
+    #[must_use]
+    pub fn buffered(&self) -> usize {
+        self.buffer.len()
     }
 
-    /// What is left at the end of the body.
-    pub fn rest(&mut self) -> Vec<u8> {
-        self.searched = 0;
-        std::mem::take(&mut self.held)
+    /// Takes what is left at the end of the body.
+    pub fn take_remainder(&mut self) -> Vec<u8> {
+        self.searched_bytes = 0;
+        std::mem::take(&mut self.buffer)
     }
 
-    /// The stream goes on from another upstream: what was begun is dropped.
-    pub fn resume(&mut self) {
-        self.held.clear();
-        self.searched = 0;
+    /// The stream is resumed at another upstream: an event that is not complete is dropped.
+    pub fn restart(&mut self) {
+        self.buffer.clear();
+        self.searched_bytes = 0;
     }
 
-    /// Id of the last event that was passed on and had one.
+    /// Id of the last event that was relayed and had one.
+    #[must_use]
     pub fn last_id(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
-    /// The event behind which another run may go on without a piece that comes twice or is missing.
+    /// Id of the event behind which another upstream can resume the stream without data that comes twice or is missing.
+    #[must_use]
     pub fn resume_point(&self) -> Option<u64> {
-        self.last.filter(|_| !self.unnumbered)
+        self.last_id.filter(|_| !self.has_unnumbered_tail)
     }
 }
 
-/// The ids of the events that a client was given, to check that they rise.
+/// The ids of the events that a client got, to check that they rise.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct GivenIds {
-    last: Option<u64>,
+pub struct DeliveredEventIds {
+    last_id: Option<u64>,
 }
 
-impl GivenIds {
-    /// Takes note of bytes of whole events; no where an id does not rise. As for the [`Scanner`], an event's id is that of its first line
-    /// with one.
-    pub fn note(&mut self, mut bytes: &[u8]) -> bool {
+impl DeliveredEventIds {
+    /// Records complete events; returns whether their ids rise. As for the [`EventScanner`], an event's id is that of its
+    /// first line with one.
+    pub fn record(&mut self, mut bytes: &[u8]) -> bool {
         let mut rises = true;
         while let Some(end) = end_of_event(bytes, 0) {
             if let Some(id) = id_of(&bytes[..end]) {
-                rises &= self.last.is_none_or(|last| last < id);
-                self.last = Some(id);
+                rises &= self.last_id.is_none_or(|last| last < id);
+                self.last_id = Some(id);
             }
             bytes = &bytes[end..];
         }
@@ -115,7 +119,7 @@
     }
 }
 
-/// Length of the first event with the empty line that ends it; that line begins at `from` at the earliest.
+/// Length of the first event, including the empty line that ends it; that line begins at `from` at the earliest.
 fn end_of_event(bytes: &[u8], mut from: usize) -> Option<usize> {
     while let Some(at) = bytes[from..].iter().position(|byte| *byte == b'\n') {
         let line_end = from + at + 1;
@@ -137,11 +141,11 @@
 fn id_of(event: &[u8]) -> Option<u64> {
     event
         .split(|byte| *byte == b'\n')
-        .find(|line| line.starts_with(ID))
+        .find(|line| line.starts_with(ID_FIELD))
         .and_then(id_of_line)
 }
 
 fn id_of_line(line: &[u8]) -> Option<u64> {
-    let value = line.strip_prefix(ID)?;
+    let value = line.strip_prefix(ID_FIELD)?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/crates/sandtrack-proxy/src/exchange/forward.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward.rs
@@ -1,485 +1,331 @@
-//! Carries one request: does what [`Exchange`] decides, and tells it what happened. It owns the sends that are under way.
+//! Forwards one request: carries out what [`Exchange`] decides, and reports to it what happened. It owns the attempts in
+//! flight.
+mod attempt_slot;
+mod silence;
+mod upstream_selection;
+
 use crate::context::ProxyContext;
-use crate::exchange::attempt::{head_facts, Attempt, Body};
-use crate::exchange::client_response::{come_back_after, Client};
-use crate::exchange::event_stream::GivenIds;
+use crate::exchange::attempt::{summarize_head, Attempt, AttemptOptions, CollectedBody};
+use crate::exchange::client_response::{
+    retry_after_seconds, ClientConnection, LocalResponse, StreamChunk,
+};
+use crate::exchange::event_stream::DeliveredEventIds;
 use crate::exchange::request_log::RequestLog;
 use crate::exchange::state::{
-    is_promise, Action, AnswerId, Exchange, Final, Input, Phase, SendEvent, SendId, Terms, Watched,
-    SENDS,
+    promises_not_executed, Action, AttemptId, Exchange, ExchangeParams, FinalResponse, Input,
+    Phase, ResponseOwner, MAX_CONCURRENT_ATTEMPTS,
 };
-use crate::placement::balancer::Ended;
-use crate::placement::choice::Placed;
+use crate::placement::balancer::SendOutcome;
 use crate::request::ProxyRequest;
-use crate::telemetry::outcomes::Outcome;
-use async_io::Timer;
+use crate::telemetry::outcomes::RequestOutcome;
+use attempt_slot::AttemptSlot;
 use futures_lite::future;
 use sandtrack_invariants::{check, Invariant};
+use sandtrack_protocol::codes::Code;
 use sandtrack_sidecar_core::message::Head;
 use sandtrack_tiers::Millis;
-use std::future::Future;
-use std::pin::Pin;
-use std::time::Duration;
+use silence::SilenceTimer;
 
-/// The longest pause that is in time where the route does not say, in ms.
-const GAP_AIM: Millis = 500.0;
-/// A client has so long beyond the request's time to take a piece of a stream, in ms.
-const LAST_PIECE: Millis = 100.0;
+/// A client has this long beyond the request's deadline to take a chunk of a stream, in ms.
+const CLIENT_WRITE_GRACE_MS: Millis = 100.0;
 
-/// Status of an answer that is relayed as a stream.
+/// Status of a response that is relayed as a stream.
 const STREAM_STATUS: u16 = 200;
 
-/// A send that is waiting for what happens next, and comes back with it.
-type Step<'a> = Pin<Box<dyn Future<Output = (Box<Attempt<'a>>, SendEvent)> + 'a>>;
-
-enum Lane<'a> {
-    Empty,
-    /// Something happened that is being decided on.
-    Paused(Box<Attempt<'a>>),
-    Stepping(Step<'a>),
-}
-
-impl<'a> Lane<'a> {
-    fn arm(&mut self) {
-        *self = match std::mem::replace(self, Lane::Empty) {
-            Lane::Paused(mut attempt) => Lane::Stepping(Box::pin(async move {
-                let event = attempt.step().await;
-                (attempt, event)
-            })),
-            other => other,
-        };
-    }
-
-    fn take(&mut self) -> Option<Box<Attempt<'a>>> {
-        match std::mem::replace(self, Lane::Empty) {
-            Lane::Paused(attempt) => Some(attempt),
-            // Given up in the middle of a step: its connection is closed with it.
-            Lane::Empty | Lane::Stepping(_) => None,
-        }
-    }
-
-    fn attempt(&self) -> Option<&Attempt<'a>> {
-        match self {
-            Lane::Paused(attempt) => Some(attempt),
-            Lane::Empty | Lane::Stepping(_) => None,
-        }
-    }
-
-    /// Waits for the step's outcome; the send is paused with it.
-    async fn event(&mut self) -> SendEvent {
-        let Lane::Stepping(step) = self else {
-            return future::pending().await;
-        };
-        let (attempt, event) = step.await;
-        *self = Lane::Paused(attempt);
-        event
-    }
-}
-
-/// The silence of a send is waited for.
-struct Watch {
-    watched: Watched,
-    silent_at: Millis,
-    /// When it is looked again, not after `silent_at`.
-    look: Timer,
-}
+/// A collected response.
+type CollectedResponse = (Head, CollectedBody);
 
 /// One request on its way.
-struct Carried<'a> {
+struct Forwarding<'a> {
     context: &'a ProxyContext,
     request: &'a ProxyRequest,
-    client: Client<'a>,
-    terms: Terms,
+    client: ClientConnection<'a>,
+    params: ExchangeParams,
     exchange: Exchange,
-    lanes: [Lane<'a>; SENDS],
-    /// Upstreams that it was at.
-    tried: Vec<usize>,
-    watch: Option<Watch>,
-    /// An upstream's own failure, for want of a better answer.
-    failure: Option<(Head, Body)>,
-    /// The answer of the send that was over last, if it came whole.
-    whole: Option<(Head, Body)>,
+    slots: [AttemptSlot<'a>; MAX_CONCURRENT_ATTEMPTS],
+    /// Indexes of the upstreams whose attempts ended.
+    attempted_upstreams: Vec<usize>,
+    silence: Option<SilenceTimer>,
+    /// An upstream's own failure, in case no better response comes.
+    kept_failure: Option<CollectedResponse>,
+    /// The response of the attempt that ended last, if it came whole.
+    last_response: Option<CollectedResponse>,
     log: RequestLog<'a>,
-    /// Of the events that the client was given.
-    given: GivenIds,
-    /// When the last piece of a stream was there.
-    last_piece: Millis,
+    /// Of the events that the client got.
+    delivered_ids: DeliveredEventIds,
+    /// When the last chunk of a stream came.
+    last_chunk_at: Millis,
 }
 
-/// Carries the request and answers on `client`; whether that connection can be used on.
-pub async fn carry(context: &ProxyContext, request: &ProxyRequest, client: Client<'_>) -> bool {
+/// Forwards the request and responds on `client`; returns whether that connection can be used for another request.
+pub async fn forward(
+    context: &ProxyContext,
+    request: &ProxyRequest,
+    client: ClientConnection<'_>,
+) -> bool {
     context
         .balancer
         .borrow_mut()
         .came(context.clock.now(), request);
-    let terms = Terms {
+    let params = ExchangeParams {
         idempotent: request.is_idempotent(),
         streaming: request.is_stream(),
-        attempts: request.route.attempts,
+        max_attempts: request.route.attempts,
     };
-    let carried = Carried {
+    let forwarding = Forwarding {
         context,
         request,
         client,
-        terms,
-        exchange: Exchange::new(terms),
-        lanes: [Lane::Empty, Lane::Empty],
-        tried: Vec::new(),
-        watch: None,
-        failure: None,
-        whole: None,
+        params,
+        exchange: Exchange::new(params),
+        slots: [AttemptSlot::Empty, AttemptSlot::Empty],
+        attempted_upstreams: Vec::new(),
+        silence: None,
+        kept_failure: None,
+        last_response: None,
         log: RequestLog::new(context, request),
-        given: GivenIds::default(),
-        last_piece: request.arrived,
+        delivered_ids: DeliveredEventIds::default(),
+        last_chunk_at: request.arrived,
     };
-    carried.run().await
+    forwarding.run().await
 }
 
-impl<'a> Carried<'a> {
+impl Forwarding<'_> {
     async fn run(mut self) -> bool {
         loop {
             let input = match self.exchange.phase() {
-                Phase::Placing => self.find_place().await,
-                Phase::Sending | Phase::Relaying(_) | Phase::Over => self.next_input().await,
+                Phase::SelectingUpstream => self.select_upstream().await,
+                Phase::AwaitingResponse | Phase::Relaying(_) | Phase::Finished => {
+                    self.next_input().await
+                }
             };
-            let from = match &input {
-                Input::Send(send, _) => Some(*send),
+            let source = match &input {
+                Input::Attempt(id, _) => Some(*id),
                 _ => None,
             };
-            for action in self.exchange.on(input) {
-                if let Some(open) = self.perform(action).await {
-                    return open;
+            for action in self.exchange.handle(input) {
+                if let Some(reusable) = self.perform(action).await {
+                    return reusable;
                 }
             }
-            self.lanes.iter_mut().for_each(Lane::arm);
-            self.set_watch(from);
+            self.slots.iter_mut().for_each(AttemptSlot::start_step);
+            self.update_silence_timer(source);
         }
     }
 
-    /// Does what was decided; once all is over, whether the client's connection can be used on.
+    /// What happens next to the attempts in flight.
+    async fn next_input(&mut self) -> Input {
+        loop {
+            let Forwarding {
+                slots: [first, second],
+                silence,
+                ..
+            } = self;
+            let first = async { Some(Input::Attempt(0, first.next_event().await)) };
+            let second = async { Some(Input::Attempt(1, second.next_event().await)) };
+            let poll = async {
+                match silence {
+                    Some(silence) => (&mut silence.poll).await,
+                    None => future::pending().await,
+                };
+                None
+            };
+            if let Some(input) = future::or(future::or(first, second), poll).await {
+                return input;
+            }
+            if let Some(upstream) = self.check_silence() {
+                return Input::HedgeUpstreamSelected(upstream);
+            }
+        }
+    }
+
+    /// Does what was decided; once the exchange is finished, returns whether the client's connection can be reused.
     async fn perform(&mut self, action: Action) -> Option<bool> {
         match action {
             Action::Start {
-                send,
-                place,
-                reuse,
-                resume,
-            } => {
-                let attempt =
-                    Attempt::new(self.context, self.request, self.terms, place, reuse, resume);
-                self.log.send_begins(attempt.identifier().to_owned());
-                self.lanes[send] = Lane::Paused(Box::new(attempt));
-            }
-            Action::Heed(send) => {
-                if let Some(attempt) = self.lanes[send].attempt() {
-                    attempt.heed();
-                }
-            }
-            Action::NotePace(send) => {
-                if !self.terms.streaming {
-                    self.note_answer_begins(send);
-                }
-                if let Some(attempt) = self.lanes[send].attempt() {
-                    attempt.note_pace();
+                id,
+                upstream,
+                may_reuse_connection,
+                resume_after,
+            } => self.start_attempt(
+                id,
+                AttemptOptions {
+                    upstream,
+                    may_reuse_connection,
+                    resume_after,
+                },
+            ),
+            Action::ApplyLoadReport(id) => {
+                if let Some(attempt) = self.slots[id].attempt() {
+                    attempt.apply_load_report();
                 }
             }
+            Action::RecordLatency(id) => self.record_latency(id),
             Action::Relay {
-                send,
-                begins,
+                id,
+                with_head,
                 bytes,
-                ends,
+                is_last,
             } => {
-                let patience = self.request.left(self.context.clock.now()) + LAST_PIECE;
-                let rises = self.given.note(&bytes);
-                check(Invariant::EventsRise, rises, || {
-                    format!("{} at {:?}", self.request.id, self.given)
-                });
-                self.note_piece(send, begins);
-                let head = self.lanes[send]
-                    .attempt()
-                    .and_then(Attempt::head)
-                    .filter(|_| begins);
-                if let Some(head) = head {
-                    self.check_is_own(head);
-                }
-                if !self.client.relay(head, &bytes, ends, patience).await {
+                if !self.relay(id, with_head, &bytes, is_last).await {
                     return Some(false);
                 }
             }
-            Action::KeepFailure(_) => self.failure = self.whole.take(),
-            Action::Pool(send, ended) => {
-                if let Some(mut attempt) = self.lanes[send].take() {
-                    self.note_over(&attempt, ended);
-                    attempt.pool(ended);
-                    self.whole = attempt.take_answer();
+            Action::KeepFailure(_) => self.kept_failure = self.last_response.take(),
+            Action::ReleaseConnection(id, outcome) => {
+                if let Some(mut attempt) = self.slots[id].take() {
+                    self.record_attempt_end(&attempt, outcome);
+                    attempt.release_connection(outcome);
+                    self.last_response = attempt.take_response();
                 }
             }
-            Action::Close(send, ended) => {
-                if let Some(mut attempt) = self.lanes[send].take() {
-                    self.note_over(&attempt, ended);
-                    self.whole = attempt.take_answer();
-                    attempt.close(ended);
+            Action::CloseConnection(id, outcome) => {
+                if let Some(mut attempt) = self.slots[id].take() {
+                    self.record_attempt_end(&attempt, outcome);
+                    self.last_response = attempt.take_response();
+                    attempt.close(outcome);
                 }
             }
-            Action::Abandon(send) => self.lanes[send] = Lane::Empty,
-            Action::Finish(answer) => return Some(self.finish(answer).await && !self.client.close),
+            Action::Abandon(id) => self.slots[id] = AttemptSlot::Empty,
+            Action::Finish(response) => {
+                return Some(self.finish(response).await && !self.client.close);
+            }
         }
         None
     }
 
-    /// A piece of a stream goes to the client: its lateness is counted.
-    fn note_piece(&mut self, send: SendId, begins: bool) {
-        let now = self.context.clock.now();
-        let pause = now - std::mem::replace(&mut self.last_piece, now);
-        if begins {
-            self.note_answer_begins(send);
-        } else if self.request.route.gap_aim_ms.is_some_and(|aim| pause > aim) {
-            self.log.paused(pause);
-        }
+    fn start_attempt(&mut self, id: AttemptId, options: AttemptOptions) {
+        let attempt = Attempt::new(self.context, self.request, self.params, options);
+        self.log.attempt_started(attempt.identifier().to_owned());
+        self.slots[id] = AttemptSlot::Paused(Box::new(attempt));
     }
 
-    fn note_answer_begins(&mut self, send: SendId) {
-        if let Some(attempt) = self.lanes[send].attempt() {
-            if let Some(asked) = attempt.asked() {
-                self.log
-                    .answer_begins(attempt.identifier(), asked, attempt.is_far());
-            }
+    /// Writes part of a stream to the client; returns whether the client took it.
+    async fn relay(&mut self, id: AttemptId, with_head: bool, bytes: &[u8], is_last: bool) -> bool {
+        let timeout = self.request.left(self.context.clock.now()) + CLIENT_WRITE_GRACE_MS;
+        let rises = self.delivered_ids.record(bytes);
+        check(Invariant::EventsRise, rises, || {
+            format!("{} at {:?}", self.request.id, self.delivered_ids)
+        });
+        self.record_chunk(id, with_head);
+        let head = self.slots[id]
+            .attempt()
+            .and_then(Attempt::head)
+            .filter(|_| with_head);
+        if let Some(head) = head {
+            self.check_response_is_own(head);
         }
-    }
-
-    fn note_over(&mut self, attempt: &Attempt<'_>, ended: Ended) {
-        self.tried.push(attempt.place());
-        self.log.send_over(attempt.identifier(), ended);
-    }
-
-    async fn finish(&mut self, answer: Final) -> bool {
-        let passed_on = match answer {
-            Final::Whole(_) => self.whole.take(),
-            Final::KeptFailure => self.failure.take(),
-            Final::StreamEnded => {
-                self.log.over(Outcome::Upstream(STREAM_STATUS));
-                return true;
-            }
-            Final::Cut => {
-                self.log.over(Outcome::Cut);
-                return false;
-            }
-            Final::Own {
-                status,
-                why,
-                promise,
-            } => {
-                self.log.over(Outcome::Own(status, why));
-                let come_back =
-                    promise.then(|| come_back_after(self.request.route.target_latency_ms));
-                return self
-                    .client
-                    .own(status, &self.request.id, come_back.as_deref(), why)
-                    .await;
-            }
+        let chunk = StreamChunk {
+            head,
+            bytes,
+            is_last,
         };
-        match passed_on {
-            Some((head, body)) => {
-                self.check_is_own(&head);
-                self.log.over(Outcome::Upstream(head.status));
-                self.client.pass_on(&head, &body.bytes).await
-            }
-            None => false,
-        }
+        self.client.relay(&chunk, timeout).await
     }
 
-    /// Checks that an upstream's answer that is passed on is one to this request.
-    fn check_is_own(&self, head: &Head) {
-        let facts = head_facts(head, &self.request.id, &self.context.policy);
-        let is_own = facts.id == AnswerId::Own && (facts.sealed || !facts.is_success());
-        check(
-            Invariant::AnswerIsItsRequests,
-            is_own && !is_promise(facts.status),
-            || format!("{} gets {facts:?}", self.request.id),
-        );
+    fn record_latency(&mut self, id: AttemptId) {
+        if !self.params.streaming {
+            self.record_response_start(id);
+        }
+        if let Some(attempt) = self.slots[id].attempt() {
+            attempt.record_latency();
+        }
     }
 
-    /// Where it goes next, waiting for room for a while. Counts a send beyond the first against the budget.
-    async fn find_place(&self) -> Input {
-        let request = self.request;
-        let hold = (request.route.target_latency_ms).min(request.left(request.arrived))
-            * self.context.policy.hold;
-        let refuse_at = request.arrived + hold;
-        loop {
-            let now = self.context.clock.now();
-            if now >= request.deadline {
-                return Input::TimeOver;
-            }
-            if let Some(place) = self.place(now, &self.tried) {
-                let paid = !self.exchange.needs_budget() || self.pay(now);
-                return if paid {
-                    Input::Placed(place)
-                } else {
-                    Input::NoBudget
-                };
-            }
-            let refused = now >= refuse_at && self.exchange.refuses_early();
-            if refused || now + self.context.policy.look_again_ms >= request.deadline {
-                return Input::NoRoom;
-            }
-            sleep(self.context.policy.look_again_ms).await;
+    /// Counts a chunk of a stream that goes to the client late.
+    fn record_chunk(&mut self, id: AttemptId, is_first: bool) {
+        let now = self.context.clock.now();
+        let pause = now - std::mem::replace(&mut self.last_chunk_at, now);
+        if is_first {
+            self.record_response_start(id);
+        } else if self
+            .request
+            .route
+            .gap_aim_ms
+            .is_some_and(|target| pause > target)
+        {
+            self.log.stream_paused(pause);
         }
     }
 
-    fn place(&self, now: Millis, tried: &[usize]) -> Option<usize> {
-        match self
-            .context
-            .balancer
-            .borrow_mut()
-            .place(now, self.request, tried)
-        {
-            Placed::Send(place) => Some(place),
-            Placed::Wait | Placed::None => None,
+    fn record_response_start(&mut self, id: AttemptId) {
+        if let Some(attempt) = self.slots[id].attempt() {
+            if let Some(write_started_at) = attempt.write_started_at() {
+                self.log.response_started(
+                    attempt.identifier(),
+                    write_started_at,
+                    attempt.is_in_other_region(),
+                );
+            }
         }
     }
 
-    /// One more send beyond the first, if the budget has it.
-    fn pay(&self, now: Millis) -> bool {
-        self.context
-            .balancer
-            .borrow_mut()
-            .may_repeat(now, &self.request.service)
+    fn record_attempt_end(&mut self, attempt: &Attempt<'_>, outcome: SendOutcome) {
+        self.attempted_upstreams.push(attempt.upstream());
+        self.log.attempt_ended(attempt.identifier(), outcome);
     }
 
-    /// What happens next to the sends under way.
-    async fn next_input(&mut self) -> Input {
-        loop {
-            let Carried {
-                lanes: [first, second],
-                watch,
-                ..
-            } = self;
-            let first = async { Some(Input::Send(0, first.event().await)) };
-            let second = async { Some(Input::Send(1, second.event().await)) };
-            let look = async {
-                match watch {
-                    Some(watch) => (&mut watch.look).await,
-                    None => future::pending().await,
-                };
-                None
-            };
-            if let Some(input) = future::or(future::or(first, second), look).await {
-                return input;
+    /// Gives the client its final response; returns whether its connection is still in order.
+    async fn finish(&mut self, response: FinalResponse) -> bool {
+        match response {
+            FinalResponse::Complete(_) => {
+                let response = self.last_response.take();
+                self.send_upstream_response(response).await
             }
-            if let Some(place) = self.look() {
-                return Input::Spare(place);
+            FinalResponse::UpstreamFailure => {
+                let response = self.kept_failure.take();
+                self.send_upstream_response(response).await
+            }
+            FinalResponse::StreamCompleted => {
+                self.log
+                    .finished(RequestOutcome::UpstreamResponse(STREAM_STATUS));
+                true
             }
+            FinalResponse::Aborted => {
+                self.log.finished(RequestOutcome::Aborted);
+                false
+            }
+            FinalResponse::Local {
+                status,
+                code,
+                retryable,
+            } => self.send_local_response(status, code, retryable).await,
         }
     }
 
-    /// Looks whether the watched send is silent, and whether it may be raced at another upstream.
-    fn look(&mut self) -> Option<usize> {
-        let now = self.context.clock.now();
-        let watch = self.watch.as_mut()?;
-        let place = watch.watched.place;
-        let healthy = self
-            .context
-            .balancer
-            .borrow()
-            .upstreams
-            .get(place)
-            .run
-            .is_healthy();
-        if now < watch.silent_at && healthy {
-            watch.look.set_at(
-                self.context.clock.at(watch
-                    .silent_at
-                    .min(now + self.context.policy.suspect_look_ms)),
-            );
-            return None;
-        }
-        watch.silent_at = now;
-        watch.look.set_at(
-            self.context
-                .clock
-                .at(now + self.context.policy.suspect_look_ms),
-        );
-        self.context.balancer.borrow_mut().suspect(now, place);
-        if !self.exchange.may_race() || !self.context.policy.races {
-            return None;
-        }
-        let mut tried = self.tried.clone();
-        tried.push(place);
-        let spare = self.place(now, &tried).filter(|spare| *spare != place)?;
-        self.pay(now).then_some(spare)
+    async fn send_local_response(&mut self, status: u16, code: Code, retryable: bool) -> bool {
+        self.log
+            .finished(RequestOutcome::LocalResponse(status, code));
+        let retry_after =
+            retryable.then(|| retry_after_seconds(self.request.route.target_latency_ms));
+        let response = LocalResponse {
+            status,
+            code,
+            request_id: &self.request.id,
+            retry_after: retry_after.as_deref(),
+        };
+        self.client.send_local_response(&response).await
     }
 
-    /// Silence counts from the last thing that the watched send relayed, or from its start. `from`: the send that something
-    /// happened to.
-    fn set_watch(&mut self, from: Option<SendId>) {
-        let now = self.context.clock.now();
-        let Some(watched) = self.exchange.watched() else {
-            self.watch = None;
-            return;
-        };
-        let relaying = self.exchange.phase() == Phase::Relaying(watched.send);
-        let relayed = relaying && from == Some(watched.send);
-        if let Some(watch) = self.watch.as_mut().filter(|watch| watch.watched == watched) {
-            if relayed {
-                // It is looked when it would have been: that is before this silence is over.
-                watch.silent_at = now + longest_pause(self.context, self.request, watched.place);
-            }
-            return;
-        }
-        let clock = self.context.clock;
-        let (silent_at, look_at) = if relaying && !relayed {
-            // The one that raced it came to nothing: it is silent still.
-            (now, now + self.context.policy.suspect_look_ms)
-        } else {
-            let silent_at = now + self.patience(relaying, watched.place);
-            let healthy = self
-                .context
-                .balancer
-                .borrow()
-                .upstreams
-                .get(watched.place)
-                .run
-                .is_healthy();
-            (
-                silent_at,
-                if healthy {
-                    silent_at.min(now + self.context.policy.suspect_look_ms)
-                } else {
-                    now
-                },
-            )
+    async fn send_upstream_response(&mut self, response: Option<CollectedResponse>) -> bool {
+        let Some((head, body)) = response else {
+            return false;
         };
-        self.watch = Some(Watch {
-            watched,
-            silent_at,
-            look: Timer::at(clock.at(look_at)),
-        });
+        self.check_response_is_own(&head);
+        self.log
+            .finished(RequestOutcome::UpstreamResponse(head.status));
+        self.client.send_response(&head, &body.bytes).await
     }
 
-    /// How long the send at this place may be silent from now on, in ms.
-    fn patience(&self, relaying: bool, place: usize) -> Millis {
-        if relaying {
-            longest_pause(self.context, self.request, place)
-        } else {
-            self.context.balancer.borrow().patience(self.request, place)
-        }
+    /// Checks that an upstream's response that goes to the client belongs to this request.
+    fn check_response_is_own(&self, head: &Head) {
+        let summary = summarize_head(head, &self.request.id, &self.context.policy);
+        let is_own = summary.owner == ResponseOwner::ThisRequest
+            && (summary.sealed || !summary.is_success());
+        check(
+            Invariant::AnswerIsItsRequests,
+            is_own && !promises_not_executed(summary.status),
+            || format!("{} gets {summary:?}", self.request.id),
+        );
     }
 }
-
-/// A stream that pauses for longer is silent, in ms.
-fn longest_pause(context: &ProxyContext, request: &ProxyRequest, place: usize) -> Millis {
-    let aim = request.route.gap_aim_ms.unwrap_or(GAP_AIM);
-    let average = context
-        .balancer
-        .borrow()
-        .upstreams
-        .get(place)
-        .average
-        .get()
-        .unwrap_or(0.0);
-    aim * context.policy.pause + 2.0 * average
-}
-
-async fn sleep(time: Millis) {
-    Timer::after(Duration::from_secs_f64(time / 1000.0)).await;
-}
--- /dev/null
+++ b/crates/sandtrack-proxy/src/exchange/forward/silence.rs
@@ -0,0 +1,129 @@
+//! Detects an attempt that is silent for too long, which makes its upstream suspect and lets the request be hedged.
+use super::Forwarding;
+use crate::exchange::state::{AttemptId, Phase, WatchedAttempt};
+use async_io::Timer;
+use sandtrack_tiers::Millis;
+
+/// The longest pause of a stream that is in time where the route does not say, in ms.
+const DEFAULT_STREAM_GAP_TARGET_MS: Millis = 500.0;
+
+/// Waits for the silence of an attempt.
+pub(super) struct SilenceTimer {
+    watched: WatchedAttempt,
+    /// When the attempt counts as silent.
+    silent_at: Millis,
+    /// When this is checked next, not after `silent_at`.
+    pub(super) poll: Timer,
+}
+
+impl Forwarding<'_> {
+    /// Checks whether the watched attempt is silent; if so, suspects its upstream, and selects one for a hedged attempt
+    /// where that is allowed.
+    pub(super) fn check_silence(&mut self) -> Option<usize> {
+        let now = self.context.clock.now();
+        let poll_interval = self.context.policy.suspect_look_ms;
+        let upstream = self.silence.as_ref()?.watched.upstream;
+        let healthy = self.is_upstream_healthy(upstream);
+        let silence = self.silence.as_mut()?;
+        let clock = self.context.clock;
+        if now < silence.silent_at && healthy {
+            silence
+                .poll
+                .set_at(clock.at(silence.silent_at.min(now + poll_interval)));
+            return None;
+        }
+        silence.silent_at = now;
+        silence.poll.set_at(clock.at(now + poll_interval));
+        self.context.balancer.borrow_mut().suspect(now, upstream);
+        if !self.exchange.may_hedge() || !self.context.policy.races {
+            return None;
+        }
+        let mut excluded = self.attempted_upstreams.clone();
+        excluded.push(upstream);
+        let other = self
+            .pick_upstream(now, &excluded)
+            .filter(|other| *other != upstream)?;
+        self.take_from_retry_budget(now).then_some(other)
+    }
+
+    /// Sets the timer after an event of the attempt `source`. Silence counts from the last chunk that the watched attempt
+    /// relayed, or from its start.
+    pub(super) fn update_silence_timer(&mut self, source: Option<AttemptId>) {
+        let now = self.context.clock.now();
+        let Some(watched) = self.exchange.watched_attempt() else {
+            self.silence = None;
+            return;
+        };
+        let is_relaying = self.exchange.phase() == Phase::Relaying(watched.id);
+        let relayed_now = is_relaying && source == Some(watched.id);
+        let is_same = self
+            .silence
+            .as_ref()
+            .is_some_and(|silence| silence.watched == watched);
+        if is_same {
+            if relayed_now {
+                self.extend_silence(now + self.max_stream_gap(watched.upstream));
+            }
+            return;
+        }
+        let poll_interval = self.context.policy.suspect_look_ms;
+        let (silent_at, poll_at) = if is_relaying && !relayed_now {
+            // The attempt that hedged it failed: it is still silent.
+            (now, now + poll_interval)
+        } else {
+            let silent_at = now + self.silence_timeout(is_relaying, watched.upstream);
+            let poll_at = if self.is_upstream_healthy(watched.upstream) {
+                silent_at.min(now + poll_interval)
+            } else {
+                now
+            };
+            (silent_at, poll_at)
+        };
+        self.silence = Some(SilenceTimer {
+            watched,
+            silent_at,
+            poll: Timer::at(self.context.clock.at(poll_at)),
+        });
+    }
+
+    /// The timer goes off when it would have: that is before `silent_at`.
+    fn extend_silence(&mut self, silent_at: Millis) {
+        if let Some(silence) = &mut self.silence {
+            silence.silent_at = silent_at;
+        }
+    }
+
+    fn is_upstream_healthy(&self, upstream: usize) -> bool {
+        let balancer = self.context.balancer.borrow();
+        balancer.upstreams.get(upstream).run.is_healthy()
+    }
+
+    /// How long the attempt at this upstream may be silent from now on, in ms.
+    fn silence_timeout(&self, is_relaying: bool, upstream: usize) -> Millis {
+        if is_relaying {
+            self.max_stream_gap(upstream)
+        } else {
+            self.context
+                .balancer
+                .borrow()
+                .patience(self.request, upstream)
+        }
+    }
+
+    /// A stream that pauses for longer is silent, in ms.
+    fn max_stream_gap(&self, upstream: usize) -> Millis {
+        let target = self
+            .request
+            .route
+            .gap_aim_ms
+            .unwrap_or(DEFAULT_STREAM_GAP_TARGET_MS);
+        let balancer = self.context.balancer.borrow();
+        let average = balancer
+            .upstreams
+            .get(upstream)
+            .average
+            .get()
+            .unwrap_or(0.0);
+        target * self.context.policy.pause + 2.0 * average
+    }
+}
--- /dev/null
+++ b/crates/sandtrack-proxy/src/exchange/forward/upstream_selection.rs
@@ -0,0 +1,60 @@
+//! Waits for an upstream that the request may be sent to.
+use super::Forwarding;
+use crate::exchange::state::Input;
+use crate::placement::choice::Placed;
+use async_io::Timer;
+use sandtrack_tiers::Millis;
+use std::time::Duration;
+
+impl Forwarding<'_> {
+    /// Selects the next upstream, waiting for capacity for a while. An attempt beyond the first is taken from the retry
+    /// budget.
+    pub(super) async fn select_upstream(&self) -> Input {
+        let request = self.request;
+        let hold = (request.route.target_latency_ms).min(request.left(request.arrived))
+            * self.context.policy.hold;
+        let reject_at = request.arrived + hold;
+        let poll_interval = self.context.policy.look_again_ms;
+        loop {
+            let now = self.context.clock.now();
+            if now >= request.deadline {
+                return Input::DeadlineExceeded;
+            }
+            if let Some(upstream) = self.pick_upstream(now, &self.attempted_upstreams) {
+                let in_budget =
+                    !self.exchange.needs_retry_budget() || self.take_from_retry_budget(now);
+                return if in_budget {
+                    Input::UpstreamSelected(upstream)
+                } else {
+                    Input::RetryBudgetExhausted
+                };
+            }
+            let reject_early = now >= reject_at && self.exchange.may_reject_early();
+            if reject_early || now + poll_interval >= request.deadline {
+                return Input::NoCapacity;
+            }
+            Timer::after(Duration::from_secs_f64(poll_interval / 1000.0)).await;
+        }
+    }
+
+    /// An upstream with capacity, other than those in `excluded`.
+    pub(super) fn pick_upstream(&self, now: Millis, excluded: &[usize]) -> Option<usize> {
+        match self
+            .context
+            .balancer
+            .borrow_mut()
+            .place(now, self.request, excluded)
+        {
+            Placed::Send(upstream) => Some(upstream),
+            Placed::Wait | Placed::None => None,
+        }
+    }
+
+    /// Takes one more attempt from the service's retry budget; returns whether the budget had it.
+    pub(super) fn take_from_retry_budget(&self, now: Millis) -> bool {
+        self.context
+            .balancer
+            .borrow_mut()
+            .may_repeat(now, &self.request.service)
+    }
+}
--- a/crates/sandtrack-proxy/src/exchange/request_log.rs
+++ b/crates/sandtrack-proxy/src/exchange/request_log.rs
@@ -1,198 +1,198 @@
-//! One request in the log: told where its client did not get an upstream's good answer, with every upstream that it was at.
-//! Lines are bounded, so that an overload is not made worse by its log.
+//! The log of one request: it is counted however it ends, and logged where its client did not get an upstream's success, with
+//! every upstream that it was sent to.
 use crate::context::ProxyContext;
-use crate::placement::balancer::Ended;
+use crate::placement::balancer::SendOutcome;
 use crate::request::ProxyRequest;
-use crate::telemetry::latency_cause::Timeline;
-use crate::telemetry::outcomes::Outcome;
+use crate::telemetry::latency_cause::RequestTimeline;
+use crate::telemetry::outcomes::RequestOutcome;
 use sandtrack_protocol::codes::Code;
 use sandtrack_tiers::Millis;
 use std::fmt::Write;
 
-/// One request on its way: whatever becomes of it is counted once, and told where it is no good end.
+/// One request in flight. Where it is dropped before [`RequestLog::finished`], its client has disconnected.
 pub struct RequestLog<'a> {
     context: &'a ProxyContext,
     request: &'a ProxyRequest,
-    sends: Vec<Send>,
-    is_over: bool,
+    attempts: Vec<AttemptRecord>,
+    is_finished: bool,
 }
 
-/// One send of a request.
-struct Send {
+/// One attempt of a request.
+struct AttemptRecord {
     identifier: String,
-    begun: Millis,
-    /// How it ended, and when; none while it is under way.
-    ended: Option<(Ended, Millis)>,
+    started_at: Millis,
+    /// How it ended, and when; `None` while it is in flight.
+    ended: Option<(SendOutcome, Millis)>,
 }
 
 impl<'a> RequestLog<'a> {
-    /// A request that begins to be carried.
+    /// The log of a request that begins to be forwarded.
+    #[must_use]
     pub fn new(context: &'a ProxyContext, request: &'a ProxyRequest) -> RequestLog<'a> {
         RequestLog {
             context,
             request,
-            sends: Vec::new(),
-            is_over: false,
+            attempts: Vec::new(),
+            is_finished: false,
         }
     }
 
-    /// It is sent to an upstream.
-    pub fn send_begins(&mut self, identifier: String) {
-        self.sends.push(Send {
+    /// An attempt at an upstream begins.
+    pub fn attempt_started(&mut self, identifier: String) {
+        self.attempts.push(AttemptRecord {
             identifier,
-            begun: self.context.clock.now(),
+            started_at: self.context.clock.now(),
             ended: None,
         });
     }
 
-    /// A send of it is over.
-    pub fn send_over(&mut self, identifier: &str, ended: Ended) {
-        self.context.outcomes.borrow_mut().note_send(ended);
+    /// An attempt ended.
+    pub fn attempt_ended(&mut self, identifier: &str, outcome: SendOutcome) {
+        self.context.outcomes.borrow_mut().record_attempt(outcome);
         let now = self.context.clock.now();
-        let mut under_way = self.sends.iter_mut().filter(|send| send.ended.is_none());
-        if let Some(send) = under_way.find(|send| send.identifier == identifier) {
-            send.ended = Some((ended, now));
+        let mut in_flight = self
+            .attempts
+            .iter_mut()
+            .filter(|attempt| attempt.ended.is_none());
+        if let Some(attempt) = in_flight.find(|attempt| attempt.identifier == identifier) {
+            attempt.ended = Some((outcome, now));
         }
     }
 
-    /// The first part of its answer is there, of a send that was begun to be written at `asked` to an upstream in another region
-    /// (`far`).
-    pub fn answer_begins(&mut self, identifier: &str, asked: Millis, far: bool) {
+    /// The first part of the response came, of an attempt whose write began at `write_started_at`.
+    pub fn response_started(
+        &mut self,
+        identifier: &str,
+        write_started_at: Millis,
+        in_other_region: bool,
+    ) {
         let now = self.context.clock.now();
         let request = self.request;
         if now - request.arrived <= request.route.target_latency_ms {
             return;
         }
-        let begun = |send: &Send| send.begun;
-        let timeline = Timeline {
-            arrived: request.arrived,
-            first_send: self.sends.first().map_or(asked, begun),
-            send: self
-                .sends
+        let started_at = |attempt: &AttemptRecord| attempt.started_at;
+        let timeline = RequestTimeline {
+            arrived_at: request.arrived,
+            first_attempt_at: self.attempts.first().map_or(write_started_at, started_at),
+            attempt_at: self
+                .attempts
                 .iter()
                 .rev()
-                .find(|send| send.identifier == identifier)
-                .map_or(asked, begun),
-            asked,
-            answered: now,
-            far,
+                .find(|attempt| attempt.identifier == identifier)
+                .map_or(write_started_at, started_at),
+            write_started_at,
+            responded_at: now,
+            in_other_region,
         };
         let cause = timeline.cause();
         let mut outcomes = self.context.outcomes.borrow_mut();
-        outcomes.note_late_first_part(cause);
-        if let Some(left_out) = outcomes.take_line(now) {
-            let mut line = self.ways();
-            let counts = request.tokens.map_or(0, |(prompt, _)| prompt);
+        outcomes.record_late_start(cause);
+        if let Some(suppressed) = outcomes.take_log_line(now) {
+            let mut details = self.attempts_text();
+            let prompt_tokens = request.tokens.map_or(0, |(prompt, _)| prompt);
             let shared_tokens = request.shared_tokens();
             // Writing into memory can't fail.
             let _ = write!(
-                line,
-                "; prompt of {counts} tokens, {shared_tokens} of them shared"
-            );
-            let what = format!("begins late by {}", cause.name());
-            log::info!(
-                "{}{}",
-                self.line(&what, now, &line),
-                left_out_before(left_out)
+                details,
+                "; prompt of {prompt_tokens} tokens, {shared_tokens} of them shared"
             );
+            let event = format!("begins late by {}", cause.name());
+            self.log_line(&event, now, &details, suppressed);
         }
     }
 
-    /// Its stream paused for longer than its route's aim.
-    pub fn paused(&mut self, pause: Millis) {
+    /// The stream paused for longer than its route's target.
+    pub fn stream_paused(&mut self, pause: Millis) {
         let now = self.context.clock.now();
         let mut outcomes = self.context.outcomes.borrow_mut();
-        outcomes.note_late_pause();
-        if let Some(left_out) = outcomes.take_line(now) {
-            let what = format!("paused for {pause:.0} ms");
-            log::info!(
-                "{}{}",
-                self.line(&what, now, &self.ways()),
-                left_out_before(left_out)
-            );
+        outcomes.record_late_pause();
+        if let Some(suppressed) = outcomes.take_log_line(now) {
+            let event = format!("paused for {pause:.0} ms");
+            self.log_line(&event, now, &self.attempts_text(), suppressed);
         }
     }
 
-    /// It ended.
-    pub fn over(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.is_over, true) {
+    /// The request ended; only the first call counts.
+    pub fn finished(&mut self, outcome: RequestOutcome) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let now = self.context.clock.now();
         let mut outcomes = self.context.outcomes.borrow_mut();
-        outcomes.note(outcome, now - self.request.deadline);
-        if outcome.is_good() {
+        outcomes.record(outcome, now - self.request.deadline);
+        if outcome.is_success() {
             return;
         }
-        if let Some(left_out) = outcomes.take_line(now) {
-            let line = self.line(&outcome.to_string(), now, &self.ways());
-            log::info!("{line}{}", left_out_before(left_out));
+        if let Some(suppressed) = outcomes.take_log_line(now) {
+            self.log_line(&outcome.to_string(), now, &self.attempts_text(), suppressed);
         }
     }
 
-    fn line(&self, what: &str, now: Millis, ways: &str) -> String {
+    fn log_line(&self, event: &str, now: Millis, details: &str, suppressed: u64) {
         let request = self.request;
-        format!(
-            "request {} on {}: {what} after {:.0} of {:.0} ms{ways}",
+        log::info!(
+            "request {} on {}: {event} after {:.0} of {:.0} ms{details}{}",
             request.id,
             request.route.name,
             now - request.arrived,
             request.deadline - request.arrived,
-        )
+            suppressed_lines(suppressed)
+        );
     }
 
-    /// The upstreams that it was at.
-    fn ways(&self) -> String {
-        let request = self.request;
-        let mut line = String::new();
-        for Send {
+    /// The upstreams that the request was sent to, and when.
+    fn attempts_text(&self) -> String {
+        let arrived = self.request.arrived;
+        let mut text = String::new();
+        for AttemptRecord {
             identifier,
-            begun,
+            started_at,
             ended,
-        } in &self.sends
+        } in &self.attempts
         {
             // Writing into memory can't fail.
-            let _ = write!(
-                line,
-                "; at {identifier} from {:.0}",
-                begun - request.arrived
-            );
+            let _ = write!(text, "; at {identifier} from {:.0}", started_at - arrived);
             let _ = match ended {
-                Some((ended, at)) => {
-                    write!(line, " {} by {:.0}", ended.name(), at - request.arrived)
+                Some((outcome, at)) => {
+                    write!(text, " {} by {:.0}", outcome.name(), at - arrived)
                 }
-                None => write!(line, " to the end"),
+                None => write!(text, " to the end"),
             };
         }
-        line
+        text
     }
 }
 
-/// The end of a line before which so many were left out.
-fn left_out_before(lines: u64) -> String {
+/// The end of a line before which so many were suppressed.
+fn suppressed_lines(lines: u64) -> String {
     match lines {
         0 => String::new(),
         lines => format!(" ({lines} lines left out before)"),
     }
 }
 
-/// Counts and tells a request that this process answers before it carries it.
-pub fn refused(context: &ProxyContext, id: &str, status: u16, why: Code) {
+/// Counts and logs a request that this process rejects before it is forwarded.
+pub fn record_rejected(context: &ProxyContext, request_id: &str, status: u16, code: Code) {
     let now = context.clock.now();
     let mut outcomes = context.outcomes.borrow_mut();
-    let outcome = Outcome::Own(status, why);
-    outcomes.note(outcome, 0.0);
-    if let Some(left_out) = outcomes.take_line(now) {
-        let id = if id.is_empty() { "without an id" } else { id };
+    let outcome = RequestOutcome::LocalResponse(status, code);
+    outcomes.record(outcome, 0.0);
+    if let Some(suppressed) = outcomes.take_log_line(now) {
+        let id = if request_id.is_empty() {
+            "without an id"
+        } else {
+            request_id
+        };
         log::info!(
             "request {id}: {outcome} before it was carried{}",
-            left_out_before(left_out)
+            suppressed_lines(suppressed)
         );
     }
 }
 
 impl Drop for RequestLog<'_> {
     fn drop(&mut self) {
-        self.over(Outcome::Left);
+        self.finished(RequestOutcome::ClientDisconnected);
     }
 }
--- a/crates/sandtrack-proxy/src/health_checks.rs
+++ b/crates/sandtrack-proxy/src/health_checks.rs
@@ -1,116 +1,151 @@
-//! Health probes: asks upstreams that are due, each in a task of its own.
+//! Health checks: asks upstreams that are due, each in a task of its own.
 use crate::context::ProxyContext;
 use crate::placement::upstreams::Load;
-use crate::upstream_connections::pool::connect;
+use crate::upstream_connections::pool::{connect, Connection};
+use crate::upstream_connections::wire::{read_part, WaitResult};
 use async_io::Timer;
 use futures_lite::future;
 use sandtrack_net::http::Part;
 use sandtrack_net::ring::Ring;
 use sandtrack_net::socket::write_within;
-use sandtrack_sidecar_core::message;
+use sandtrack_sidecar_core::message::{self, Head};
 use sandtrack_tiers::Millis;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often it is looked which upstreams are due.
-const TICK: Duration = Duration::from_millis(50);
+/// How often upstreams that are due are looked for.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the write of a health check may take.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Probes for the life of the process.
+/// One health check of one upstream.
+struct HealthCheck {
+    /// Index of the upstream.
+    upstream: usize,
+    identifier: String,
+    address: String,
+    path: String,
+    timeout: Millis,
+}
+
+/// Checks upstreams for the life of the process.
 pub async fn run(context: Rc<ProxyContext>) {
     loop {
         let now = context.clock.now();
         let due = context.balancer.borrow_mut().probes_due(now);
-        for (place, address, path) in due {
-            let probing = context.clone();
+        for (upstream, address, path) in due {
+            let task_context = context.clone();
             context
                 .executor
-                .spawn(async move { probe(probing, place, address, path).await })
+                .spawn(async move { check_upstream(&task_context, upstream, address, path).await })
                 .detach();
         }
-        context.pool.borrow_mut().sweep(now);
-        Timer::after(TICK).await;
+        context.pool.borrow_mut().remove_expired(now);
+        Timer::after(SCHEDULE_INTERVAL).await;
     }
 }
 
-async fn probe(context: Rc<ProxyContext>, place: usize, address: String, path: String) {
-    let began = context.clock.now();
-    let (identifier, patience) = {
+async fn check_upstream(context: &ProxyContext, upstream: usize, address: String, path: String) {
+    let started_at = context.clock.now();
+    let (identifier, timeout) = {
         let balancer = context.balancer.borrow();
         (
-            balancer.upstreams.get(place).entry.identifier.clone(),
-            balancer.probe_timeout(began, place),
+            balancer.upstreams.get(upstream).entry.identifier.clone(),
+            balancer.probe_timeout(started_at, upstream),
         )
     };
-    let late = async {
-        Timer::after(Duration::from_secs_f64(patience / 1000.0)).await;
+    let health_check = HealthCheck {
+        upstream,
+        identifier,
+        address,
+        path,
+        timeout,
+    };
+    let timer = async {
+        Timer::after(Duration::from_secs_f64(timeout / 1000.0)).await;
         None
     };
-    let answered = future::or(
-        ask(&context, place, &identifier, &address, &path, patience),
-        late,
-    )
-    .await;
+    let written_at = future::or(request_health(context, &health_check), timer).await;
     let now = context.clock.now();
+    context.balancer.borrow_mut().probed(
+        now,
+        upstream,
+        written_at.map(|written_at| now - written_at.max(started_at)),
+    );
+}
+
+/// When the request was written, if the upstream answers that it is healthy.
+async fn request_health(context: &ProxyContext, health_check: &HealthCheck) -> Option<Millis> {
+    let mut connection = open_connection(context, health_check).await?;
+    let host = [("Host", health_check.address.as_str())].into_iter();
+    let request = message::request("GET", &health_check.path, host, b"");
+    let written_at = context.clock.now();
+    let mut output = Ring::new(request.len());
+    if !output.push(&request) || !write_within(&connection.stream, &mut output, WRITE_TIMEOUT).await
+    {
+        return None;
+    }
+    let deadline = written_at + health_check.timeout;
+    let head = read_response(context, &mut connection, deadline).await?;
+    let now = context.clock.now();
+    apply_load_report(context, now, health_check.upstream, &head);
+    let identifier = health_check.identifier.as_str();
+    let is_expected_instance = head
+        .headers
+        .get("instance-id")
+        .is_none_or(|instance| instance == identifier);
+    let is_healthy = head.status == 200 && is_expected_instance;
     context
-        .balancer
+        .pool
         .borrow_mut()
-        .probed(now, place, answered.map(|asked| now - asked.max(began)));
+        .release(identifier, connection, &head, now);
+    is_healthy.then_some(written_at)
 }
 
-/// When the question was written, if the upstream answers that it is well.
-async fn ask(
-    context: &ProxyContext,
-    place: usize,
-    identifier: &str,
-    address: &str,
-    path: &str,
-    patience: Millis,
-) -> Option<Millis> {
+async fn open_connection(context: &ProxyContext, health_check: &HealthCheck) -> Option<Connection> {
+    let HealthCheck {
+        identifier,
+        address,
+        timeout,
+        ..
+    } = health_check;
     let idle = context
         .pool
         .borrow_mut()
-        .take(identifier, context.clock.now());
-    let mut connection = match idle {
-        Some(connection) => connection,
-        None => connect(&context.pool, identifier, address, patience)
+        .take_idle(identifier, context.clock.now());
+    match idle {
+        Some(connection) => Some(connection),
+        None => connect(&context.pool, identifier, address, *timeout)
             .await
-            .ok()?,
-    };
-    let host = [("Host", address)].into_iter();
-    let bytes = message::request("GET", path, host, b"");
-    let asked = context.clock.now();
-    let mut output = Ring::new(bytes.len());
-    if !output.push(&bytes)
-        || !write_within(&connection.stream, &mut output, Duration::from_secs(1)).await
-    {
-        return None;
+            .ok(),
     }
-    let until = asked + patience;
+}
+
+/// Reads a whole response; returns its head.
+async fn read_response(
+    context: &ProxyContext,
+    connection: &mut Connection,
+    deadline: Millis,
+) -> Option<Head> {
     let mut head = None;
     loop {
-        match crate::upstream_connections::wire::next(&mut connection, context.clock, until).await {
-            crate::upstream_connections::wire::Waited::Part(Part::Head(came)) => head = Some(came),
-            crate::upstream_connections::wire::Waited::Part(Part::Data(_)) => {}
-            crate::upstream_connections::wire::Waited::Part(Part::End) => break,
-            _ => return None,
+        match read_part(connection, context.clock, deadline).await {
+            WaitResult::Part(Part::Head(received)) => head = Some(received),
+            WaitResult::Part(Part::Data(_)) => {}
+            WaitResult::Part(Part::End) => return head,
+            WaitResult::Failed(_) | WaitResult::TimedOut => return None,
         }
     }
-    let head = head?;
-    let now = context.clock.now();
+}
+
+fn apply_load_report(context: &ProxyContext, now: Millis, upstream: usize, head: &Head) {
     let load = head.headers.get("server-load").and_then(Load::parse);
-    let cold = head
+    let cold_remaining = head
         .headers
         .get("cold-remaining")
         .and_then(|value| value.trim().parse().ok());
-    context.balancer.borrow_mut().told(now, place, load, cold);
-    let itself = head
-        .headers
-        .get("instance-id")
-        .is_none_or(|instance| instance == identifier);
-    let well = head.status == 200 && itself;
     context
-        .pool
+        .balancer
         .borrow_mut()
-        .give(identifier, connection, &head, now);
-    well.then_some(asked)
+        .told(now, upstream, load, cold_remaining);
 }
--- /dev/null
+++ b/crates/sandtrack-proxy/src/listener/read_request.rs
@@ -0,0 +1,278 @@
+//! Reads one request from a client's connection, within the operator's limits.
+use super::limits::ClientLimits;
+use crate::context::ProxyContext;
+use crate::request::held_at_most;
+use crate::socket_read::read_available;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use sandtrack_net::byte_budget::Held;
+use sandtrack_net::http::{take_expectation, Bad, Parser, Part, CONTINUE};
+use sandtrack_net::ring::Ring;
+use sandtrack_net::socket::write_within;
+use sandtrack_protocol::codes::{self, Code};
+use sandtrack_sidecar_core::message::Head;
+use sandtrack_tiers::Millis;
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// How long the write of `100 Continue` may take.
+const CONTINUE_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
+/// While the process is draining, an idle connection is kept this long for what its client has on the way, in ms.
+const DRAINING_IDLE_TIMEOUT_MS: Millis = 1500.0;
+/// A body may take this many times as long as a head ...
+const BODY_TIMEOUT_FACTOR: f64 = 4.0;
+/// ... counted as this at least, in ms, and not over the time that the request may be held (ours).
+const MIN_BODY_BASE_TIMEOUT_MS: Millis = 5_000.0;
+
+/// A complete request.
+pub(super) struct ReceivedRequest {
+    pub(super) head: Head,
+    pub(super) body: Vec<u8>,
+    /// The body's part of the process's memory budget, until this is dropped.
+    #[expect(dead_code, reason = "held for its Drop")]
+    pub(super) reservation: Held,
+    /// When its first byte came.
+    pub(super) arrived_at: Millis,
+}
+
+/// A request that is rejected before it is forwarded.
+pub(super) struct RejectedRequest {
+    pub(super) status: u16,
+    pub(super) code: Code,
+    /// Empty where it is not known.
+    pub(super) request_id: String,
+}
+
+/// What reading came to.
+pub(super) enum ReadOutcome {
+    Request(ReceivedRequest),
+    Rejected(RejectedRequest),
+    /// The connection is over.
+    Closed,
+}
+
+/// A request whose head came.
+struct PartialRequest {
+    head: Head,
+    /// When its first byte came.
+    arrived_at: Millis,
+    /// When all of it must be there.
+    deadline: Millis,
+}
+
+/// Reads the next request. `pipelined_at`: its first bytes came at that time. The limits are those in force when its head
+/// comes, also on a connection that was idle since before a change of them.
+pub(super) async fn read_request(
+    context: &ProxyContext,
+    stream: &Async<TcpStream>,
+    parser: &mut Parser,
+    input: &mut Ring,
+    pipelined_at: Option<Millis>,
+) -> ReadOutcome {
+    let mut reader = RequestReader {
+        context,
+        stream,
+        limits: ClientLimits::current(context),
+        started_at: context.clock.now(),
+        first_byte_at: pipelined_at,
+        partial: None,
+        body: Vec::new(),
+        reservation: context.memory.requests.message(),
+    };
+    loop {
+        if reader.partial.is_none() {
+            reader.limits = ClientLimits::current(context);
+            parser.set_head_max(reader.limits.max_head_bytes);
+            input.set_bound(reader.limits.input_buffer_bytes());
+        }
+        let step = match parser.next(input) {
+            Ok(Some(Part::Head(head))) => reader.on_head(head).await,
+            Ok(Some(Part::Data(data))) => reader.on_data(&data),
+            Ok(Some(Part::End)) => return reader.finish(),
+            Ok(None) => reader.read_more(parser.within(input), input).await,
+            Err(bad) => Err(reject_malformed(bad)),
+        };
+        if let Err(outcome) = step {
+            return outcome;
+        }
+    }
+}
+
+/// A request as it is being read.
+struct RequestReader<'a> {
+    context: &'a ProxyContext,
+    stream: &'a Async<TcpStream>,
+    limits: ClientLimits,
+    started_at: Millis,
+    first_byte_at: Option<Millis>,
+    partial: Option<PartialRequest>,
+    body: Vec<u8>,
+    reservation: Held,
+}
+
+impl RequestReader<'_> {
+    async fn on_head(&mut self, mut head: Head) -> Result<(), ReadOutcome> {
+        let announced =
+            content_length(&head).filter(|length| *length <= self.limits.max_body_bytes);
+        if !announced.is_none_or(|length| self.reservation.grow_to(length)) {
+            return Err(rejected(503, codes::NO_MEMORY, request_id(&head)));
+        }
+        self.body.reserve_exact(announced.unwrap_or(0));
+        if take_expectation(&mut head) {
+            let mut output = Ring::new(CONTINUE.len());
+            if !output.push(CONTINUE)
+                || !write_within(self.stream, &mut output, CONTINUE_WRITE_TIMEOUT).await
+            {
+                return Err(ReadOutcome::Closed);
+            }
+        }
+        let arrived_at = self
+            .first_byte_at
+            .unwrap_or_else(|| self.context.clock.now());
+        self.partial = Some(PartialRequest {
+            head,
+            arrived_at,
+            deadline: f64::INFINITY,
+        });
+        Ok(())
+    }
+
+    fn on_data(&mut self, data: &[u8]) -> Result<(), ReadOutcome> {
+        if self.body.len() + data.len() > self.limits.max_body_bytes {
+            return Err(rejected(413, codes::TOO_LARGE, String::new()));
+        }
+        if !self.reservation.extend(&mut self.body, data) {
+            return Err(rejected(503, codes::NO_MEMORY, self.known_id()));
+        }
+        Ok(())
+    }
+
+    fn finish(self) -> ReadOutcome {
+        match self.partial {
+            Some(partial) => ReadOutcome::Request(ReceivedRequest {
+                head: partial.head,
+                body: self.body,
+                reservation: self.reservation,
+                arrived_at: partial.arrived_at,
+            }),
+            None => rejected(400, codes::MALFORMED, String::new()),
+        }
+    }
+
+    /// Waits for more bytes. `is_within`: a request has begun.
+    async fn read_more(&mut self, is_within: bool, input: &mut Ring) -> Result<(), ReadOutcome> {
+        let clock = self.context.clock;
+        if is_within && self.first_byte_at.is_none() {
+            self.first_byte_at = Some(clock.now());
+        }
+        let deadline = self.deadline();
+        let read = async { Some(read_available(self.stream, input).await) };
+        let timer = async {
+            self.until_timeout(is_within, deadline).await;
+            None
+        };
+        match future::or(read, timer).await {
+            Some(Ok(count)) if count > 0 => Ok(()),
+            Some(_) => Err(ReadOutcome::Closed),
+            None if is_within => Err(rejected(408, codes::DEADLINE, self.known_id())),
+            // The idle time-out may have grown meanwhile.
+            None if clock.now()
+                < self.started_at + ClientLimits::current(self.context).idle_timeout
+                && !self.context.balancer.borrow().leaving =>
+            {
+                Ok(())
+            }
+            None => Err(ReadOutcome::Closed),
+        }
+    }
+
+    /// When the part that is due must have come.
+    fn deadline(&mut self) -> Millis {
+        let header_timeout = self.limits.header_timeout;
+        match (self.first_byte_at, &mut self.partial) {
+            (None, None) => self.started_at + self.limits.idle_timeout,
+            (Some(at), None) => at.max(self.started_at) + header_timeout,
+            (_, Some(partial)) => {
+                if partial.deadline.is_infinite() {
+                    partial.deadline = body_deadline(
+                        self.context,
+                        &partial.head,
+                        partial.arrived_at,
+                        header_timeout,
+                    );
+                }
+                partial.deadline
+            }
+        }
+    }
+
+    /// Returns at the deadline; an idle connection ends soon after the process began to drain.
+    async fn until_timeout(&self, is_within: bool, deadline: Millis) {
+        let clock = self.context.clock;
+        let timer = async {
+            Timer::at(clock.at(deadline)).await;
+        };
+        if is_within {
+            return timer.await;
+        }
+        let draining = async {
+            let _ = self.context.draining.recv().await;
+            Timer::after(Duration::from_secs_f64(DRAINING_IDLE_TIMEOUT_MS / 1000.0)).await;
+        };
+        future::or(draining, timer).await;
+    }
+
+    /// The id of a request whose head came; else empty.
+    fn known_id(&self) -> String {
+        self.partial
+            .as_ref()
+            .map(|partial| request_id(&partial.head))
+            .unwrap_or_default()
+    }
+}
+
+fn rejected(status: u16, code: Code, request_id: String) -> ReadOutcome {
+    ReadOutcome::Rejected(RejectedRequest {
+        status,
+        code,
+        request_id,
+    })
+}
+
+fn reject_malformed(bad: Bad) -> ReadOutcome {
+    let code = if bad == Bad::Malformed {
+        codes::MALFORMED
+    } else {
+        codes::TOO_LARGE
+    };
+    rejected(bad.status(), code, String::new())
+}
+
+/// Until when a request is waited for whose head came and whose body did not.
+fn body_deadline(
+    context: &ProxyContext,
+    head: &Head,
+    arrived_at: Millis,
+    header_timeout: Millis,
+) -> Millis {
+    let balancer = context.balancer.borrow();
+    let max_hold = balancer
+        .configuration
+        .as_ref()
+        .and_then(|configuration| held_at_most(configuration, head));
+    let timeout = BODY_TIMEOUT_FACTOR * header_timeout.max(MIN_BODY_BASE_TIMEOUT_MS);
+    arrived_at + max_hold.map_or(timeout, |hold| hold.min(timeout))
+}
+
+/// The `Request-Id` of a head; empty where it has none.
+pub(super) fn request_id(head: &Head) -> String {
+    head.headers
+        .get("request-id")
+        .unwrap_or_default()
+        .to_owned()
+}
+
+/// The length of the body that a head announces; `None` where it is chunked.
+fn content_length(head: &Head) -> Option<usize> {
+    head.headers.get("content-length")?.trim().parse().ok()
+}
--- a/crates/sandtrack-proxy/src/metrics.rs
+++ b/crates/sandtrack-proxy/src/metrics.rs
@@ -1,29 +1,30 @@
-//! The figures of a proxy, for scrapers and for whoever looks at an incident.
+//! The metrics of a proxy.
 use crate::context::ProxyContext;
 use sandtrack_protocol::metrics::{Kind, MetricsText};
 use std::collections::BTreeMap;
 
 /// Upstreams of one service as this proxy sees them.
 #[derive(Default)]
-struct Seen {
+struct ServiceUpstreams {
     listed: u64,
     draining: u64,
     unhealthy: u64,
-    own: usize,
+    /// Attempts of this proxy in flight.
+    open_attempts: usize,
 }
 
-/// All figures of this process as text.
-pub fn text(context: &ProxyContext) -> String {
+/// All metrics of this process as text.
+pub fn render(context: &ProxyContext) -> String {
     let mut text = MetricsText::default();
-    context.outcomes.borrow().tell(&mut text);
-    tell_state(context, &mut text);
-    tell_upstreams(context, &mut text);
+    context.outcomes.borrow().append_metrics(&mut text);
+    append_process(context, &mut text);
+    append_upstreams(context, &mut text);
     text.invariants();
     text.logs();
     text.into_text()
 }
 
-fn tell_state(context: &ProxyContext, text: &mut MetricsText) {
+fn append_process(context: &ProxyContext, text: &mut MetricsText) {
     let balancer = context.balancer.borrow();
     let state = balancer.state();
     let gauges: [(&str, &str, u64); 10] = [
@@ -42,7 +43,7 @@
         (
             "client_connections",
             "Connections of clients",
-            context.connections.get() as u64,
+            context.client_connections.get() as u64,
         ),
         (
             "request_bytes_held",
@@ -52,7 +53,7 @@
         (
             "answer_bytes_held",
             "Collected answers in hand",
-            context.memory.answers.held() as u64,
+            context.memory.responses.held() as u64,
         ),
         (
             "proxies_known",
@@ -75,31 +76,31 @@
     }
 }
 
-fn tell_upstreams(context: &ProxyContext, text: &mut MetricsText) {
+fn append_upstreams(context: &ProxyContext, text: &mut MetricsText) {
+    const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
+    const OPEN_ATTEMPTS: &str = "sandtrack_proxy_sends_open";
     let balancer = context.balancer.borrow();
-    let mut services: BTreeMap<&str, Seen> = BTreeMap::new();
-    for place in balancer.upstreams.listed() {
-        let upstream = balancer.upstreams.get(place);
-        let seen = services.entry(&upstream.entry.service).or_default();
-        seen.listed += 1;
-        seen.draining += u64::from(upstream.entry.draining);
-        seen.unhealthy += u64::from(!upstream.run.is_healthy());
-        seen.own += upstream.own;
+    let mut services: BTreeMap<&str, ServiceUpstreams> = BTreeMap::new();
+    for index in balancer.upstreams.listed() {
+        let upstream = balancer.upstreams.get(index);
+        let service = services.entry(&upstream.entry.service).or_default();
+        service.listed += 1;
+        service.draining += u64::from(upstream.entry.draining);
+        service.unhealthy += u64::from(!upstream.run.is_healthy());
+        service.open_attempts += upstream.own;
     }
-    const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
     text.family(UPSTREAMS, Kind::Gauge, "Upstreams by service and state");
-    for (service, seen) in &services {
+    for (name, service) in &services {
         for (state, count) in [
-            ("listed", seen.listed),
-            ("draining", seen.draining),
-            ("unhealthy", seen.unhealthy),
+            ("listed", service.listed),
+            ("draining", service.draining),
+            ("unhealthy", service.unhealthy),
         ] {
-            text.figure(UPSTREAMS, &[("service", service), ("state", state)], count);
+            text.figure(UPSTREAMS, &[("service", name), ("state", state)], count);
         }
     }
-    const OPEN: &str = "sandtrack_proxy_sends_open";
-    text.family(OPEN, Kind::Gauge, "Sends under way by service");
-    for (service, seen) in &services {
-        text.figure(OPEN, &[("service", service)], seen.own);
+    text.family(OPEN_ATTEMPTS, Kind::Gauge, "Sends under way by service");
+    for (name, service) in &services {
+        text.figure(OPEN_ATTEMPTS, &[("service", name)], service.open_attempts);
     }
 }
--- a/crates/sandtrack-proxy/src/placement/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -33,27 +33,27 @@
 
 /// How a send ended, as far as the upstream is judged by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Answered,
+pub enum SendOutcome {
+    Completed,
     /// It said that it is full, or another upstream has the address.
-    TurnedAway,
+    Rejected,
     /// A 5xx of its own, or bytes that are no answer.
-    Faulty,
+    ServerError,
     /// The connection failed or broke.
-    Broken,
+    ConnectionFailed,
     /// This side gave it up: its client left, or its time was over.
-    GivenUp,
+    Cancelled,
 }
 
-impl Ended {
+impl SendOutcome {
     /// Its name in logs and figures.
     pub fn name(self) -> &'static str {
         match self {
-            Ended::Answered => "answered",
-            Ended::TurnedAway => "turned_away",
-            Ended::Faulty => "faulty",
-            Ended::Broken => "broken",
-            Ended::GivenUp => "given_up",
+            SendOutcome::Completed => "answered",
+            SendOutcome::Rejected => "turned_away",
+            SendOutcome::ServerError => "faulty",
+            SendOutcome::ConnectionFailed => "broken",
+            SendOutcome::Cancelled => "given_up",
         }
     }
 }
@@ -434,7 +434,7 @@
     }
 
     /// A send is over.
-    pub fn ended(&mut self, now: Millis, place: usize, ended: Ended) {
+    pub fn ended(&mut self, now: Millis, place: usize, ended: SendOutcome) {
         let rest_until = now + self.policy.rest_ms;
         let upstream = self.upstreams.get_mut(place);
         check(Invariant::SendsAreCounted, upstream.own > 0, || {
@@ -442,24 +442,24 @@
         });
         upstream.own = upstream.own.saturating_sub(1);
         match ended {
-            Ended::Answered => upstream.run.succeeded(),
-            Ended::TurnedAway => upstream.rests_until = rest_until,
-            Ended::Faulty => upstream.rests_until = rest_until,
+            SendOutcome::Completed => upstream.run.succeeded(),
+            SendOutcome::Rejected => upstream.rests_until = rest_until,
+            SendOutcome::ServerError => upstream.rests_until = rest_until,
             // Where the way is not known yet, a failure says that it was not waited for long enough.
-            Ended::Broken
+            SendOutcome::ConnectionFailed
                 if self.region_trips.get(&upstream.region).is_none()
                     && upstream.heard_at.is_infinite() =>
             {
                 upstream.rests_until = rest_until;
                 upstream.next_probe = now;
             }
-            Ended::Broken => {
+            SendOutcome::ConnectionFailed => {
                 upstream.run.failed();
                 upstream.rests_until = rest_until;
                 upstream.next_probe = now;
                 self.note_failure(now, place);
             }
-            Ended::GivenUp => {}
+            SendOutcome::Cancelled => {}
         }
         if !self.upstreams.get(place).listed {
             self.upstreams.sweep();
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -1,4 +1,7 @@
-//! The proxy's process: settings, listeners, signals, and the tasks that share one thread.
+//! The proxy's process: command line, settings, listeners, signals, and the tasks that share one thread.
+mod options;
+mod settings_reload;
+
 use crate::context::ProxyContext;
 use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
@@ -6,78 +9,44 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use bpaf::{construct, long, OptionParser, Parser};
-use futures_lite::{future, StreamExt};
-use sandtrack_net::file_change::FileChange;
+use options::{options, Options};
 use sandtrack_net::text_server;
 use sandtrack_protocol::codes;
 use sandtrack_protocol::logs;
 use sandtrack_protocol::metrics;
 use sandtrack_protocol::settings::Settings;
+use settings_reload::reload_until_stopped;
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 use std::net::{SocketAddr, TcpListener};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Clients hold an answer of the directory for up to three times its lifetime of a second: so long after it was told to
-/// stop, this process still accepts, in ms.
-const ACCEPT_ON: f64 = 3300.0;
-/// ... and this part of its grace at most.
-const ACCEPT_SHARE: f64 = 0.5;
-/// So long after its start a process lets clients wait for a configuration, in ms: a connection that is not read from for a
-/// second is given up by its client.
-const READY_PATIENCE: f64 = 800.0;
-const READY_LOOK: Duration = Duration::from_millis(10);
-/// How often it is looked whether the settings file has changed.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
-/// Part of the grace that is kept back, in ms.
-const GRACE_MARGIN: f64 = 400.0;
-
-struct Options {
-    check: bool,
-    log_level: String,
-    policy: Policy,
-}
-
-fn options() -> OptionParser<Options> {
-    let check = long("check")
-        .help("Read and check the settings, and end")
-        .switch();
-    let log_level = long("log-level")
-        .help("error, warn, info or debug")
-        .argument("LEVEL");
-    let log_level = log_level.fallback("info".to_owned());
-    let policy = policy();
-    construct!(Options {
-        check,
-        log_level,
-        policy
-    })
-    .to_options()
-    .descr("The data plane of sandtrack")
-}
-
-/// The constants that decisions go by: in a release build always the default.
-#[cfg(not(feature = "ablation"))]
-fn policy() -> impl Parser<Policy> {
-    bpaf::pure(Policy::default())
-}
+/// Clients keep a directory entry for up to three times its lifetime of a second: this process accepts connections for so
+/// long after it began to drain, in ms.
+const DRAINING_ACCEPT_MS: f64 = 3300.0;
+/// ... and this part of its grace period at most.
+const DRAINING_ACCEPT_SHARE: f64 = 0.5;
+/// A process that starts lets clients wait for a configuration for this long, in ms: clients give up a connection that is
+/// not read from for a second.
+const READY_TIMEOUT_MS: f64 = 800.0;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Part of the grace period that is kept in reserve, in ms.
+const GRACE_MARGIN_MS: f64 = 400.0;
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The constants that decisions go by, some of them set anew.
-#[cfg(feature = "ablation")]
-fn policy() -> impl Parser<Policy> {
-    let policy = long("policy")
-        .help("Constants set anew: NAME=VALUE,...")
-        .argument::<String>("CHANGES");
-    policy
-        .parse(|changes| Policy::with(&changes))
-        .fallback(Policy::default())
+/// Sockets that the process listens on.
+struct Listeners {
+    /// Clients' connections.
+    clients: Option<Async<TcpListener>>,
+    /// The platform's readiness check.
+    readiness: Option<Async<TcpListener>>,
+    metrics: Option<Async<TcpListener>>,
 }
 
-/// The program; gives its exit code: 0 after SIGTERM, 1 when it can't listen, 2 when its settings are wrong.
+/// The program; returns its exit code: 0 after SIGTERM, 1 when it can't listen, 2 when its settings are wrong.
 pub fn main() -> ExitCode {
     let options = options().run();
     let path = PathBuf::from(std::env::var_os("SANDTRACK_BOOT").unwrap_or_default());
@@ -92,6 +61,10 @@
     if options.check {
         return ExitCode::SUCCESS;
     }
+    run(settings, options, path)
+}
+
+fn run(settings: Settings, options: Options, path: PathBuf) -> ExitCode {
     logs::start(&settings.node_name, &options.log_level);
     let signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(signals) => signals,
@@ -111,26 +84,66 @@
     }
 }
 
-/// Clients wait in the listener's queue until there is a configuration to serve by; after [`READY_PATIENCE`] they are told
-/// that there is none.
-async fn until_ready(context: &ProxyContext) {
-    let late = context.clock.now() + READY_PATIENCE;
-    while !context.balancer.borrow().is_ready() && context.clock.now() < late {
-        Timer::after(READY_LOOK).await;
+/// Serves until the process is told to stop, and drains it.
+async fn serve(
+    settings: Settings,
+    policy: Policy,
+    path: PathBuf,
+    mut signals: Signals,
+    executor: Rc<LocalExecutor<'static>>,
+) -> std::io::Result<()> {
+    let seed = RandomState::new().build_hasher().finish();
+    let (start_draining, draining) = async_channel::bounded::<()>(1);
+    let (stop_accepting, accepting_stopped) = async_channel::bounded::<()>(1);
+    let grace = settings.bounds.grace_s * 1000.0;
+    let listeners = Listeners::bind(&settings)?;
+    let balancer = Balancer::with_policy(&settings, seed, Rc::new(policy));
+    let context = Rc::new(ProxyContext::new(
+        settings, balancer, executor, seed, draining,
+    ));
+    start_tasks(&context, listeners, accepting_stopped);
+    log::info!("proxy started");
+    reload_until_stopped(&context, &path, &mut signals).await;
+    // Out of the directory first; clients with an old entry are served on; then open connections end.
+    let stopped_at = context.clock.now();
+    context.balancer.borrow_mut().leaving = true;
+    context.notify_state_changed();
+    start_draining.close();
+    log::info!("told to stop");
+    let accept_for = DRAINING_ACCEPT_MS.min(grace * DRAINING_ACCEPT_SHARE);
+    Timer::after(Duration::from_secs_f64(accept_for / 1000.0)).await;
+    stop_accepting.close();
+    while context.client_connections.get() > 0
+        && context.clock.now() - stopped_at < grace - GRACE_MARGIN_MS
+    {
+        Timer::after(DRAIN_POLL_INTERVAL).await;
+    }
+    log::info!("proxy ends");
+    Ok(())
+}
+
+impl Listeners {
+    fn bind(settings: &Settings) -> std::io::Result<Listeners> {
+        Ok(Listeners {
+            clients: bind(settings, "front")?,
+            readiness: bind(settings, "readiness")?,
+            metrics: bind_metrics(settings),
+        })
     }
 }
 
+/// Binds the address that the settings give this name; `None` where they give none.
 fn bind(settings: &Settings, name: &str) -> std::io::Result<Option<Async<TcpListener>>> {
     let Some(address) = settings.listen.get(name) else {
         return Ok(None);
     };
-    let wrong = |_| std::io::Error::other(format!("{name}: `{address}` is no address"));
-    let address: SocketAddr = address.parse().map_err(wrong)?;
+    let invalid = |_| std::io::Error::other(format!("{name}: `{address}` is no address"));
+    let address: SocketAddr = address.parse().map_err(invalid)?;
     Async::<TcpListener>::bind(address).map(Some)
 }
 
-/// Without its figures a process serves all the same.
-fn metrics_listener(settings: &Settings) -> Option<Async<TcpListener>> {
+/// A process without a metrics endpoint serves all the same.
+fn bind_metrics(settings: &Settings) -> Option<Async<TcpListener>> {
     let address = metrics::address(settings, metrics::PROXY_PORT);
     let listener = text_server::listen(&address);
     listener
@@ -138,75 +151,30 @@
         .ok()
 }
 
-/// Reads the settings again at SIGHUP, and where their file has changed without one. Returns at any other signal.
-async fn until_told_to_stop(context: &ProxyContext, path: &Path, signals: &mut Signals) {
-    let mut file = FileChange::of(path.to_owned());
-    loop {
-        let signal = async { Some(signals.next().await) };
-        let look = async {
-            Timer::after(SETTINGS_EVERY).await;
-            None
-        };
-        match future::or(signal, look).await {
-            Some(Some(Ok(Signal::Hup))) => read_again(context, path),
-            Some(_) => return,
-            None if file.is_new() => read_again(context, path),
-            None => {}
-        }
-    }
-}
-
-/// A faulty file changes nothing.
-fn read_again(context: &ProxyContext, path: &Path) {
-    match Settings::read(path) {
-        Ok(settings) => {
-            context.balancer.borrow_mut().settings_changed(&settings);
-            *context.settings.borrow_mut() = settings;
-            log::info!("settings read again");
-        }
-        Err(error) => log::error!("settings are kept as they were: {error}"),
-    }
-}
-
-async fn serve(
-    settings: Settings,
-    policy: Policy,
-    path: PathBuf,
-    mut signals: Signals,
-    executor: Rc<LocalExecutor<'static>>,
-) -> std::io::Result<()> {
-    let seed = RandomState::new().build_hasher().finish();
-    let (leave, left) = async_channel::bounded::<()>(1);
-    let (stop, stopped) = async_channel::bounded::<()>(1);
-    let grace = settings.bounds.grace_s * 1000.0;
-    let listener = bind(&settings, "front")?;
-    let checks = bind(&settings, "readiness")?;
-    let scraped = metrics_listener(&settings);
-    let balancer = Balancer::with_policy(&settings, seed, Rc::new(policy));
-    let context = Rc::new(ProxyContext::new(
-        settings,
-        balancer,
-        executor.clone(),
-        seed,
-        left,
-    ));
-    if let Some(listener) = listener {
-        let serving = context.clone();
+fn start_tasks(
+    context: &Rc<ProxyContext>,
+    listeners: Listeners,
+    accepting_stopped: async_channel::Receiver<()>,
+) {
+    let executor = &context.executor;
+    if let Some(clients) = listeners.clients {
+        let task_context = context.clone();
         let accepting = async move {
-            until_ready(&serving).await;
-            listener::accept(serving, listener, stopped).await;
+            until_ready(&task_context).await;
+            listener::accept(task_context, clients, accepting_stopped).await;
         };
         executor.spawn(accepting).detach();
     }
-    if let Some(checks) = checks {
+    if let Some(readiness) = listeners.readiness {
         executor
-            .spawn(listener::readiness(context.clone(), checks))
+            .spawn(listener::readiness::run(context.clone(), readiness))
             .detach();
     }
-    if let Some(scraped) = scraped {
-        let told = context.clone();
+    if let Some(metrics_listener) = listeners.metrics {
+        let task_context = context.clone();
         let serving = async move {
-            text_server::serve(scraped, metrics::PATH, || process_metrics::text(&told)).await
+            let render = || process_metrics::render(&task_context);
+            text_server::serve(metrics_listener, metrics::PATH, render).await
         };
         executor.spawn(serving).detach();
     }
@@ -214,22 +182,12 @@
         .spawn(control_session::connection::run(context.clone()))
         .detach();
     executor.spawn(health_checks::run(context.clone())).detach();
-    log::info!("proxy started");
-    until_told_to_stop(&context, &path, &mut signals).await;
-    // Out of the directory first; clients that hold an old answer are served on; then what is open ends.
-    let told = context.clock.now();
-    context.balancer.borrow_mut().leaving = true;
-    context.tell_news();
-    leave.close();
-    log::info!("told to stop");
-    Timer::after(Duration::from_secs_f64(
-        ACCEPT_ON.min(grace * ACCEPT_SHARE) / 1000.0,
-    ))
-    .await;
-    stop.close();
-    while context.connections.get() > 0 && context.clock.now() - told < grace - GRACE_MARGIN {
-        Timer::after(Duration::from_millis(20)).await;
+}
+
+/// Clients wait in the listener's backlog until there is a configuration to serve by, or [`READY_TIMEOUT_MS`] have passed.
+async fn until_ready(context: &ProxyContext) {
+    let deadline = context.clock.now() + READY_TIMEOUT_MS;
+    while !context.balancer.borrow().is_ready() && context.clock.now() < deadline {
+        Timer::after(READY_POLL_INTERVAL).await;
     }
-    log::info!("proxy ends");
-    Ok(())
 }
--- a/crates/sandtrack-proxy/src/telemetry/latency_cause.rs
+++ b/crates/sandtrack-proxy/src/telemetry/latency_cause.rs
@@ -1,68 +1,77 @@
-//! Why an answer began late: the part of the way on which most of its time went. Pure.
+//! Why a response began late: the stage of the request that took longest. Pure.
 use sandtrack_tiers::Millis;
 
-/// What took longest of a request whose answer began behind its aim.
+/// What took longest of a request whose response began after its route's latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LateCause {
-    /// It waited here for an upstream with room.
-    Held,
-    /// Earlier sends came to nothing.
-    Resent,
-    /// The connection came up late.
+pub enum LatencyCause {
+    /// It waited here for an upstream with capacity.
+    AwaitingCapacity,
+    /// Earlier attempts failed.
+    FailedAttempts,
+    /// The connection was established late.
     Connecting,
-    /// It waited and was worked on at an upstream of this region.
+    /// It was queued and executed at an upstream of this region.
     Upstream,
-    /// The same at an upstream of another region, the way there included.
-    FarUpstream,
+    /// The same at an upstream of another region, with the round trip.
+    RemoteUpstream,
 }
 
-impl LateCause {
-    /// Its name in logs and figures.
+impl LatencyCause {
+    /// The name in logs and metrics, which operators' pages fix.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            LateCause::Held => "held",
-            LateCause::Resent => "resent",
-            LateCause::Connecting => "connecting",
-            LateCause::Upstream => "upstream",
-            LateCause::FarUpstream => "far_upstream",
+            LatencyCause::AwaitingCapacity => "held",
+            LatencyCause::FailedAttempts => "resent",
+            LatencyCause::Connecting => "connecting",
+            LatencyCause::Upstream => "upstream",
+            LatencyCause::RemoteUpstream => "far_upstream",
         }
     }
 }
 
-/// When a request came to each point of its way, in ms.
+/// When a request reached each stage, in ms of the process's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timeline {
-    /// Its first byte was there.
-    pub arrived: Millis,
-    /// Its first send began.
-    pub first_send: Millis,
-    /// The send that was answered began.
-    pub send: Millis,
-    /// That send's request was begun to be written.
-    pub asked: Millis,
-    /// The first part of the answer was there.
-    pub answered: Millis,
+pub struct RequestTimeline {
+    /// Its first byte came.
+    pub arrived_at: Millis,
+    /// Its first attempt began.
+    pub first_attempt_at: Millis,
+    /// The attempt that was answered began.
+    pub attempt_at: Millis,
+    /// The write of that attempt's request began.
+    pub write_started_at: Millis,
+    /// The first part of the response came.
+    pub responded_at: Millis,
     /// The upstream is in another region.
-    pub far: bool,
+    pub in_other_region: bool,
 }
 
-impl Timeline {
-    /// The part that took longest.
+impl RequestTimeline {
+    /// The stage that took longest.
     #[must_use]
-    pub fn cause(&self) -> LateCause {
-        let at_upstream = if self.far {
-            LateCause::FarUpstream
+    pub fn cause(&self) -> LatencyCause {
+        let at_upstream = if self.in_other_region {
+            LatencyCause::RemoteUpstream
         } else {
-            LateCause::Upstream
+            LatencyCause::Upstream
         };
-        let parts = [
-            (self.first_send - self.arrived, LateCause::Held),
-            (self.send - self.first_send, LateCause::Resent),
-            (self.asked - self.send, LateCause::Connecting),
-            (self.answered - self.asked, at_upstream),
+        let stages = [
+            (
+                self.first_attempt_at - self.arrived_at,
+                LatencyCause::AwaitingCapacity,
+            ),
+            (
+                self.attempt_at - self.first_attempt_at,
+                LatencyCause::FailedAttempts,
+            ),
+            (
+                self.write_started_at - self.attempt_at,
+                LatencyCause::Connecting,
+            ),
+            (self.responded_at - self.write_started_at, at_upstream),
         ];
-        let longest = parts
+        let longest = stages
             .into_iter()
             .max_by(|one, other| one.0.total_cmp(&other.0));
         longest.map_or(at_upstream, |(_, cause)| cause)
--- a/crates/sandtrack-proxy/src/upstream_connections/pool.rs
+++ b/crates/sandtrack-proxy/src/upstream_connections/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams that stand idle, and how many are open. It owns idle sockets; one that is handed out belongs to
-//! the exchange until it is given back or dropped.
+//! The pool of idle connections to upstreams, and how many are open. It owns idle sockets; one that is handed out belongs to
+//! its attempt until it is released or dropped.
 use crate::policy::Policy;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -9,95 +9,100 @@
 use sandtrack_net::socket::{no_delay, read_into};
 use sandtrack_sidecar_core::message::Head;
 use sandtrack_tiers::Millis;
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Responses' heads may be this long, in bytes.
-const HEAD_MAX: usize = 12 * 1024;
+/// Longest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 12 * 1024;
 
 /// A connection to one upstream, with what was read of it.
 pub struct Connection {
+    /// The socket.
     pub stream: Async<TcpStream>,
+    /// Bytes that were read and not parsed yet.
     pub input: Ring,
+    /// The parser of responses.
     pub parser: Parser,
-    /// It carried an answer before.
+    /// It carried a response before.
     pub reused: bool,
-    _open: Open,
+    _count: OpenConnectionGuard,
 }
 
-/// Counts a connection while it is there.
-struct Open(Rc<Cell<usize>>);
+/// Counts a connection for as long as it lives.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for Open {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Millis,
+    expires_at: Millis,
 }
 
 #[derive(Default)]
-struct Upstream {
-    idle: Vec<Idle>,
+struct UpstreamConnections {
+    /// The one that was used last is at the end.
+    idle: Vec<IdleConnection>,
     open: Rc<Cell<usize>>,
 }
 
-/// Keyed by identifier and not by address: an address may be another service's by now.
-pub struct Pool {
+/// Connections by upstream. Keyed by identifier and not by address: an address may belong to another service by now.
+pub struct ConnectionPool {
     policy: Rc<Policy>,
-    upstreams: HashMap<String, Upstream>,
+    upstreams: HashMap<String, UpstreamConnections>,
 }
 
-impl Pool {
-    /// One without connections.
+impl ConnectionPool {
+    /// A pool without connections.
     #[must_use]
-    pub fn new(policy: Rc<Policy>) -> Pool {
-        Pool {
+    pub fn new(policy: Rc<Policy>) -> ConnectionPool {
+        ConnectionPool {
             policy,
             upstreams: HashMap::new(),
         }
     }
 
-    /// An idle connection that is quiet: nothing came on it, and it is not closed. The youngest first.
-    pub fn take(&mut self, identifier: &str, now: Millis) -> Option<Connection> {
+    /// Takes out an idle connection on which nothing came and that is not closed, the one that was used last first.
+    pub fn take_idle(&mut self, identifier: &str, now: Millis) -> Option<Connection> {
         let upstream = self.upstreams.get_mut(identifier)?;
-        upstream.idle.retain(|idle| idle.until > now);
-        while let Some(Idle {
+        upstream.idle.retain(|idle| idle.expires_at > now);
+        while let Some(IdleConnection {
             mut connection,
-            until,
+            expires_at,
         }) = upstream.idle.pop()
         {
             let read = future::poll_once(read_into(&connection.stream, &mut connection.input));
-            let quiet = future::block_on(read).is_none();
-            if may_use_idle(quiet, now, until) {
+            let is_quiet = future::block_on(read).is_none();
+            if is_reusable(is_quiet, now, expires_at) {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Connections open to an upstream, idle ones as well.
-    pub fn open(&self, identifier: &str) -> usize {
+    /// Connections open to an upstream, with idle ones.
+    #[must_use]
+    pub fn open_connections(&self, identifier: &str) -> usize {
         self.upstreams
             .get(identifier)
             .map_or(0, |upstream| upstream.open.get())
     }
 
-    /// Makes room for a new connection by closing an idle one.
-    pub fn drop_idle(&mut self, identifier: &str) -> bool {
+    /// Closes one idle connection to make room for a new one; returns whether there was one.
+    pub fn close_one_idle(&mut self, identifier: &str) -> bool {
         self.upstreams
             .get_mut(identifier)
             .is_some_and(|upstream| upstream.idle.pop().is_some())
     }
 
     /// Counts a connection that is being opened.
-    fn opened(&mut self, identifier: &str) -> Open {
+    fn count_connection(&mut self, identifier: &str) -> OpenConnectionGuard {
         let open = self
             .upstreams
             .entry(identifier.to_owned())
@@ -105,86 +110,95 @@
             .open
             .clone();
         open.set(open.get() + 1);
-        Open(open)
+        OpenConnectionGuard(open)
     }
 
-    /// Takes a connection back after a whole answer with this head.
-    pub fn give(&mut self, identifier: &str, mut connection: Connection, head: &Head, now: Millis) {
-        let Some(most) = kept_for(head, &self.policy) else {
+    /// Takes a connection back after a complete response with this head.
+    pub fn release(
+        &mut self,
+        identifier: &str,
+        mut connection: Connection,
+        head: &Head,
+        now: Millis,
+    ) {
+        let Some(timeout) = idle_timeout(head, &self.policy) else {
             return;
         };
-        // Bytes behind a whole answer belong to no request.
-        if connection.input.is_empty() {
-            let is_quiet = !connection.parser.within(&connection.input);
-            check(Invariant::PooledConnectionIsQuiet, is_quiet, || {
-                format!("a connection to {identifier}")
-            });
-            connection.reused = true;
-            let upstream = self.upstreams.entry(identifier.to_owned()).or_default();
-            upstream.idle.push(Idle {
-                connection,
-                until: now + most,
-            });
+        // Bytes behind a complete response belong to no request.
+        if !connection.input.is_empty() {
+            return;
         }
+        let is_quiet = !connection.parser.within(&connection.input);
+        check(Invariant::PooledConnectionIsQuiet, is_quiet, || {
+            format!("a connection to {identifier}")
+        });
+        connection.reused = true;
+        let upstream = self.upstreams.entry(identifier.to_owned()).or_default();
+        upstream.idle.push(IdleConnection {
+            connection,
+            expires_at: now + timeout,
+        });
     }
 
-    /// Closes what stood idle too long, and forgets upstreams without connections.
-    pub fn sweep(&mut self, now: Millis) {
+    /// Closes connections that were idle for too long, and forgets upstreams without connections.
+    pub fn remove_expired(&mut self, now: Millis) {
         for upstream in self.upstreams.values_mut() {
-            upstream.idle.retain(|idle| idle.until > now);
+            upstream.idle.retain(|idle| idle.expires_at > now);
         }
         self.upstreams
             .retain(|_, upstream| !upstream.idle.is_empty() || upstream.open.get() > 0);
     }
 }
 
-/// How long a connection may stand idle behind an answer with this head, in ms; `None` where it is to be closed.
-pub fn kept_for(head: &Head, policy: &Policy) -> Option<Millis> {
-    let mut told = head
+/// How long a connection may be idle behind a response with this head, in ms; `None` where it is to be closed.
+#[must_use]
+pub fn idle_timeout(head: &Head, policy: &Policy) -> Option<Millis> {
+    let announced = head
         .headers
         .all("keep-alive")
-        .flat_map(|value| value.split(','));
-    let told = told.find_map(|part| {
-        let seconds = part.trim().strip_prefix("timeout=")?;
-        seconds.trim().parse::<f64>().ok()
-    });
-    let most = told.map_or(policy.idle_most_ms, |seconds| {
+        .flat_map(|value| value.split(','))
+        .find_map(|parameter| {
+            let seconds = parameter.trim().strip_prefix("timeout=")?;
+            seconds.trim().parse::<f64>().ok()
+        });
+    let timeout = announced.map_or(policy.idle_most_ms, |seconds| {
         (seconds * 1000.0 - policy.idle_margin_ms).min(policy.idle_most_ms)
     });
-    (head.keep_alive && most > 0.0).then_some(most)
+    (head.keep_alive && timeout > 0.0).then_some(timeout)
 }
 
-/// Opens a connection, within `patience` ms.
+/// Whether an idle connection may be used: its upstream does not close it soon, and nothing came on it, nor its end.
+/// Whatever comes while no request is in flight belongs to no request.
+#[must_use]
+pub fn is_reusable(is_quiet: bool, now: Millis, expires_at: Millis) -> bool {
+    is_quiet && now < expires_at
+}
+
+/// Opens a connection, within `timeout` ms.
 ///
 /// # Errors
-/// What the socket said, or that time ran out.
+/// The socket's error; `TimedOut` where the time is over, `InvalidInput` where `address` is no socket address.
 pub async fn connect(
-    pool: &std::cell::RefCell<Pool>,
+    pool: &RefCell<ConnectionPool>,
     identifier: &str,
     address: &str,
-    patience: Millis,
+    timeout: Millis,
 ) -> std::io::Result<Connection> {
     let address: SocketAddr = address
         .parse()
         .map_err(|_| std::io::ErrorKind::InvalidInput)?;
-    let open = pool.borrow_mut().opened(identifier);
-    let late = async {
-        Timer::after(Duration::from_secs_f64(patience.max(1.0) / 1000.0)).await;
+    let count = pool.borrow_mut().count_connection(identifier);
+    let timer = async {
+        Timer::after(Duration::from_secs_f64(timeout.max(1.0) / 1000.0)).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    let stream = future::or(Async::<TcpStream>::connect(address), late).await?;
+    let stream = future::or(Async::<TcpStream>::connect(address), timer).await?;
     no_delay(&stream);
     Ok(Connection {
         stream,
         input: Ring::new(READ_RING),
-        parser: Parser::with_head_max(Side::Response, HEAD_MAX),
+        parser: Parser::with_head_max(Side::Response, MAX_HEAD_BYTES),
         reused: false,
-        _open: open,
+        _count: count,
     })
 }
-
-/// An idle connection may be used: its upstream does not close it soon, and nothing came on it, no end either. Whatever
-/// comes while nothing was asked belongs to no request.
-pub fn may_use_idle(quiet: bool, now: Millis, until: Millis) -> bool {
-    quiet && now < until
-}
--- a/crates/sandtrack-proxy/src/upstream_connections/wire.rs
+++ b/crates/sandtrack-proxy/src/upstream_connections/wire.rs
@@ -1,8 +1,8 @@
-//! The wire of one request on one connection to an upstream: writes it, and reads the answer's parts.
+//! HTTP/1.1 for one request on one connection to an upstream: writes the request, and reads the parts of the response.
+use super::pool::Connection;
+use super::response_error::ResponseError;
 use crate::request::ProxyRequest;
-use crate::socket_read::read_some;
-use crate::upstream_connections::pool::Connection;
-use crate::upstream_connections::response_error::ResponseError;
+use crate::socket_read::read_available;
 use async_io::Timer;
 use futures_lite::future;
 use sandtrack_net::http::Part;
@@ -11,64 +11,81 @@
 use sandtrack_tiers::Millis;
 use std::time::Duration;
 
-/// Parts that are there already are taken for so long beyond the time to wait, in ms: a process that was held up finds its
-/// answer in the socket, and an answer that never stops is no reason to go on.
-const OVERTIME: Millis = 100.0;
+/// Parts that came already are read for this long after the deadline, in ms: a process that was not scheduled finds its
+/// response in the socket, and a response that never ends is no reason to go on.
+const LATE_READ_GRACE_MS: Millis = 100.0;
+
+/// The highest priority value that upstreams know.
+const MAX_PRIORITY: u32 = 9;
+
+/// Headers that this proxy sets itself.
+const OWN_HEADERS: [&str; 4] = [
+    "deadline-remaining",
+    "expected-instance",
+    "priority",
+    "expect",
+];
 
 /// What came of writing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum WriteResult {
+    /// All of it was written.
     Written,
-    /// The connection ended or broke.
-    Broke,
+    /// The connection was closed or broke.
+    ConnectionFailed,
     /// The time to write is over.
-    Time,
+    TimedOut,
 }
 
-/// What came of waiting for a part.
+/// What came of waiting for a part of a response.
 #[derive(Debug)]
-pub enum Waited {
+pub enum WaitResult {
+    /// A part came.
     Part(Part),
-    Broke(ResponseError),
+    /// The response can't be read to its end.
+    Failed(ResponseError),
     /// The time to wait is over.
-    Time,
+    TimedOut,
 }
 
-/// The head of the request as it is written to an upstream: unchanged but for what concerns one connection. `urgent`: the
-/// route's priority is told.
-pub fn written_head(
-    request: &ProxyRequest,
-    identifier: &str,
-    left: Millis,
-    last_event: Option<u64>,
-    urgent: bool,
-) -> Vec<u8> {
-    const OWN: [&str; 4] = [
-        "deadline-remaining",
-        "expected-instance",
-        "priority",
-        "expect",
-    ];
-    let own = |name: &str| {
-        OWN.iter().any(|own| name.eq_ignore_ascii_case(own))
-            || last_event.is_some() && name.eq_ignore_ascii_case("last-event-id")
+/// What a request's head says to this upstream alone.
+pub struct RequestHeadOptions<'a> {
+    /// The upstream that is meant (`Expected-Instance`).
+    pub identifier: &'a str,
+    /// Time to the request's deadline, in ms.
+    pub remaining: Millis,
+    /// Ask for the stream behind the event with this id (`Last-Event-Id`).
+    pub resume_after: Option<u64>,
+    /// Send the route's priority.
+    pub with_priority: bool,
+}
+
+/// The head of the request as it is written to an upstream: the client's, but for what concerns one connection.
+#[must_use]
+pub fn request_head(request: &ProxyRequest, options: &RequestHeadOptions<'_>) -> Vec<u8> {
+    let is_own = |name: &str| {
+        OWN_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own))
+            || options.resume_after.is_some() && name.eq_ignore_ascii_case("last-event-id")
     };
-    let kept = request.headers.iter().filter(|(name, _)| !own(name));
-    let kept = kept.map(|(name, value)| (name.as_str(), value.as_str()));
-    let left = format!("{}", left.floor().max(1.0));
-    let priority = request.route.priority.min(9).to_string();
-    let last_event = last_event.map(|id| id.to_string());
+    let kept = request
+        .headers
+        .iter()
+        .filter(|(name, _)| !is_own(name))
+        .map(|(name, value)| (name.as_str(), value.as_str()));
+    let remaining = format!("{}", options.remaining.floor().max(1.0));
+    let priority = request.route.priority.min(MAX_PRIORITY).to_string();
+    let last_event_id = options.resume_after.map(|id| id.to_string());
     let added = [
-        ("Deadline-Remaining", left.as_str()),
-        ("Expected-Instance", identifier),
+        ("Deadline-Remaining", remaining.as_str()),
+        ("Expected-Instance", options.identifier),
     ];
-    let urgency = request
+    let priority = request
         .prefix
         .first()
-        .filter(|_| urgent)
+        .filter(|_| options.with_priority)
         .map(|_| ("Priority", priority.as_str()));
-    let resumed = last_event.as_deref().map(|id| ("Last-Event-Id", id));
-    let headers = kept.chain(added).chain(urgency).chain(resumed);
+    let resumed = last_event_id.as_deref().map(|id| ("Last-Event-Id", id));
+    let headers = kept.chain(added).chain(priority).chain(resumed);
     message::request_head_of(
         &request.method,
         &request.target,
@@ -77,46 +94,51 @@
     )
 }
 
-/// Writes the request, all of it within `patience` ms.
-pub async fn ask(connection: &Connection, head: &[u8], body: &[u8], patience: Millis) -> Asked {
+/// Writes the request, all of it within `timeout` ms.
+pub async fn write_request(
+    connection: &Connection,
+    head: &[u8],
+    body: &[u8],
+    timeout: Millis,
+) -> WriteResult {
     let write = async {
         match write_message(&connection.stream, head, body).await {
-            Ok(()) => Asked::Written,
-            Err(_) => Asked::Broke,
+            Ok(()) => WriteResult::Written,
+            Err(_) => WriteResult::ConnectionFailed,
         }
     };
-    let late = async {
-        Timer::after(Duration::from_secs_f64(patience.max(1.0) / 1000.0)).await;
-        Asked::Time
+    let timer = async {
+        Timer::after(Duration::from_secs_f64(timeout.max(1.0) / 1000.0)).await;
+        WriteResult::TimedOut
     };
-    future::or(write, late).await
+    future::or(write, timer).await
 }
 
-/// The next part of the answer, waited for until `until`.
-pub async fn next(connection: &mut Connection, clock: Clock, until: Millis) -> Waited {
+/// Reads the next part of the response, waiting until `deadline`.
+pub async fn read_part(connection: &mut Connection, clock: Clock, deadline: Millis) -> WaitResult {
     loop {
         match connection.parser.next(&mut connection.input) {
-            Ok(Some(part)) => return Waited::Part(part),
-            Err(_) => return Waited::Broke(ResponseError::Malformed),
+            Ok(Some(part)) => return WaitResult::Part(part),
+            Err(_) => return WaitResult::Failed(ResponseError::Malformed),
             Ok(None) => {}
         }
-        if clock.now() > until + OVERTIME {
-            return Waited::Time;
+        if clock.now() > deadline + LATE_READ_GRACE_MS {
+            return WaitResult::TimedOut;
         }
-        let read = async { Some(read_some(&connection.stream, &mut connection.input).await) };
-        let late = async {
-            Timer::at(clock.at(until)).await;
+        let read = async { Some(read_available(&connection.stream, &mut connection.input).await) };
+        let timer = async {
+            Timer::at(clock.at(deadline)).await;
             None
         };
-        match future::or(read, late).await {
-            None => return Waited::Time,
+        match future::or(read, timer).await {
+            None => return WaitResult::TimedOut,
             Some(Ok(0)) => {
                 if !connection.parser.ended(&connection.input) {
-                    return Waited::Broke(ResponseError::ConnectionLost);
+                    return WaitResult::Failed(ResponseError::ConnectionLost);
                 }
             }
             Some(Ok(_)) => {}
-            Some(Err(_)) => return Waited::Broke(ResponseError::ConnectionLost),
+            Some(Err(_)) => return WaitResult::Failed(ResponseError::ConnectionLost),
         }
     }
 }
--- a/crates/sandtrack-proxy/tests/connection_reuse.rs
+++ b/crates/sandtrack-proxy/tests/connection_reuse.rs
@@ -1,23 +1,24 @@
 //! Two exchanges one after the other on one connection: what is left of the first never gets to the second's client.
-use sandtrack_proxy::exchange::attempt::head_facts;
+use sandtrack_proxy::exchange::attempt::summarize_head;
 use sandtrack_proxy::exchange::state::{
-    Action, AnswerId, Exchange, Final, HeadFacts, Input, SendEvent, Terms,
+    Action, AttemptEvent, Exchange, ExchangeParams, FinalResponse, HeadSummary, Input,
+    ResponseOwner,
 };
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 use sandtrack_proxy::policy::Policy;
-use sandtrack_proxy::upstream_connections::pool::{kept_for, may_use_idle};
+use sandtrack_proxy::upstream_connections::pool::{idle_timeout, is_reusable};
 use sandtrack_proxy::upstream_connections::response_error::ResponseError;
 use sandtrack_sidecar_core::message::{Head, Headers};
 
-const READ_ONLY: Terms = Terms {
+const READ_ONLY: ExchangeParams = ExchangeParams {
     idempotent: true,
     streaming: false,
-    attempts: 2,
+    max_attempts: 2,
 };
-const MUTATING: Terms = Terms {
+const MUTATING: ExchangeParams = ExchangeParams {
     idempotent: false,
     streaming: false,
-    attempts: 2,
+    max_attempts: 2,
 };
 
 /// A response's head with these headers.
@@ -39,8 +40,8 @@
     }
 }
 
-fn own_head() -> HeadFacts {
-    head_facts(
+fn own_head() -> HeadSummary {
+    summarize_head(
         &head(200, true, &[("Request-Id", "r1"), ("Server-Seal", "s")]),
         "r1",
         &Policy::default(),
@@ -48,16 +49,16 @@
 }
 
 /// The exchange was placed, and its request is written on a connection.
-fn written(terms: Terms, reused: bool) -> Exchange {
-    let mut exchange = Exchange::new(terms);
-    exchange.on(Input::Placed(0));
-    exchange.on(Input::Send(0, SendEvent::Connected { reused }));
-    exchange.on(Input::Send(0, SendEvent::Written));
+fn written(params: ExchangeParams, reused: bool) -> Exchange {
+    let mut exchange = Exchange::new(params);
+    exchange.handle(Input::UpstreamSelected(0));
+    exchange.handle(Input::Attempt(0, AttemptEvent::Connected { reused }));
+    exchange.handle(Input::Attempt(0, AttemptEvent::RequestWritten));
     exchange
 }
 
 /// What may be left of the first exchange on its connection, as the second one's head would show it.
-fn left_overs() -> Vec<HeadFacts> {
+fn left_overs() -> Vec<HeadSummary> {
     [
         head(200, true, &[("Request-Id", "r1"), ("Server-Seal", "s")]),
         head(500, true, &[("Request-Id", "r1"), ("Server-Seal", "s")]),
@@ -68,22 +69,22 @@
         head(503, true, &[("Not-Executed", "1")]),
     ]
     .iter()
-    .map(|head| head_facts(head, "r2", &Policy::default()))
+    .map(|head| summarize_head(head, "r2", &Policy::default()))
     .collect()
 }
 
 #[test]
 fn a_surplus_behind_the_first_answer_closes_the_connection() {
-    for (surplus, expected) in [
-        (true, Action::Close(0, Ended::Answered)),
-        (false, Action::Pool(0, Ended::Answered)),
+    for (trailing_bytes, expected) in [
+        (true, Action::CloseConnection(0, SendOutcome::Completed)),
+        (false, Action::ReleaseConnection(0, SendOutcome::Completed)),
     ] {
         let mut exchange = written(READ_ONLY, false);
-        exchange.on(Input::Send(0, SendEvent::Head(own_head())));
-        let actions = exchange.on(Input::Send(0, SendEvent::End { surplus }));
+        exchange.handle(Input::Attempt(0, AttemptEvent::Head(own_head())));
+        let actions = exchange.handle(Input::Attempt(0, AttemptEvent::BodyEnd { trailing_bytes }));
         assert!(actions.contains(&expected), "{actions:?}");
         assert!(
-            actions.contains(&Action::Finish(Final::Whole(0))),
+            actions.contains(&Action::Finish(FinalResponse::Complete(0))),
             "the first client is answered"
         );
     }
@@ -91,13 +92,13 @@
 
 #[test]
 fn what_comes_while_it_is_idle_closes_the_connection() {
-    assert!(may_use_idle(true, 100.0, 101.0));
+    assert!(is_reusable(true, 100.0, 101.0));
     assert!(
-        !may_use_idle(false, 100.0, 101.0),
+        !is_reusable(false, 100.0, 101.0),
         "something came, or its end"
     );
     assert!(
-        !may_use_idle(true, 101.0, 101.0),
+        !is_reusable(true, 101.0, 101.0),
         "its upstream may be closing it"
     );
 }
@@ -106,21 +107,25 @@
 #[test]
 fn a_late_surplus_in_the_place_of_the_second_answer_is_not_passed_on() {
     for left_over in left_overs() {
-        for terms in [READ_ONLY, MUTATING] {
-            let mut exchange = written(terms, true);
-            let actions = exchange.on(Input::Send(0, SendEvent::Head(left_over)));
-            assert_eq!(actions[0], Action::Close(0, Ended::Faulty), "{left_over:?}");
-            if terms.idempotent {
+        for params in [READ_ONLY, MUTATING] {
+            let mut exchange = written(params, true);
+            let actions = exchange.handle(Input::Attempt(0, AttemptEvent::Head(left_over)));
+            assert_eq!(
+                actions[0],
+                Action::CloseConnection(0, SendOutcome::ServerError),
+                "{left_over:?}"
+            );
+            if params.idempotent {
                 assert_eq!(actions.len(), 1, "it goes elsewhere");
-                let placed = exchange.on(Input::Placed(1));
+                let placed = exchange.handle(Input::UpstreamSelected(1));
                 assert!(
-                    matches!(placed[..], [Action::Start { place: 1, .. }]),
+                    matches!(placed[..], [Action::Start { upstream: 1, .. }]),
                     "{placed:?}"
                 );
             } else {
-                let [_, Action::Finish(Final::Own {
+                let [_, Action::Finish(FinalResponse::Local {
                     status: 502,
-                    promise: false,
+                    retryable: false,
                     ..
                 })] = actions[..]
                 else {
@@ -135,25 +140,34 @@
 #[test]
 fn a_connection_that_closes_under_the_second_request_is_no_promise() {
     for event in [
-        SendEvent::WriteFailed,
-        SendEvent::Broke(ResponseError::ConnectionLost),
+        AttemptEvent::WriteFailed,
+        AttemptEvent::ResponseFailed(ResponseError::ConnectionLost),
     ] {
-        for (terms, may_go_on) in [(READ_ONLY, true), (MUTATING, false)] {
-            let mut exchange = Exchange::new(terms);
-            let start = exchange.on(Input::Placed(0));
-            let [Action::Start { reuse, .. }] = start[..] else {
+        for (params, may_go_on) in [(READ_ONLY, true), (MUTATING, false)] {
+            let mut exchange = Exchange::new(params);
+            let start = exchange.handle(Input::UpstreamSelected(0));
+            let [Action::Start {
+                may_reuse_connection,
+                ..
+            }] = start[..]
+            else {
                 panic!("{start:?}")
             };
             assert_eq!(
-                reuse, terms.idempotent,
+                may_reuse_connection, params.idempotent,
                 "what may run once goes on a fresh connection"
             );
-            exchange.on(Input::Send(0, SendEvent::Connected { reused: reuse }));
-            let actions = exchange.on(Input::Send(0, event.clone()));
+            exchange.handle(Input::Attempt(
+                0,
+                AttemptEvent::Connected {
+                    reused: may_reuse_connection,
+                },
+            ));
+            let actions = exchange.handle(Input::Attempt(0, event.clone()));
             let refused = actions.iter().find_map(|action| match action {
-                Action::Finish(Final::Own {
-                    status, promise, ..
-                }) => Some((*status, *promise)),
+                Action::Finish(FinalResponse::Local {
+                    status, retryable, ..
+                }) => Some((*status, *retryable)),
                 _ => None,
             });
             assert_eq!(refused, (!may_go_on).then_some((502, false)), "{actions:?}");
@@ -164,7 +178,7 @@
 #[test]
 fn a_connection_is_kept_for_less_than_its_upstream_keeps_it() {
     let kept = |keep_alive, headers: &[(&str, &str)]| {
-        kept_for(&head(200, keep_alive, headers), &Policy::default())
+        idle_timeout(&head(200, keep_alive, headers), &Policy::default())
     };
     assert_eq!(
         kept(true, &[("Keep-Alive", "timeout=5, max=100")]),
@@ -178,11 +192,11 @@
 
 #[test]
 fn an_answers_id_tells_whose_it_is() {
-    let id = |headers: &[(&str, &str)]| {
-        head_facts(&head(200, true, headers), "r2", &Policy::default()).id
+    let owner = |headers: &[(&str, &str)]| {
+        summarize_head(&head(200, true, headers), "r2", &Policy::default()).owner
     };
-    assert_eq!(id(&[("Request-Id", "r2")]), AnswerId::Own);
-    assert_eq!(id(&[("Request-Id", "r1")]), AnswerId::Other);
-    assert_eq!(id(&[("Request-Id", "r22")]), AnswerId::Other);
-    assert_eq!(id(&[]), AnswerId::Missing);
+    assert_eq!(owner(&[("Request-Id", "r2")]), ResponseOwner::ThisRequest);
+    assert_eq!(owner(&[("Request-Id", "r1")]), ResponseOwner::OtherRequest);
+    assert_eq!(owner(&[("Request-Id", "r22")]), ResponseOwner::OtherRequest);
+    assert_eq!(owner(&[]), ResponseOwner::Unidentified);
 }
--- a/crates/sandtrack-proxy/tests/control_session.rs
+++ b/crates/sandtrack-proxy/tests/control_session.rs
@@ -2,7 +2,7 @@
 use sandtrack_protocol::frames::FORMAT;
 use sandtrack_protocol::settings::Settings;
 use sandtrack_proxy::control_session::decisions::{
-    candidates, judge_welcome, Accepted, Refused, Standing, DETACHED_LOOK_MS,
+    candidates, check_welcome, AcceptedNodes, Attachment, WelcomeError, DETACHED_SEARCH_INTERVAL_MS,
 };
 
 fn settings(loss_counted: bool) -> Settings {
@@ -29,49 +29,51 @@
 
 #[test]
 fn one_that_is_ready_accepts_a_detached_one_only_after_a_round_in_vain() {
-    let rounds: Vec<Accepted> = (0..4).map(|vain| Accepted::in_round(true, vain)).collect();
+    let rounds: Vec<AcceptedNodes> = (0..4)
+        .map(|vain| AcceptedNodes::for_round(true, vain))
+        .collect();
     assert_eq!(
         rounds,
         [
-            Accepted::Attached,
-            Accepted::Any,
-            Accepted::Attached,
-            Accepted::Any
+            AcceptedNodes::Attached,
+            AcceptedNodes::Any,
+            AcceptedNodes::Attached,
+            AcceptedNodes::Any
         ]
     );
-    assert!((0..4).all(|vain| Accepted::in_round(false, vain) == Accepted::Any));
+    assert!((0..4).all(|vain| AcceptedNodes::for_round(false, vain) == AcceptedNodes::Any));
 }
 
 #[test]
 fn a_welcome_is_judged_by_its_format_and_its_majority() {
-    assert_eq!(judge_welcome(FORMAT, true, Accepted::Attached), Ok(()));
-    assert_eq!(judge_welcome(FORMAT, false, Accepted::Any), Ok(()));
+    assert_eq!(check_welcome(FORMAT, true, AcceptedNodes::Attached), Ok(()));
+    assert_eq!(check_welcome(FORMAT, false, AcceptedNodes::Any), Ok(()));
     assert_eq!(
-        judge_welcome(FORMAT, false, Accepted::Attached),
-        Err(Refused::Detached)
+        check_welcome(FORMAT, false, AcceptedNodes::Attached),
+        Err(WelcomeError::Detached)
     );
     assert_eq!(
-        judge_welcome(FORMAT + 1, true, Accepted::Any),
-        Err(Refused::Format(FORMAT + 1))
+        check_welcome(FORMAT + 1, true, AcceptedNodes::Any),
+        Err(WelcomeError::Format(FORMAT + 1))
     );
 }
 
 #[test]
 fn the_others_are_asked_only_while_its_own_is_detached_and_not_all_the_time() {
-    let mut standing = Standing::new(0.0, true);
-    assert!(!standing.take_look(5_000.0), "it hears a majority");
-    standing.beat(5_000.0, false);
-    standing.beat(5_250.0, false);
+    let mut attachment = Attachment::new(0.0, true);
+    assert!(!attachment.take_search_due(5_000.0), "it hears a majority");
+    attachment.on_heartbeat(5_000.0, false);
+    attachment.on_heartbeat(5_250.0, false);
     assert!(
-        !standing.take_look(5_000.0 + DETACHED_LOOK_MS),
+        !attachment.take_search_due(5_000.0 + DETACHED_SEARCH_INTERVAL_MS),
         "a repair of the chain passes"
     );
-    assert!(standing.take_look(5_001.0 + DETACHED_LOOK_MS));
+    assert!(attachment.take_search_due(5_001.0 + DETACHED_SEARCH_INTERVAL_MS));
     assert!(
-        !standing.take_look(5_900.0 + DETACHED_LOOK_MS),
+        !attachment.take_search_due(5_900.0 + DETACHED_SEARCH_INTERVAL_MS),
         "it asked a moment ago"
     );
-    assert!(standing.take_look(5_002.0 + 2.0 * DETACHED_LOOK_MS));
-    standing.beat(8_000.0, true);
-    assert!(!standing.take_look(20_000.0));
+    assert!(attachment.take_search_due(5_002.0 + 2.0 * DETACHED_SEARCH_INTERVAL_MS));
+    attachment.on_heartbeat(8_000.0, true);
+    assert!(!attachment.take_search_due(20_000.0));
 }
--- a/crates/sandtrack-proxy/tests/distances.rs
+++ b/crates/sandtrack-proxy/tests/distances.rs
@@ -3,7 +3,7 @@
 use common::{balancer, entry, request};
 use sandtrack_protocol::frames::UpstreamEntry;
 use sandtrack_proxy::control_session::decisions::connect_timeout;
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 use sandtrack_proxy::placement::choice::Placed;
 use sandtrack_proxy::placement::region_trips::RegionTrips;
 use sandtrack_proxy::policy::Policy;
@@ -82,11 +82,11 @@
         balancer.sent(place);
         if 2.0 * way <= balancer.connect_timeout(&request, place) {
             balancer.note_trip(now, place, 2.0 * way);
-            balancer.ended(now, place, Ended::Answered);
+            balancer.ended(now, place, SendOutcome::Completed);
             return true;
         }
         balancer.connect_timed_out(now, place);
-        balancer.ended(now, place, Ended::Broken);
+        balancer.ended(now, place, SendOutcome::ConnectionFailed);
     }
     false
 }
@@ -119,7 +119,7 @@
         );
         balancer.sent(place);
         balancer.connect_timed_out(now, place);
-        balancer.ended(now, place, Ended::Broken);
+        balancer.ended(now, place, SendOutcome::ConnectionFailed);
     }
     assert!(
         !balancer.upstreams.get(place).run.is_healthy(),
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/drawn_fleets.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 use sandtrack_proxy::placement::choice::Placed;
 use sandtrack_proxy::request::ProxyRequest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -149,7 +149,9 @@
             if let Placed::Send(place) = fleet.balancer.place(now, &letter, &[]) {
                 fleet.balancer.sent(place);
                 fleet.balancer.prompt_sent(now, &letter, place);
-                fleet.balancer.ended(now + 500.0, place, Ended::Answered);
+                fleet
+                    .balancer
+                    .ended(now + 500.0, place, SendOutcome::Completed);
                 readers.entry(prefix).or_default().insert(place);
             }
         }
@@ -179,7 +181,9 @@
         }
         for place in &in_lost[..2] {
             fleet.balancer.sent(*place);
-            fleet.balancer.ended(100.0, *place, Ended::Broken);
+            fleet
+                .balancer
+                .ended(100.0, *place, SendOutcome::ConnectionFailed);
         }
         for prefix in 1..40 {
             let letter = letter(&fleet.balancer, prefix, 10_000);
--- a/crates/sandtrack-proxy/tests/event_stream.rs
+++ b/crates/sandtrack-proxy/tests/event_stream.rs
@@ -1,6 +1,6 @@
 //! Streams are passed on by whole events.
 use assert_matches::assert_matches;
-use sandtrack_proxy::exchange::event_stream::{GivenIds, Scanned, Scanner};
+use sandtrack_proxy::exchange::event_stream::{DeliveredEventIds, EventScanner, ScanResult};
 
 const STREAM: &[u8] =
     b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n";
@@ -8,16 +8,16 @@
 #[test]
 fn however_a_stream_is_cut_into_pieces_the_same_bytes_come_out() {
     for size in 1..STREAM.len() {
-        let mut scanner = Scanner::default();
+        let mut scanner = EventScanner::default();
         let mut out = Vec::new();
         for piece in STREAM.chunks(size) {
             match scanner.push(piece) {
-                Scanned::Events(events) => out.extend(events),
-                Scanned::Spoilt(_) => panic!("a good stream is taken for spoilt"),
+                ScanResult::Events(events) => out.extend(events),
+                ScanResult::Malformed(_) => panic!("a good stream is taken for spoilt"),
             }
         }
         assert_eq!(
-            (out.as_slice(), scanner.held(), scanner.last_id()),
+            (out.as_slice(), scanner.buffered(), scanner.last_id()),
             (STREAM, 0, Some(4))
         );
     }
@@ -25,48 +25,48 @@
 
 #[test]
 fn half_an_event_is_held_back_and_dropped_where_another_upstream_goes_on() {
-    let mut scanner = Scanner::default();
+    let mut scanner = EventScanner::default();
     assert_eq!(
         scanner.push(b"id: 1\ndata: a\n\nid: 2\nda"),
-        Scanned::Events(b"id: 1\ndata: a\n\n".to_vec())
+        ScanResult::Events(b"id: 1\ndata: a\n\n".to_vec())
     );
     assert_eq!(scanner.last_id(), Some(1));
-    scanner.resume();
+    scanner.restart();
     assert_eq!(
         scanner.push(b"id: 2\ndata: b\n\n"),
-        Scanned::Events(b"id: 2\ndata: b\n\n".to_vec())
+        ScanResult::Events(b"id: 2\ndata: b\n\n".to_vec())
     );
 }
 
 #[test]
 fn an_event_that_comes_again_spoils_the_stream_and_what_came_before_it_goes_on() {
-    let mut scanner = Scanner::default();
-    assert_matches!(scanner.push(b"id: 5\ndata: a\n\nid: 5\ndata: a\n\n"), Scanned::Spoilt(good) if good == b"id: 5\ndata: a\n\n");
-    let mut resumed = Scanner::default();
-    assert_matches!(resumed.push(b"id: 7\n\n"), Scanned::Events(_));
-    assert_matches!(resumed.push(b"id: 3\n\n"), Scanned::Spoilt(good) if good.is_empty());
+    let mut scanner = EventScanner::default();
+    assert_matches!(scanner.push(b"id: 5\ndata: a\n\nid: 5\ndata: a\n\n"), ScanResult::Malformed(good) if good == b"id: 5\ndata: a\n\n");
+    let mut resumed = EventScanner::default();
+    assert_matches!(resumed.push(b"id: 7\n\n"), ScanResult::Events(_));
+    assert_matches!(resumed.push(b"id: 3\n\n"), ScanResult::Malformed(good) if good.is_empty());
 }
 
 #[test]
 fn given_ids_have_to_rise_across_pieces() {
-    let mut given = GivenIds::default();
-    assert!(given.note(b"id: 1\ndata: a\n\nid: 2\ndata: id: 1\n\n"));
-    assert!(given.note(b"data: without an id\n\n"));
-    assert!(!given.note(b"id: 2\ndata: again\n\n"));
-    assert!(given.note(b"id: 7\n\n"));
+    let mut given = DeliveredEventIds::default();
+    assert!(given.record(b"id: 1\ndata: a\n\nid: 2\ndata: id: 1\n\n"));
+    assert!(given.record(b"data: without an id\n\n"));
+    assert!(!given.record(b"id: 2\ndata: again\n\n"));
+    assert!(given.record(b"id: 7\n\n"));
 }
 
 #[test]
 fn an_event_without_an_end_is_no_event() {
-    let mut scanner = Scanner::default();
+    let mut scanner = EventScanner::default();
     let piece = vec![b'x'; 64 * 1024];
-    let spoilt = (0..1024).find(|_| matches!(scanner.push(&piece), Scanned::Spoilt(_)));
+    let spoilt = (0..1024).find(|_| matches!(scanner.push(&piece), ScanResult::Malformed(_)));
     let taken = spoilt.map(|pieces| (pieces + 1) * piece.len());
     assert!(
         taken.is_some_and(|taken| taken <= 2 << 20),
         "64 MiB were held, for one request of many"
     );
-    assert_eq!(scanner.held(), 0);
+    assert_eq!(scanner.buffered(), 0);
 }
 
 /// An event's id is that of its first line with one, for what is passed on and for the check of it alike: an upstream that writes two is
@@ -74,9 +74,9 @@
 #[test]
 fn an_event_with_two_ids_is_no_violation() {
     let stream = b"id: 5\nid: 3\ndata: a\n\nid: 6\ndata: b\n\n";
-    let mut scanner = Scanner::default();
-    assert_eq!(scanner.push(stream), Scanned::Events(stream.to_vec()));
-    let mut given = GivenIds::default();
-    assert!(given.note(stream), "{given:?}");
-    assert!(!given.note(b"id: 6\ndata: b\n\n"), "twice");
+    let mut scanner = EventScanner::default();
+    assert_eq!(scanner.push(stream), ScanResult::Events(stream.to_vec()));
+    let mut given = DeliveredEventIds::default();
+    assert!(given.record(stream), "{given:?}");
+    assert!(!given.record(b"id: 6\ndata: b\n\n"), "twice");
 }
