--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -2,10 +2,10 @@
 //! and surplus answers, streams cut and taken up, clients that leave, time that runs out. A rule is one function; each holds in
 //! every script. What an upstream did is known here and not to the exchange: whether it has run is judged by the worst case.
 use sandtrack_proxy::exchange::state::{
-    is_promise, Action, AnswerId, Exchange, Final, HeadFacts, Input, Phase, SendEvent, SendId,
-    Terms, SENDS,
+    promises_not_executed, Action, AttemptEvent, AttemptId, Exchange, ExchangeParams,
+    FinalResponse, HeadSummary, Input, Phase, ResponseOwner, MAX_CONCURRENT_ATTEMPTS,
 };
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 use sandtrack_proxy::upstream_connections::response_error::ResponseError;
 use std::collections::HashSet;
 
@@ -16,11 +16,11 @@
 /// Events of a whole stream.
 const LAST_EVENT: u64 = 2;
 
-/// What an upstream has done with a send, as it knows itself.
+/// What an upstream has done with an attempt, as it knows itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UpstreamSide {
-    place: usize,
-    reuse: bool,
+    upstream: usize,
+    may_reuse_connection: bool,
     reused: bool,
     /// Bytes of the request may have come to it.
     reached: bool,
@@ -28,14 +28,14 @@
     written: bool,
     /// It answered that the request has not run, and spoke of this request.
     denied: bool,
-    head: Option<HeadFacts>,
+    head: Option<HeadSummary>,
     /// Its answer is whole.
     whole: bool,
-    surplus: bool,
+    trailing_bytes: bool,
     /// Of a stream: the id of the last event that it sent.
     event: u64,
     /// It brought its events from the start or behind an id, as asked.
-    resume: Option<u64>,
+    resume_after: Option<u64>,
     /// Half an event was sent last.
     half: bool,
 }
@@ -44,8 +44,10 @@
     /// All that it sent is its answer to this request.
     fn is_own(&self) -> bool {
         self.head.is_some_and(|head| {
-            head.id == AnswerId::Own
-                || head.id == AnswerId::Missing && head.not_run() && !self.reused
+            head.owner == ResponseOwner::ThisRequest
+                || head.owner == ResponseOwner::Unidentified
+                    && head.was_not_executed()
+                    && !self.reused
         })
     }
 }
@@ -53,13 +55,13 @@
 /// One exchange with all that its surroundings know.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    terms: Terms,
+    params: ExchangeParams,
     /// Whether its stream's events have ids.
     numbered: bool,
     exchange: Exchange,
     /// Sends under way.
-    sends: [Option<UpstreamSide>; SENDS],
-    /// The send that was over last, with a whole answer.
+    attempts: [Option<UpstreamSide>; MAX_CONCURRENT_ATTEMPTS],
+    /// The attempt that was over last, with a whole answer.
     last_whole: Option<UpstreamSide>,
     kept_failure: Option<UpstreamSide>,
     /// Upstreams that may run the request or have run it.
@@ -93,21 +95,21 @@
         side.is_own() && (!success || head.sealed) && !side.denied
     };
     match action {
-        Action::Relay { send, begins, .. } => {
-            let side = world.sends[*send]
+        Action::Relay { id, with_head, .. } => {
+            let side = world.attempts[*id]
                 .as_ref()
-                .ok_or("bytes of a send that is over")?;
+                .ok_or("bytes of an attempt that is over")?;
             rule(proper(side), || {
                 format!("relays what is no answer to it: {side:?}")
             })?;
             rule(side.head.is_some_and(|head| head.status == 200), || {
                 "a failure as a stream".to_owned()
             })?;
-            rule(*begins != world.begun, || {
+            rule(*with_head != world.begun, || {
                 "a head in the middle, or none at the start".to_owned()
             })
         }
-        Action::Finish(Final::Whole(_)) => {
+        Action::Finish(FinalResponse::Complete(_)) => {
             let side = world
                 .last_whole
                 .as_ref()
@@ -116,7 +118,7 @@
                 format!("passes on what is no answer: {side:?}")
             })
         }
-        Action::Finish(Final::KeptFailure) => {
+        Action::Finish(FinalResponse::UpstreamFailure) => {
             let side = world
                 .kept_failure
                 .as_ref()
@@ -125,7 +127,7 @@
                 format!("passes on what is no answer: {side:?}")
             })
         }
-        Action::Finish(Final::Own { .. }) => rule(!world.begun, || {
+        Action::Finish(FinalResponse::Local { .. }) => rule(!world.begun, || {
             "an answer in the middle of another".to_owned()
         }),
         _ => Ok(()),
@@ -137,19 +139,23 @@
     let Action::Start { .. } = action else {
         return Ok(());
     };
-    let under_way = world.sends.iter().flatten().count();
+    let under_way = world.attempts.iter().flatten().count();
     rule(
-        world.terms.idempotent || world.runs == 0 && under_way == 0,
+        world.params.idempotent || world.runs == 0 && under_way == 0,
         || "sent while it may run".to_owned(),
     )
 }
 
 /// TWICE: what may run once goes on a fresh connection, never on one that its upstream may be closing.
 fn fresh(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Start { reuse, .. } = action else {
+    let Action::Start {
+        may_reuse_connection,
+        ..
+    } = action
+    else {
         return Ok(());
     };
-    rule(world.terms.idempotent || !reuse, || {
+    rule(world.params.idempotent || !may_reuse_connection, || {
         "on a connection that may be closing".to_owned()
     })
 }
@@ -157,29 +163,29 @@
 /// REFUSED: no promise for what may have run or may run yet.
 fn refused(world: &World, action: &Action) -> Result<(), String> {
     let status = match action {
-        Action::Finish(Final::Own {
-            status, promise, ..
+        Action::Finish(FinalResponse::Local {
+            status, retryable, ..
         }) => {
-            rule(*promise == is_promise(*status), || {
+            rule(*retryable == promises_not_executed(*status), || {
                 "when to come back, and no promise".to_owned()
             })?;
             *status
         }
-        Action::Finish(Final::Whole(_)) => head_status(&world.last_whole),
-        Action::Finish(Final::KeptFailure) => head_status(&world.kept_failure),
+        Action::Finish(FinalResponse::Complete(_)) => head_status(&world.last_whole),
+        Action::Finish(FinalResponse::UpstreamFailure) => head_status(&world.kept_failure),
         _ => return Ok(()),
     };
-    rule(!is_promise(status) || world.runs == 0, || {
+    rule(!promises_not_executed(status) || world.runs == 0, || {
         format!("{status} for what may have run")
     })
 }
 
 /// Given up before it ran: the client is told so, and may come back.
 fn promised(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Finish(Final::Own { promise, .. }) = action else {
+    let Action::Finish(FinalResponse::Local { retryable, .. }) = action else {
         return Ok(());
     };
-    rule(*promise || world.runs > 0, || {
+    rule(*retryable || world.runs > 0, || {
         "no promise for what has not run".to_owned()
     })
 }
@@ -189,14 +195,14 @@
     let Action::Start { .. } = action else {
         return Ok(());
     };
-    rule(world.upstreams < world.terms.attempts.max(1), || {
+    rule(world.upstreams < world.params.max_attempts.max(1), || {
         "more upstreams than attempts".to_owned()
     })
 }
 
 /// ORDER: events come once each, in order, none missing; a stream ends as complete only behind its last.
 fn order(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Relay { bytes, ends, .. } = action else {
+    let Action::Relay { bytes, is_last, .. } = action else {
         return Ok(());
     };
     let mut got = world.got.clone();
@@ -208,7 +214,7 @@
         format!("out of order: {:?}", String::from_utf8_lossy(&got))
     })?;
     let complete = got == whole;
-    rule(!ends || complete, || {
+    rule(!is_last || complete, || {
         "ends as complete before its last event".to_owned()
     })
 }
@@ -216,7 +222,7 @@
 /// MIXED, LOST: what was not complete ends with a closed connection and looks like nothing else.
 fn complete(world: &World, action: &Action) -> Result<(), String> {
     match action {
-        Action::Finish(Final::StreamEnded) => {
+        Action::Finish(FinalResponse::StreamCompleted) => {
             let whole: Vec<u8> = (1..=LAST_EVENT)
                 .flat_map(|id| event(world.numbered, id))
                 .collect();
@@ -224,7 +230,7 @@
                 "a cut stream looks complete".to_owned()
             })
         }
-        Action::Finish(Final::Cut) => Ok(()),
+        Action::Finish(FinalResponse::Aborted) => Ok(()),
         Action::Finish(_) => rule(!world.begun, || {
             "something behind a stream that began".to_owned()
         }),
@@ -234,19 +240,20 @@
 
 /// MIXED: a connection is kept only behind a whole answer, with nothing behind that, and where its upstream keeps it.
 fn pooled(world: &World, action: &Action) -> Result<(), String> {
-    let Action::Pool(send, _) = action else {
+    let Action::ReleaseConnection(id, _) = action else {
         return Ok(());
     };
-    let side = world.sends[*send]
+    let side = world.attempts[*id]
         .as_ref()
         .ok_or("a connection that is not its own")?;
-    let kept = side.head.is_some_and(|head| head.keeps_open);
-    rule(side.whole && !side.surplus && kept && side.is_own(), || {
-        format!("kept a connection: {side:?}")
-    })
+    let kept = side.head.is_some_and(|head| head.keep_alive);
+    rule(
+        side.whole && !side.trailing_bytes && kept && side.is_own(),
+        || format!("kept a connection: {side:?}"),
+    )
 }
 
-/// The client gets exactly one final answer, and no send outlives it.
+/// The client gets exactly one final answer, and no attempt outlives it.
 fn one_final_answer(world: &World, action: &Action) -> Result<(), String> {
     rule(world.finals == 0, || {
         format!("after the final answer: {action:?}")
@@ -254,22 +261,26 @@
     let Action::Finish(_) = action else {
         return Ok(());
     };
-    rule(world.sends.iter().all(Option::is_none), || {
-        "a send is left behind".to_owned()
+    rule(world.attempts.iter().all(Option::is_none), || {
+        "an attempt is left behind".to_owned()
     })
 }
 
 /// An upstream is taken for one that answered only behind a whole answer, and for a broken one only where something broke.
 fn judged(world: &World, action: &Action) -> Result<(), String> {
-    let (Action::Pool(send, ended) | Action::Close(send, ended)) = action else {
+    let (Action::ReleaseConnection(id, ended) | Action::CloseConnection(id, ended)) = action else {
         return Ok(());
     };
-    let side = world.sends[*send].as_ref().ok_or("a send that is over")?;
+    let side = world.attempts[*id]
+        .as_ref()
+        .ok_or("an attempt that is over")?;
     match ended {
-        Ended::Answered => rule(side.whole && side.is_own() && !side.denied, || {
+        SendOutcome::Completed => rule(side.whole && side.is_own() && !side.denied, || {
             "not answered".to_owned()
         }),
-        Ended::Broken => rule(!side.whole, || "whole, and taken for broken".to_owned()),
+        SendOutcome::ConnectionFailed => {
+            rule(!side.whole, || "whole, and taken for broken".to_owned())
+        }
         _ => Ok(()),
     }
 }
@@ -309,76 +320,76 @@
 }
 
 /// Heads that an upstream may answer with.
-fn heads(terms: Terms) -> Vec<HeadFacts> {
-    let own = HeadFacts {
-        id: AnswerId::Own,
+fn heads(params: ExchangeParams) -> Vec<HeadSummary> {
+    let own = HeadSummary {
+        owner: ResponseOwner::ThisRequest,
         status: 200,
         not_executed: false,
         sealed: true,
-        keeps_open: true,
+        keep_alive: true,
     };
     let mut heads = vec![
         own,
-        HeadFacts {
-            keeps_open: false,
+        HeadSummary {
+            keep_alive: false,
             ..own
         },
-        HeadFacts {
+        HeadSummary {
             sealed: false,
             ..own
         },
-        HeadFacts {
-            id: AnswerId::Other,
+        HeadSummary {
+            owner: ResponseOwner::OtherRequest,
             ..own
         },
-        HeadFacts {
-            id: AnswerId::Missing,
+        HeadSummary {
+            owner: ResponseOwner::Unidentified,
             ..own
         },
-        HeadFacts { status: 404, ..own },
-        HeadFacts { status: 500, ..own },
-        HeadFacts { status: 503, ..own },
-        HeadFacts { status: 429, ..own },
-        HeadFacts { status: 408, ..own },
-        HeadFacts {
+        HeadSummary { status: 404, ..own },
+        HeadSummary { status: 500, ..own },
+        HeadSummary { status: 503, ..own },
+        HeadSummary { status: 429, ..own },
+        HeadSummary { status: 408, ..own },
+        HeadSummary {
             status: 503,
             not_executed: true,
             sealed: false,
             ..own
         },
-        HeadFacts {
+        HeadSummary {
             status: 421,
             sealed: false,
             ..own
         },
-        HeadFacts {
+        HeadSummary {
             status: 503,
             not_executed: true,
             sealed: false,
-            id: AnswerId::Other,
+            owner: ResponseOwner::OtherRequest,
             ..own
         },
-        HeadFacts {
+        HeadSummary {
             status: 400,
             not_executed: true,
             sealed: false,
-            id: AnswerId::Missing,
+            owner: ResponseOwner::Unidentified,
             ..own
         },
     ];
-    if terms.streaming {
-        heads.push(HeadFacts { status: 204, ..own });
+    if params.streaming {
+        heads.push(HeadSummary { status: 204, ..own });
     }
     heads
 }
 
 impl World {
-    fn new(terms: Terms, numbered: bool) -> World {
+    fn new(params: ExchangeParams, numbered: bool) -> World {
         World {
-            terms,
+            params,
             numbered,
-            exchange: Exchange::new(terms),
-            sends: [None, None],
+            exchange: Exchange::new(params),
+            attempts: [None, None],
             last_whole: None,
             kept_failure: None,
             runs: 0,
@@ -395,73 +406,91 @@
         if self.finals > 0 {
             return Vec::new();
         }
-        let mut inputs = vec![Input::ClientGone];
-        if self.exchange.phase() == Phase::Placing {
-            inputs.extend([Input::Placed(0), Input::NoRoom, Input::TimeOver]);
-            if self.exchange.needs_budget() {
-                inputs.push(Input::NoBudget);
+        let mut inputs = vec![Input::ClientDisconnected];
+        if self.exchange.phase() == Phase::SelectingUpstream {
+            inputs.extend([
+                Input::UpstreamSelected(0),
+                Input::NoCapacity,
+                Input::DeadlineExceeded,
+            ]);
+            if self.exchange.needs_retry_budget() {
+                inputs.push(Input::RetryBudgetExhausted);
             }
         } else {
             // Offered whether it may be raced or not: the exchange itself is to say no.
-            inputs.push(Input::Spare(1));
+            inputs.push(Input::HedgeUpstreamSelected(1));
         }
-        for (send, side) in self.sends.iter().enumerate() {
+        for (id, side) in self.attempts.iter().enumerate() {
             if let Some(side) = side {
                 inputs.extend(
                     self.events(side)
                         .into_iter()
-                        .map(|event| Input::Send(send, event)),
+                        .map(|event| Input::Attempt(id, event)),
                 );
             }
         }
         inputs
     }
 
-    fn events(&self, side: &UpstreamSide) -> Vec<SendEvent> {
+    fn events(&self, side: &UpstreamSide) -> Vec<AttemptEvent> {
         if !side.reached {
             let mut events = vec![
-                SendEvent::Connected { reused: false },
-                SendEvent::NoConnection { share_full: false },
-                SendEvent::NoConnection { share_full: true },
+                AttemptEvent::Connected { reused: false },
+                AttemptEvent::ConnectFailed {
+                    connection_limit_reached: false,
+                },
+                AttemptEvent::ConnectFailed {
+                    connection_limit_reached: true,
+                },
             ];
-            if side.reuse {
-                events.push(SendEvent::Connected { reused: true });
+            if side.may_reuse_connection {
+                events.push(AttemptEvent::Connected { reused: true });
             }
             return events;
         }
         let mut events = vec![
-            SendEvent::Broke(ResponseError::ConnectionLost),
-            SendEvent::Broke(ResponseError::Malformed),
-            SendEvent::TimeOver,
+            AttemptEvent::ResponseFailed(ResponseError::ConnectionLost),
+            AttemptEvent::ResponseFailed(ResponseError::Malformed),
+            AttemptEvent::DeadlineExceeded,
         ];
         if !side.written {
             // Nothing is read before.
-            events.extend([SendEvent::Written, SendEvent::WriteFailed]);
+            events.extend([AttemptEvent::RequestWritten, AttemptEvent::WriteFailed]);
             return events;
         }
         let Some(head) = side.head else {
-            events.extend(heads(self.terms).into_iter().map(SendEvent::Head));
+            events.extend(heads(self.params).into_iter().map(AttemptEvent::Head));
             return events;
         };
         let ends = [
-            SendEvent::End { surplus: false },
-            SendEvent::End { surplus: true },
+            AttemptEvent::BodyEnd {
+                trailing_bytes: false,
+            },
+            AttemptEvent::BodyEnd {
+                trailing_bytes: true,
+            },
         ];
-        if !self.terms.relays(head.status) || head.not_run() {
+        if !self.params.relays(head.status) || head.was_not_executed() {
             events.extend(ends);
-            events.push(SendEvent::Broke(ResponseError::OutOfMemory));
+            events.push(AttemptEvent::ResponseFailed(ResponseError::OutOfMemory));
             return events;
         }
         if side.event < LAST_EVENT {
             if !side.half {
-                events.push(SendEvent::Data(event(self.numbered, side.event + 1)));
-                events.push(SendEvent::Data(half(self.numbered, side.event + 1)));
+                events.push(AttemptEvent::BodyChunk(event(
+                    self.numbered,
+                    side.event + 1,
+                )));
+                events.push(AttemptEvent::BodyChunk(half(self.numbered, side.event + 1)));
             } else {
-                events.push(SendEvent::Data(b"\n".to_vec()));
+                events.push(AttemptEvent::BodyChunk(b"\n".to_vec()));
             }
             // One that does not know where to go on begins anew.
-            if side.resume.is_some() && side.event == side.resume.unwrap_or(0) && !side.half {
-                events.push(SendEvent::Data(event(self.numbered, 1)));
+            if side.resume_after.is_some()
+                && side.event == side.resume_after.unwrap_or(0)
+                && !side.half
+            {
+                events.push(AttemptEvent::BodyChunk(event(self.numbered, 1)));
             }
         } else {
             events.extend(ends);
@@ -470,27 +499,27 @@
     }
 
     /// What the upstream did when this came of it.
-    fn note(&mut self, send: SendId, event: &SendEvent) {
+    fn note(&mut self, id: AttemptId, event: &AttemptEvent) {
         let numbered = self.numbered;
-        let Some(side) = &mut self.sends[send] else {
+        let Some(side) = &mut self.attempts[id] else {
             return;
         };
         match event {
-            SendEvent::Connected { reused } => {
+            AttemptEvent::Connected { reused } => {
                 side.reached = true;
                 side.reused = *reused;
                 self.runs += 1;
             }
-            SendEvent::Written => side.written = true,
-            SendEvent::NoConnection { .. } => self.upstreams -= 1,
-            SendEvent::Head(head) => {
+            AttemptEvent::RequestWritten => side.written = true,
+            AttemptEvent::ConnectFailed { .. } => self.upstreams -= 1,
+            AttemptEvent::Head(head) => {
                 side.head = Some(*head);
-                if head.not_run() && side.is_own() {
+                if head.was_not_executed() && side.is_own() {
                     side.denied = true;
                     self.runs -= 1;
                 }
             }
-            SendEvent::Data(bytes) => {
+            AttemptEvent::BodyChunk(bytes) => {
                 side.half = *bytes == half(numbered, side.event + 1);
                 if !side.half && *bytes != event_again(numbered) {
                     side.event += 1;
@@ -498,19 +527,19 @@
                     side.event = 1;
                 }
             }
-            SendEvent::End { surplus } => {
+            AttemptEvent::BodyEnd { trailing_bytes } => {
                 side.whole = true;
-                side.surplus = *surplus;
+                side.trailing_bytes = *trailing_bytes;
             }
             _ => {}
         }
     }
 
     fn take(&mut self, input: Input) {
-        if let Input::Send(send, event) = &input {
-            self.note(*send, event);
+        if let Input::Attempt(id, event) = &input {
+            self.note(*id, event);
         }
-        for action in self.exchange.on(input) {
+        for action in self.exchange.handle(input) {
             for (name, rule) in RULES {
                 if let Err(what) = rule(self, &action) {
                     self.broken.get_or_insert(format!("{name}: {what}"));
@@ -518,7 +547,7 @@
             }
             self.perform(action);
         }
-        if self.finals > 0 && self.exchange.phase() != Phase::Over {
+        if self.finals > 0 && self.exchange.phase() != Phase::Finished {
             self.broken
                 .get_or_insert("one final answer: and it goes on".to_owned());
         }
@@ -529,24 +558,24 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Start {
-                send,
-                place,
-                reuse,
-                resume,
+                id,
+                upstream,
+                may_reuse_connection,
+                resume_after,
             } => {
                 self.upstreams += 1;
-                self.sends[send] = Some(UpstreamSide {
-                    place,
-                    reuse,
+                self.attempts[id] = Some(UpstreamSide {
+                    upstream,
+                    may_reuse_connection,
                     reused: false,
                     reached: false,
                     written: false,
                     denied: false,
                     head: None,
                     whole: false,
-                    surplus: false,
-                    event: resume.unwrap_or(0),
-                    resume,
+                    trailing_bytes: false,
+                    event: resume_after.unwrap_or(0),
+                    resume_after,
                     half: false,
                 });
             }
@@ -555,11 +584,11 @@
                 self.begun = true;
             }
             Action::KeepFailure(_) => self.kept_failure = self.last_whole.take(),
-            Action::Pool(send, _) | Action::Close(send, _) => {
-                self.last_whole = self.sends[send].take().filter(|side| side.whole);
+            Action::ReleaseConnection(id, _) | Action::CloseConnection(id, _) => {
+                self.last_whole = self.attempts[id].take().filter(|side| side.whole);
             }
-            Action::Abandon(send) => self.sends[send] = None,
-            Action::Heed(_) | Action::NotePace(_) => {}
+            Action::Abandon(id) => self.attempts[id] = None,
+            Action::ApplyLoadReport(_) | Action::RecordLatency(_) => {}
             Action::Finish(_) => self.finals += 1,
         }
     }
@@ -574,14 +603,14 @@
 fn worlds(attempts: u32) -> Vec<World> {
     let mut worlds = Vec::new();
     for (idempotent, streaming) in [(true, false), (false, false), (true, true), (false, true)] {
-        let terms = Terms {
+        let params = ExchangeParams {
             idempotent,
             streaming,
-            attempts,
+            max_attempts: attempts,
         };
-        worlds.push(World::new(terms, true));
+        worlds.push(World::new(params, true));
         if streaming {
-            worlds.push(World::new(terms, false));
+            worlds.push(World::new(params, false));
         }
     }
     worlds
@@ -597,7 +626,7 @@
         let mut next = world.clone();
         next.take(input.clone());
         script.push(input);
-        assert_eq!(next.broken, None, "{:?}\nscript: {script:#?}", world.terms);
+        assert_eq!(next.broken, None, "{:?}\nscript: {script:#?}", world.params);
         scripts(&next, length - 1, script, count);
         script.pop();
     }
@@ -691,21 +720,21 @@
     );
 }
 
-const RESUMABLE: Terms = Terms {
+const RESUMABLE: ExchangeParams = ExchangeParams {
     idempotent: true,
     streaming: true,
-    attempts: 3,
+    max_attempts: 3,
 };
 
-/// The inputs of one send up to its head.
-fn head_came(send: SendId) -> [Input; 3] {
+/// The inputs of one attempt up to its head.
+fn head_came(id: AttemptId) -> [Input; 3] {
     let own = heads(RESUMABLE)[0];
     [
-        SendEvent::Connected { reused: false },
-        SendEvent::Written,
-        SendEvent::Head(own),
+        AttemptEvent::Connected { reused: false },
+        AttemptEvent::RequestWritten,
+        AttemptEvent::Head(own),
     ]
-    .map(|event| Input::Send(send, event))
+    .map(|event| Input::Attempt(id, event))
 }
 
 /// What the last of these inputs leads to.
@@ -713,7 +742,7 @@
     let mut exchange = Exchange::new(RESUMABLE);
     inputs
         .into_iter()
-        .map(|input| exchange.on(input))
+        .map(|input| exchange.handle(input))
         .last()
         .unwrap_or_default()
 }
@@ -721,35 +750,50 @@
 /// One that was raced, and whose rival failed, is waited for: a third upstream is not made to work beside it.
 #[test]
 fn a_silent_send_is_raced_once() {
-    let raced = [Input::Placed(0), Input::Spare(1)];
+    let raced = [Input::UpstreamSelected(0), Input::HedgeUpstreamSelected(1)];
     let start = Action::Start {
-        send: 1,
-        place: 1,
-        reuse: true,
-        resume: None,
+        id: 1,
+        upstream: 1,
+        may_reuse_connection: true,
+        resume_after: None,
     };
     assert_eq!(outcome(raced.clone()), [start]);
-    let failed = Input::Send(1, SendEvent::NoConnection { share_full: false });
+    let failed = Input::Attempt(
+        1,
+        AttemptEvent::ConnectFailed {
+            connection_limit_reached: false,
+        },
+    );
     assert_eq!(
-        outcome(raced.into_iter().chain([failed, Input::Spare(2)])),
+        outcome(
+            raced
+                .into_iter()
+                .chain([failed, Input::HedgeUpstreamSelected(2)])
+        ),
         []
     );
 }
 
 #[test]
 fn a_stream_that_broke_goes_on_behind_its_last_event() {
-    let inputs = [Input::Placed(0)].into_iter().chain(head_came(0)).chain([
-        Input::Send(0, SendEvent::Data(event(true, 1))),
-        Input::Send(0, SendEvent::Broke(ResponseError::ConnectionLost)),
-        Input::Placed(1),
-    ]);
+    let inputs = [Input::UpstreamSelected(0)]
+        .into_iter()
+        .chain(head_came(0))
+        .chain([
+            Input::Attempt(0, AttemptEvent::BodyChunk(event(true, 1))),
+            Input::Attempt(
+                0,
+                AttemptEvent::ResponseFailed(ResponseError::ConnectionLost),
+            ),
+            Input::UpstreamSelected(1),
+        ]);
     assert_eq!(
         outcome(inputs),
         [Action::Start {
-            send: 0,
-            place: 1,
-            reuse: true,
-            resume: Some(1)
+            id: 0,
+            upstream: 1,
+            may_reuse_connection: true,
+            resume_after: Some(1)
         }]
     );
 }
@@ -757,38 +801,52 @@
 /// The one that was asked to take a silent stream up goes on with it where the silent one breaks.
 #[test]
 fn a_silent_stream_that_breaks_leaves_its_rival() {
-    let inputs = [Input::Placed(0)].into_iter().chain(head_came(0)).chain([
-        Input::Send(0, SendEvent::Data(event(true, 1))),
-        Input::Spare(1),
-        Input::Send(0, SendEvent::Broke(ResponseError::ConnectionLost)),
-    ]);
+    let inputs = [Input::UpstreamSelected(0)]
+        .into_iter()
+        .chain(head_came(0))
+        .chain([
+            Input::Attempt(0, AttemptEvent::BodyChunk(event(true, 1))),
+            Input::HedgeUpstreamSelected(1),
+            Input::Attempt(
+                0,
+                AttemptEvent::ResponseFailed(ResponseError::ConnectionLost),
+            ),
+        ]);
     let mut exchange = Exchange::new(RESUMABLE);
-    let actions = inputs.map(|input| exchange.on(input)).last();
-    assert_eq!(actions, Some(vec![Action::Close(0, Ended::Broken)]));
-    assert_eq!(exchange.phase(), Phase::Sending);
+    let actions = inputs.map(|input| exchange.handle(input)).last();
+    assert_eq!(
+        actions,
+        Some(vec![Action::CloseConnection(
+            0,
+            SendOutcome::ConnectionFailed
+        )])
+    );
+    assert_eq!(exchange.phase(), Phase::AwaitingResponse);
 }
 
 /// With one attempt: what never got a byte may still go to another upstream.
 #[test]
 fn a_connection_that_never_came_up_is_no_attempt() {
-    let mut exchange = Exchange::new(Terms {
+    let mut exchange = Exchange::new(ExchangeParams {
         idempotent: false,
         streaming: false,
-        attempts: 1,
+        max_attempts: 1,
     });
-    exchange.on(Input::Placed(0));
-    exchange.on(Input::Send(
+    exchange.handle(Input::UpstreamSelected(0));
+    exchange.handle(Input::Attempt(
         0,
-        SendEvent::NoConnection { share_full: false },
+        AttemptEvent::ConnectFailed {
+            connection_limit_reached: false,
+        },
     ));
-    let again = exchange.on(Input::Placed(1));
+    let again = exchange.handle(Input::UpstreamSelected(1));
     assert_eq!(
         again,
         [Action::Start {
-            send: 0,
-            place: 1,
-            reuse: false,
-            resume: None
+            id: 0,
+            upstream: 1,
+            may_reuse_connection: false,
+            resume_after: None
         }]
     );
 }
@@ -797,18 +855,26 @@
 #[test]
 fn behind_the_final_answer_nothing_follows() {
     let late = [
-        Input::Placed(2),
-        Input::Spare(2),
-        Input::NoRoom,
-        Input::NoBudget,
-        Input::TimeOver,
-        Input::ClientGone,
-        Input::Send(0, SendEvent::End { surplus: false }),
-        Input::Send(1, SendEvent::TimeOver),
+        Input::UpstreamSelected(2),
+        Input::HedgeUpstreamSelected(2),
+        Input::NoCapacity,
+        Input::RetryBudgetExhausted,
+        Input::DeadlineExceeded,
+        Input::ClientDisconnected,
+        Input::Attempt(
+            0,
+            AttemptEvent::BodyEnd {
+                trailing_bytes: false,
+            },
+        ),
+        Input::Attempt(1, AttemptEvent::DeadlineExceeded),
     ];
-    for last in [Input::ClientGone, Input::Send(0, SendEvent::TimeOver)] {
+    for last in [
+        Input::ClientDisconnected,
+        Input::Attempt(0, AttemptEvent::DeadlineExceeded),
+    ] {
         for input in &late {
-            let before = [Input::Placed(0), Input::Spare(1)]
+            let before = [Input::UpstreamSelected(0), Input::HedgeUpstreamSelected(1)]
                 .into_iter()
                 .chain(head_came(0));
             assert_eq!(
--- a/crates/sandtrack-proxy/tests/latency_cause.rs
+++ b/crates/sandtrack-proxy/tests/latency_cause.rs
@@ -1,52 +1,52 @@
 //! Why an answer began late.
-use sandtrack_proxy::telemetry::latency_cause::{LateCause, Timeline};
+use sandtrack_proxy::telemetry::latency_cause::{LatencyCause, RequestTimeline};
 
-const ON_TIME: Timeline = Timeline {
-    arrived: 0.0,
-    first_send: 1.0,
-    send: 1.0,
-    asked: 3.0,
-    answered: 90.0,
-    far: false,
+const ON_TIME: RequestTimeline = RequestTimeline {
+    arrived_at: 0.0,
+    first_attempt_at: 1.0,
+    attempt_at: 1.0,
+    write_started_at: 3.0,
+    responded_at: 90.0,
+    in_other_region: false,
 };
 
 #[test]
 fn the_longest_part_of_the_way_is_the_cause() {
     let cases = [
-        (ON_TIME, LateCause::Upstream),
+        (ON_TIME, LatencyCause::Upstream),
         (
-            Timeline {
-                far: true,
+            RequestTimeline {
+                in_other_region: true,
                 ..ON_TIME
             },
-            LateCause::FarUpstream,
+            LatencyCause::RemoteUpstream,
         ),
         (
-            Timeline {
-                first_send: 300.0,
-                send: 300.0,
-                asked: 302.0,
-                answered: 400.0,
+            RequestTimeline {
+                first_attempt_at: 300.0,
+                attempt_at: 300.0,
+                write_started_at: 302.0,
+                responded_at: 400.0,
                 ..ON_TIME
             },
-            LateCause::Held,
+            LatencyCause::AwaitingCapacity,
         ),
         (
-            Timeline {
-                send: 700.0,
-                asked: 702.0,
-                answered: 800.0,
+            RequestTimeline {
+                attempt_at: 700.0,
+                write_started_at: 702.0,
+                responded_at: 800.0,
                 ..ON_TIME
             },
-            LateCause::Resent,
+            LatencyCause::FailedAttempts,
         ),
         (
-            Timeline {
-                asked: 500.0,
-                answered: 600.0,
+            RequestTimeline {
+                write_started_at: 500.0,
+                responded_at: 600.0,
                 ..ON_TIME
             },
-            LateCause::Connecting,
+            LatencyCause::Connecting,
         ),
     ];
     for (timeline, cause) in cases {
--- a/crates/sandtrack-proxy/tests/outcomes.rs
+++ b/crates/sandtrack-proxy/tests/outcomes.rs
@@ -1,20 +1,20 @@
 //! How requests ended: counted all, told within bounds.
 use sandtrack_protocol::codes;
 use sandtrack_protocol::metrics::MetricsText;
-use sandtrack_proxy::placement::balancer::Ended;
-use sandtrack_proxy::telemetry::outcomes::{Outcome, Outcomes};
+use sandtrack_proxy::placement::balancer::SendOutcome;
+use sandtrack_proxy::telemetry::outcomes::{RequestOutcome, RequestOutcomes};
 
 #[test]
 fn all_ends_are_counted_and_late_ones_apart() {
-    let mut outcomes = Outcomes::default();
-    outcomes.note(Outcome::Upstream(200), -20.0);
-    outcomes.note(Outcome::Own(503, codes::NO_ROOM), -900.0);
-    outcomes.note(Outcome::Own(504, codes::DEADLINE), 251.0);
-    outcomes.note(Outcome::Cut, 0.0);
-    outcomes.note_send(Ended::Broken);
-    assert_eq!(outcomes.count(Outcome::Cut), 1);
+    let mut outcomes = RequestOutcomes::default();
+    outcomes.record(RequestOutcome::UpstreamResponse(200), -20.0);
+    outcomes.record(RequestOutcome::LocalResponse(503, codes::NO_ROOM), -900.0);
+    outcomes.record(RequestOutcome::LocalResponse(504, codes::DEADLINE), 251.0);
+    outcomes.record(RequestOutcome::Aborted, 0.0);
+    outcomes.record_attempt(SendOutcome::ConnectionFailed);
+    assert_eq!(outcomes.count(RequestOutcome::Aborted), 1);
     let mut text = MetricsText::default();
-    outcomes.tell(&mut text);
+    outcomes.append_metrics(&mut text);
     let text = text.into_text();
     for line in [
         "sandtrack_proxy_requests_total{status=\"200\",code=\"upstream\"} 1",
@@ -29,11 +29,11 @@
 
 #[test]
 fn lines_of_a_second_are_bounded_and_what_was_left_out_is_told_later() {
-    let mut outcomes = Outcomes::default();
+    let mut outcomes = RequestOutcomes::default();
     let written = (0..50)
-        .filter(|_| outcomes.take_line(100.0).is_some())
+        .filter(|_| outcomes.take_log_line(100.0).is_some())
         .count();
     assert_eq!(written, 20);
-    assert_eq!(outcomes.take_line(1100.0), Some(30));
-    assert_eq!(outcomes.take_line(1101.0), Some(0));
+    assert_eq!(outcomes.take_log_line(1100.0), Some(30));
+    assert_eq!(outcomes.take_log_line(1101.0), Some(0));
 }
--- a/crates/sandtrack-proxy/tests/placement.rs
+++ b/crates/sandtrack-proxy/tests/placement.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::{balancer, entry, probe_all, request};
 use sandtrack_protocol::frames::ToProxy;
-use sandtrack_proxy::placement::balancer::Ended;
+use sandtrack_proxy::placement::balancer::SendOutcome;
 use sandtrack_proxy::placement::choice::Placed;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -125,13 +125,13 @@
     let place = balancer.upstreams.place("a0").expect("it is listed");
     for _ in 0..2 {
         balancer.sent(place);
-        balancer.ended(10.0, place, Ended::Broken);
+        balancer.ended(10.0, place, SendOutcome::ConnectionFailed);
     }
     assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 1);
     let other = balancer.upstreams.place("a1").expect("it is listed");
     for _ in 0..2 {
         balancer.sent(other);
-        balancer.ended(10.0, other, Ended::Broken);
+        balancer.ended(10.0, other, SendOutcome::ConnectionFailed);
     }
     assert_eq!(draws(&mut balancer, "/letters/1", 50).len(), 2);
     probe_all(&mut balancer, 2000.0);
@@ -416,7 +416,7 @@
     let place = balancer.upstreams.place(&lost).expect("it is listed");
     for _ in 0..2 {
         balancer.sent(place);
-        balancer.ended(10.0, place, Ended::Broken);
+        balancer.ended(10.0, place, SendOutcome::ConnectionFailed);
     }
     let after: BTreeSet<String> = draws(&mut balancer, "/letters/1", 200)
         .into_keys()
--- a/crates/sandtrack-proxy/tests/proven_connections.rs
+++ b/crates/sandtrack-proxy/tests/proven_connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections for what may run only once.
 mod common;
 use common::{balancer, entry};
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 
 /// Two upstreams of one service and one of another.
 fn known() -> Balancer {
@@ -43,7 +43,7 @@
     let place = place_of(&balancer, "m1");
     balancer.heard(1000.0, place);
     balancer.sent(place);
-    balancer.ended(1010.0, place, Ended::Broken);
+    balancer.ended(1010.0, place, SendOutcome::ConnectionFailed);
     assert!(!balancer.is_proven_alive(1020.0, place));
 }
 
--- a/crates/sandtrack-proxy/tests/zone_outlook.rs
+++ b/crates/sandtrack-proxy/tests/zone_outlook.rs
@@ -1,7 +1,7 @@
 //! Zones that look lost as a whole.
 mod common;
 use common::{balancer, entry, probe_all, request};
-use sandtrack_proxy::placement::balancer::{Balancer, Ended};
+use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 use sandtrack_proxy::placement::choice::Placed;
 use sandtrack_proxy::placement::zone_outlook::ZoneOutlook;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 fn break_one(balancer: &mut Balancer, now: f64, identifier: &str) {
     let place = place_of(balancer, identifier);
     balancer.sent(place);
-    balancer.ended(now, place, Ended::Broken);
+    balancer.ended(now, place, SendOutcome::ConnectionFailed);
 }
 
 /// Zones to which 200 requests go at this time.
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -5,7 +5,9 @@
     self, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
 };
 use sandtrack_protocol::settings::Settings;
-use sandtrack_proxy::control_session::decisions::{candidates, judge_welcome, Accepted, Standing};
+use sandtrack_proxy::control_session::decisions::{
+    candidates, check_welcome, AcceptedNodes, Attachment,
+};
 use sandtrack_proxy::placement::balancer::{Balancer, Folded};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -34,14 +36,14 @@
 /// A round through candidates.
 struct Search {
     left: VecDeque<String>,
-    accepted: Accepted,
+    accepted: AcceptedNodes,
     attempt: Option<Attempt>,
 }
 
 struct Session {
     number: u64,
     address: String,
-    standing: Standing,
+    attachment: Attachment,
     heard: Millis,
     next_look: Millis,
     told_at: Millis,
@@ -116,13 +118,13 @@
         if let Some(session) = &mut self.session {
             if now >= session.next_look && self.search.is_none() {
                 session.next_look = now + LOOK_EVERY_MS;
-                if session.standing.take_look(now) {
+                if session.attachment.take_search_due(now) {
                     let except = session.address.clone();
-                    self.begin_search(Accepted::Attached, Some(&except));
+                    self.begin_search(AcceptedNodes::Attached, Some(&except));
                 }
             }
         } else if self.search.is_none() && now >= self.search_at {
-            let accepted = Accepted::in_round(self.balancer.is_ready(), self.vain_rounds);
+            let accepted = AcceptedNodes::for_round(self.balancer.is_ready(), self.vain_rounds);
             self.begin_search(accepted, None);
         }
         self.go_on(now, wishes);
@@ -150,7 +152,7 @@
         self.search_at = now;
     }
 
-    fn begin_search(&mut self, accepted: Accepted, except: Option<&str>) {
+    fn begin_search(&mut self, accepted: AcceptedNodes, except: Option<&str>) {
         let all = candidates(&self.settings, &self.balancer.control_nodes);
         let left = all
             .into_iter()
@@ -254,7 +256,7 @@
         {
             session.heard = now;
             if let ToProxy::Beat { attached } = &frame {
-                session.standing.beat(now, *attached);
+                session.attachment.on_heartbeat(now, *attached);
             }
             if self.balancer.fold(now, frame) == Folded::WantConfiguration {
                 wishes.push(Wish::Send {
@@ -279,7 +281,7 @@
         let judged = match frame {
             ToProxy::Welcome {
                 format, attached, ..
-            } => judge_welcome(*format, *attached, search.accepted)
+            } => check_welcome(*format, *attached, search.accepted)
                 .map(|()| *attached)
                 .ok(),
             _ => None,
@@ -297,7 +299,7 @@
         self.session = Some(Session {
             number,
             address: attempt.address,
-            standing: Standing::new(now, attached),
+            attachment: Attachment::new(now, attached),
             heard: now,
             next_look: now + LOOK_EVERY_MS,
             told_at: now,
