--- a/crates/sandtrack-proxy/src/figures.rs
+++ b/crates/sandtrack-proxy/src/metrics.rs
@@ -1,30 +1,31 @@
-//! The figures of a proxy, for scrapers and for whoever looks at an incident.
-use crate::shared::Shared;
+//! The metrics of a proxy.
+use crate::context::ProxyContext;
 use sandtrack_protocol::metrics::{Kind, MetricsText};
 use std::collections::BTreeMap;
 
 /// Upstreams of one service as this proxy sees them.
 #[derive(Default)]
-struct Seen {
+struct ServiceUpstreams {
     listed: u64,
     draining: u64,
     unhealthy: u64,
-    own: usize,
+    /// Attempts of this proxy in flight.
+    open_attempts: usize,
 }
 
-/// All figures of this process as text.
-pub fn text(shared: &Shared) -> String {
+/// All metrics of this process as text.
+pub fn render(context: &ProxyContext) -> String {
     let mut text = MetricsText::default();
-    shared.outcomes.borrow().tell(&mut text);
-    tell_state(shared, &mut text);
-    tell_upstreams(shared, &mut text);
+    context.outcomes.borrow().append_metrics(&mut text);
+    append_process(context, &mut text);
+    append_upstreams(context, &mut text);
     text.invariants();
     text.logs();
     text.into_text()
 }
 
-fn tell_state(shared: &Shared, text: &mut MetricsText) {
-    let balancer = shared.balancer.borrow();
+fn append_process(context: &ProxyContext, text: &mut MetricsText) {
+    let balancer = context.balancer.borrow();
     let state = balancer.state();
     let gauges: [(&str, &str, u64); 10] = [
         ("ready", "Whether it takes traffic", u64::from(state.ready)),
@@ -42,17 +43,17 @@
         (
             "client_connections",
             "Connections of clients",
-            shared.connections.get() as u64,
+            context.client_connections.get() as u64,
         ),
         (
             "request_bytes_held",
             "Bodies of requests in hand",
-            shared.memory.requests.held() as u64,
+            context.memory.requests.held() as u64,
         ),
         (
             "answer_bytes_held",
             "Collected answers in hand",
-            shared.memory.answers.held() as u64,
+            context.memory.responses.held() as u64,
         ),
         (
             "proxies_known",
@@ -67,7 +68,7 @@
         (
             "up_seconds",
             "Since the start of the process",
-            (shared.clock.now() / 1000.0) as u64,
+            (context.clock.now() / 1000.0) as u64,
         ),
     ];
     for (name, help, value) in gauges {
@@ -75,31 +76,31 @@
     }
 }
 
-fn tell_upstreams(shared: &Shared, text: &mut MetricsText) {
-    let balancer = shared.balancer.borrow();
-    let mut services: BTreeMap<&str, Seen> = BTreeMap::new();
-    for place in balancer.upstreams.listed() {
-        let upstream = balancer.upstreams.get(place);
-        let seen = services.entry(&upstream.entry.service).or_default();
-        seen.listed += 1;
-        seen.draining += u64::from(upstream.entry.draining);
-        seen.unhealthy += u64::from(!upstream.failures.is_healthy());
-        seen.own += upstream.in_flight;
-    }
+fn append_upstreams(context: &ProxyContext, text: &mut MetricsText) {
     const UPSTREAMS: &str = "sandtrack_proxy_upstreams";
+    const OPEN_ATTEMPTS: &str = "sandtrack_proxy_sends_open";
+    let balancer = context.balancer.borrow();
+    let mut services: BTreeMap<&str, ServiceUpstreams> = BTreeMap::new();
+    for index in balancer.upstreams.listed() {
+        let upstream = balancer.upstreams.get(index);
+        let service = services.entry(&upstream.entry.service).or_default();
+        service.listed += 1;
+        service.draining += u64::from(upstream.entry.draining);
+        service.unhealthy += u64::from(!upstream.failures.is_healthy());
+        service.open_attempts += upstream.in_flight;
+    }
     text.family(UPSTREAMS, Kind::Gauge, "Upstreams by service and state");
-    for (service, seen) in &services {
+    for (name, service) in &services {
         for (state, count) in [
-            ("listed", seen.listed),
-            ("draining", seen.draining),
-            ("unhealthy", seen.unhealthy),
+            ("listed", service.listed),
+            ("draining", service.draining),
+            ("unhealthy", service.unhealthy),
         ] {
-            text.figure(UPSTREAMS, &[("service", service), ("state", state)], count);
+            text.figure(UPSTREAMS, &[("service", name), ("state", state)], count);
         }
     }
-    const OPEN: &str = "sandtrack_proxy_sends_open";
-    text.family(OPEN, Kind::Gauge, "Sends under way by service");
-    for (service, seen) in &services {
-        text.figure(OPEN, &[("service", service)], seen.own);
+    text.family(OPEN_ATTEMPTS, Kind::Gauge, "Sends under way by service");
+    for (name, service) in &services {
+        text.figure(OPEN_ATTEMPTS, &[("service", name)], service.open_attempts);
     }
 }
--- a/crates/sandtrack-proxy/tests/region_round_trips.rs
+++ b/crates/sandtrack-proxy/tests/region_round_trips.rs
@@ -2,11 +2,11 @@
 mod common;
 use common::{balancer, entry, index_of, request};
 use sandtrack_protocol::frames::UpstreamEntry;
+use sandtrack_proxy::control_session::decisions::connect_timeout;
 use sandtrack_proxy::placement::balancer::{Balancer, SendOutcome};
 use sandtrack_proxy::placement::region_round_trips::RegionRoundTrips;
 use sandtrack_proxy::placement::selection::Placement;
 use sandtrack_proxy::policy::Policy;
-use sandtrack_proxy::session_policy::connect_timeout;
 
 /// One-way delays in ms.
 const WAYS: [f64; 10] = [
