--- a/crates/sandtrack-proxy/tests/connection_reuse.rs
+++ b/crates/sandtrack-proxy/tests/connection_reuse.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_surplus_behind_the_first_answer_closes_the_connection() {
+fn bytes_behind_a_complete_response_close_the_connection() {
     for (trailing_bytes, expected) in [
         (true, Action::CloseConnection(0, SendOutcome::Completed)),
         (false, Action::ReleaseConnection(0, SendOutcome::Completed)),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_comes_while_it_is_idle_closes_the_connection() {
+fn bytes_on_an_idle_connection_close_it() {
     assert!(is_reusable(true, 100.0, 101.0));
     assert!(
         !is_reusable(false, 100.0, 101.0),
@@ -105,7 +105,7 @@
 
 /// It comes after the second request was written: neither an answer to it nor a promise for it.
 #[test]
-fn a_late_surplus_in_the_place_of_the_second_answer_is_not_passed_on() {
+fn a_late_surplus_response_in_place_of_the_second_is_not_forwarded() {
     for left_over in left_overs() {
         for params in [READ_ONLY, MUTATING] {
             let mut exchange = written(params, true);
@@ -138,7 +138,7 @@
 
 /// It closes as the second request is written: an upstream that says nothing may have run it all the same.
 #[test]
-fn a_connection_that_closes_under_the_second_request_is_no_promise() {
+fn a_connection_that_closes_under_the_second_request_may_have_executed_it() {
     for event in [
         AttemptEvent::WriteFailed,
         AttemptEvent::ResponseFailed(ResponseError::ConnectionLost),
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_less_than_its_upstream_keeps_it() {
+fn the_idle_timeout_is_below_the_upstreams_keep_alive() {
     let kept = |keep_alive, headers: &[(&str, &str)]| {
         idle_timeout(&head(200, keep_alive, headers), &Policy::default())
     };
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn an_answers_id_tells_whose_it_is() {
+fn a_response_belongs_to_the_request_with_its_id() {
     let owner = |headers: &[(&str, &str)]| {
         summarize_head(&head(200, true, headers), "r2", &Policy::default()).owner
     };
--- a/crates/sandtrack-proxy/tests/control_session.rs
+++ b/crates/sandtrack-proxy/tests/control_session.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn its_own_comes_first_then_those_named_then_the_seeds_each_once() {
+fn candidates_are_the_own_node_then_named_ones_then_seeds_each_once() {
     let named = ["10.3.0.1:7721".to_owned(), "10.2.0.1:7721".to_owned()];
     assert_eq!(
         candidates(&settings(true), &named),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn one_that_is_ready_accepts_a_detached_one_only_after_a_round_in_vain() {
+fn a_ready_proxy_accepts_a_detached_node_only_after_a_failed_round() {
     let rounds: Vec<AcceptedNodes> = (0..4)
         .map(|vain| AcceptedNodes::for_round(true, vain))
         .collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_welcome_is_judged_by_its_format_and_its_majority() {
+fn a_welcome_is_checked_for_its_format_and_majority() {
     assert_eq!(check_welcome(FORMAT, true, AcceptedNodes::Attached), Ok(()));
     assert_eq!(check_welcome(FORMAT, false, AcceptedNodes::Any), Ok(()));
     assert_eq!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_others_are_asked_only_while_its_own_is_detached_and_not_all_the_time() {
+fn an_attached_node_is_searched_for_only_while_detached_and_at_intervals() {
     let mut attachment = Attachment::new(0.0, true);
     assert!(!attachment.take_search_due(5_000.0), "it hears a majority");
     attachment.on_heartbeat(5_000.0, false);
--- a/crates/sandtrack-proxy/tests/event_stream.rs
+++ b/crates/sandtrack-proxy/tests/event_stream.rs
@@ -6,7 +6,7 @@
     b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n";
 
 #[test]
-fn however_a_stream_is_cut_into_pieces_the_same_bytes_come_out() {
+fn chunk_boundaries_do_not_change_the_events() {
     for size in 1..STREAM.len() {
         let mut scanner = EventScanner::default();
         let mut out = Vec::new();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn half_an_event_is_held_back_and_dropped_where_another_upstream_goes_on() {
+fn an_incomplete_event_is_buffered_and_dropped_on_resumption() {
     let mut scanner = EventScanner::default();
     assert_eq!(
         scanner.push(b"id: 1\ndata: a\n\nid: 2\nda"),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_event_that_comes_again_spoils_the_stream_and_what_came_before_it_goes_on() {
+fn a_repeated_event_makes_the_stream_malformed_behind_earlier_events() {
     let mut scanner = EventScanner::default();
     assert_matches!(scanner.push(b"id: 5\ndata: a\n\nid: 5\ndata: a\n\n"), ScanResult::Malformed(good) if good == b"id: 5\ndata: a\n\n");
     let mut resumed = EventScanner::default();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn given_ids_have_to_rise_across_pieces() {
+fn delivered_ids_must_rise_across_chunks() {
     let mut given = DeliveredEventIds::default();
     assert!(given.record(b"id: 1\ndata: a\n\nid: 2\ndata: id: 1\n\n"));
     assert!(given.record(b"data: without an id\n\n"));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_event_without_an_end_is_no_event() {
+fn an_event_without_an_end_is_not_relayed() {
     let mut scanner = EventScanner::default();
     let piece = vec![b'x'; 64 * 1024];
     let spoilt = (0..1024).find(|_| matches!(scanner.push(&piece), ScanResult::Malformed(_)));
--- a/crates/sandtrack-proxy/tests/exchange/control_node.rs
+++ b/crates/sandtrack-proxy/tests/exchange/control_node.rs
@@ -16,7 +16,7 @@
 
 /// What a proxy told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReceivedFrame {
     Hello(ProxyInfo, ProxyState),
     State(ProxyState),
     WantConfiguration,
@@ -31,7 +31,7 @@
     sessions: Vec<TcpStream>,
 }
 
-struct Shared {
+struct ControlNodeState {
     said: Mutex<Said>,
     attached: AtomicBool,
     /// It says nothing any more, though its connections stand.
@@ -41,8 +41,8 @@
 
 pub struct ControlNode {
     pub address: String,
-    shared: Arc<Shared>,
-    heard: Receiver<Heard>,
+    shared: Arc<ControlNodeState>,
+    heard: Receiver<ReceivedFrame>,
     accepting: Option<JoinHandle<()>>,
 }
 
@@ -52,7 +52,7 @@
         let address = format!("{ip}:{PORT}");
         let listener = TcpListener::bind(&address).ok()?;
         let (sender, heard) = channel();
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(ControlNodeState {
             said: Mutex::new(Said::default()),
             attached: AtomicBool::new(attached),
             silent: AtomicBool::new(false),
@@ -77,7 +77,7 @@
     }
 
     /// Tells those that have a session now, and all that open one later.
-    pub fn tell(&self, message: ToProxy) {
+    pub fn send(&self, message: ToProxy) {
         let mut said = self.shared.said.lock().unwrap();
         let bytes = frame(&message);
         for mut session in &said.sessions {
@@ -87,7 +87,7 @@
     }
 
     /// Whether it hears a majority, as its beats tell from now on.
-    pub fn attach(&self, attached: bool) {
+    pub fn set_attached(&self, attached: bool) {
         self.shared.attached.store(attached, Ordering::SeqCst);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// What came next that `wanted` is looking for; other things are passed over.
-    pub fn until(&self, what: &str, wanted: impl Fn(&Heard) -> bool) -> Heard {
+    pub fn wait_for(&self, what: &str, wanted: impl Fn(&ReceivedFrame) -> bool) -> ReceivedFrame {
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -109,20 +109,20 @@
         }
     }
 
-    pub fn until_state(&self, what: &str, wanted: impl Fn(&ProxyState) -> bool) -> ProxyState {
-        let heard = self.until(
+    pub fn wait_for_state(&self, what: &str, wanted: impl Fn(&ProxyState) -> bool) -> ProxyState {
+        let heard = self.wait_for(
             what,
-            |heard| matches!(heard, Heard::State(state) if wanted(state)),
+            |heard| matches!(heard, ReceivedFrame::State(state) if wanted(state)),
         );
-        let Heard::State(state) = heard else {
+        let ReceivedFrame::State(state) = heard else {
             unreachable!("only states were wanted")
         };
         state
     }
 
-    pub fn until_hello(&self) -> (ProxyInfo, ProxyState) {
-        let Heard::Hello(info, state) =
-            self.until("a hello", |heard| matches!(heard, Heard::Hello(..)))
+    pub fn wait_for_hello(&self) -> (ProxyInfo, ProxyState) {
+        let ReceivedFrame::Hello(info, state) =
+            self.wait_for("a hello", |heard| matches!(heard, ReceivedFrame::Hello(..)))
         else {
             unreachable!("only a hello was wanted")
         };
@@ -130,7 +130,7 @@
     }
 
     /// What came up to now.
-    pub fn heard_up_to_now(&self) -> Vec<Heard> {
+    pub fn received_so_far(&self) -> Vec<ReceivedFrame> {
         self.heard.try_iter().collect()
     }
 
@@ -154,7 +154,7 @@
 }
 
 /// One session: a welcome to its hello, what there is to say, and beats until it ends.
-fn session(shared: &Arc<Shared>, mut stream: TcpStream, sender: &Sender<Heard>) {
+fn session(shared: &Arc<ControlNodeState>, mut stream: TcpStream, sender: &Sender<ReceivedFrame>) {
     stream.set_nodelay(true).unwrap();
     let (ended, end) = channel::<()>();
     let mut end = Some(end);
@@ -179,10 +179,10 @@
                     {
                         welcome(shared, &stream, end);
                     }
-                    Heard::Hello(info, state)
+                    ReceivedFrame::Hello(info, state)
                 }
-                ToControl::State(state) => Heard::State(state),
-                ToControl::WantConfiguration => Heard::WantConfiguration,
+                ToControl::State(state) => ReceivedFrame::State(state),
+                ToControl::WantConfiguration => ReceivedFrame::WantConfiguration,
                 ToControl::PromptsSent(_) => continue,
             };
             if sender.send(heard).is_err() {
@@ -191,10 +191,10 @@
         }
     }
     drop(ended);
-    let _ = sender.send(Heard::Ended);
+    let _ = sender.send(ReceivedFrame::Ended);
 }
 
-fn welcome(shared: &Arc<Shared>, stream: &TcpStream, end: Receiver<()>) {
+fn welcome(shared: &Arc<ControlNodeState>, stream: &TcpStream, end: Receiver<()>) {
     let attached = shared.attached.load(Ordering::SeqCst);
     let mut said = shared.said.lock().unwrap();
     let first = ToProxy::Welcome {
--- a/crates/sandtrack-proxy/tests/exchange/plain.rs
+++ b/crates/sandtrack-proxy/tests/exchange/forwarding.rs
@@ -1,13 +1,13 @@
 //! Requests that meet no trouble, and those that are refused before they are carried.
-use crate::harness::{request, Stage, ROUTES};
+use crate::harness::{request, Harness, ROUTES};
 use crate::upstream::seal;
 
 /// MIXED, UNASKED: method, path, query, headers and body reach the upstream unchanged, the answer the client; what concerns
 /// one connection stays on it.
 #[test]
-fn a_request_and_its_answer_pass_unchanged() {
-    let stage = Stage::serving("a_request_and_its_answer_pass_unchanged", 1);
-    let mut client = stage.client();
+fn a_request_and_its_response_are_forwarded_unchanged() {
+    let harness = Harness::with_upstreams("a_request_and_its_response_are_forwarded_unchanged", 1);
+    let mut client = harness.client();
     let headers = [
         "Connection: keep-alive, X-Hop",
         "X-Hop: of this connection",
@@ -19,17 +19,17 @@
         "Accept: */*",
     ];
     client.get_with("/slips/a%2Fb/?x=1&y=%20z&x=2", "r1", &headers);
-    let mut asked = stage.asked();
-    assert!(asked
-        .request
+    let mut upstream_request = harness.next_upstream_request();
+    assert!(upstream_request
+        .message
         .head
         .starts_with("GET /slips/a%2Fb/?x=1&y=%20z&x=2 HTTP/1.1\n"));
     assert_eq!(
-        asked.request.header("expected-instance"),
-        Some(asked.identifier.as_str())
+        upstream_request.message.header("expected-instance"),
+        Some(upstream_request.identifier.as_str())
     );
-    let left: f64 = asked
-        .request
+    let left: f64 = upstream_request
+        .message
         .header("deadline-remaining")
         .unwrap()
         .parse()
@@ -42,14 +42,14 @@
         "te",
         "transfer-encoding",
     ] {
-        assert_eq!(asked.request.header(own), None, "{own}");
+        assert_eq!(upstream_request.message.header(own), None, "{own}");
     }
-    asked.say(
+    upstream_request.send(
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: 3e1b.07\r\nConnection: keep-alive, X-Mine\r\nX-Mine: 1\r\n\
          Keep-Alive: timeout=9\r\nX-Passed: on\r\nContent-Length: 9\r\n\r\nthe bytes",
     );
-    asked.keep();
-    let answer = client.answer();
+    upstream_request.keep_open();
+    let answer = client.response();
     assert_eq!(
         (answer.status(), answer.text().as_str()),
         (200, "the bytes")
@@ -58,107 +58,114 @@
     assert_eq!(answer.header("x-mine"), None);
     // The same connection goes on.
     client.get("/slips/2", "r2");
-    stage.asked().answer("two");
-    assert_eq!(client.answer().text(), "two");
-    stage.finish();
+    harness.next_upstream_request().respond("two");
+    assert_eq!(client.response().text(), "two");
+    harness.finish_with_transcript();
 }
 
 /// UNASKED: a body in chunks is the same body.
 #[test]
-fn a_body_in_chunks_passes_unchanged() {
-    let stage = Stage::serving("a_body_in_chunks_passes_unchanged", 1);
-    let mut client = stage.client();
+fn a_chunked_body_is_forwarded_unchanged() {
+    let harness = Harness::with_upstreams("a_chunked_body_is_forwarded_unchanged", 1);
+    let mut client = harness.client();
     let chunks = "5\r\nhello\r\n1;ext=1\r\n \r\n7\r\nGET / H\r\n0\r\nX-Trailer: 1\r\n\r\n";
     client.post_with("/pay/a?b=c", "r1", &["Transfer-Encoding: chunked"], chunks);
-    let mut asked = stage.asked();
-    assert!(asked.request.head.starts_with("POST /pay/a?b=c HTTP/1.1\n"));
-    assert_eq!(asked.request.text(), "hello GET / H");
-    asked.say(
+    let mut upstream_request = harness.next_upstream_request();
+    assert!(upstream_request
+        .message
+        .head
+        .starts_with("POST /pay/a?b=c HTTP/1.1\n"));
+    assert_eq!(upstream_request.message.text(), "hello GET / H");
+    upstream_request.send(
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npaid\r\n3\r\n up\r\n\
          0\r\n\r\n",
     );
-    asked.keep();
-    assert_eq!(client.answer().text(), "paid up");
-    stage.finish();
+    upstream_request.keep_open();
+    assert_eq!(client.response().text(), "paid up");
+    harness.finish_with_transcript();
 }
 
 /// MIXED, UNASKED: the same of bodies larger than any buffer.
 #[test]
-fn large_bodies_pass_whole() {
-    let stage = Stage::serving("large_bodies_pass_whole", 1);
-    let mut client = stage.client();
+fn large_bodies_are_forwarded_whole() {
+    let harness = Harness::with_upstreams("large_bodies_are_forwarded_whole", 1);
+    let mut client = harness.client();
     let body: Vec<u8> = (0..1_500_000_u32).map(|at| (at % 251) as u8).collect();
     let head = request("POST", "/pay/large", "r1", &[], "").replace(": 0\r\n", ": 1500000\r\n");
     client.send_bytes(
         "r1, and a body of 1500000 bytes",
         &[head.as_bytes(), &body].concat(),
     );
-    let mut asked = stage.asked();
-    assert!(asked.request.body == body, "the body is the client's");
+    let mut upstream_request = harness.next_upstream_request();
+    assert!(
+        upstream_request.message.body == body,
+        "the body is the client's"
+    );
     let head =
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 1500000\r\n\r\n";
-    asked.say_bytes("(1500000 bytes)", &[head.as_bytes(), &body].concat());
-    asked.keep();
-    let answer = client.answer();
+    upstream_request.send_bytes("(1500000 bytes)", &[head.as_bytes(), &body].concat());
+    upstream_request.keep_open();
+    let answer = client.response();
     assert!(answer.body == body, "the body is the upstream's");
-    stage.finish();
+    harness.finish_with_transcript();
 }
 
 /// A client that waits to be told to go on is told, and its upstream is not asked for it.
 #[test]
-fn a_held_back_body_is_called_for() {
-    let stage = Stage::serving("a_held_back_body_is_called_for", 1);
-    let mut client = stage.client();
+fn expect_100_continue_is_answered() {
+    let harness = Harness::with_upstreams("expect_100_continue_is_answered", 1);
+    let mut client = harness.client();
     client.send(
         &request("POST", "/pay/a", "r1", &["Expect: 100-continue"], "")
             .replace(": 0\r\n", ": 4\r\n"),
     );
-    let told = client.any_answer().expect("it is told to go on");
+    let told = client.any_response().expect("it is told to go on");
     assert_eq!(told.status(), 100);
     client.send("body");
-    let asked = stage.asked();
+    let upstream_request = harness.next_upstream_request();
     assert_eq!(
         (
-            asked.request.text().as_str(),
-            asked.request.header("expect")
+            upstream_request.message.text().as_str(),
+            upstream_request.message.header("expect")
         ),
         ("body", None)
     );
-    asked.answer("paid");
-    assert_eq!(client.answer().text(), "paid");
-    stage.finish();
+    upstream_request.respond("paid");
+    assert_eq!(client.response().text(), "paid");
+    harness.finish_with_transcript();
 }
 
 /// MIXED: an interim answer is no answer.
 #[test]
-fn interim_answers_are_passed_over() {
-    let stage = Stage::serving("interim_answers_are_passed_over", 1);
-    let mut client = stage.client();
+fn interim_responses_are_skipped() {
+    let harness = Harness::with_upstreams("interim_responses_are_skipped", 1);
+    let mut client = harness.client();
     client.post("/pay/a", "r1", "body");
-    let mut asked = stage.asked();
-    asked.say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n");
-    asked.answer("paid");
-    assert_eq!(client.answer().text(), "paid");
-    stage.finish();
+    let mut upstream_request = harness.next_upstream_request();
+    upstream_request
+        .send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n");
+    upstream_request.respond("paid");
+    assert_eq!(client.response().text(), "paid");
+    harness.finish_with_transcript();
 }
 
 /// A client that says that it closes has the connection closed after its answer.
 #[test]
-fn a_client_that_closes_is_told_so() {
-    let stage = Stage::serving("a_client_that_closes_is_told_so", 1);
-    let mut client = stage.client();
+fn connection_close_is_confirmed() {
+    let harness = Harness::with_upstreams("connection_close_is_confirmed", 1);
+    let mut client = harness.client();
     client.get_with("/slips/a", "r1", &["Connection: close"]);
-    stage.asked().answer("one");
-    assert_eq!(client.answer().header("connection"), Some("close"));
-    client.until_closed();
-    stage.finish();
+    harness.next_upstream_request().respond("one");
+    assert_eq!(client.response().header("connection"), Some("close"));
+    client.expect_closed();
+    harness.finish_with_transcript();
 }
 
 /// A failure of the upstream's own is its answer, with its seal.
 #[test]
-fn an_upstreams_own_failure_is_passed_on() {
-    let stage = Stage::serving("an_upstreams_own_failure_is_passed_on", 2);
-    let mut client = stage.client();
+fn an_upstreams_failure_is_forwarded() {
+    let harness = Harness::with_upstreams("an_upstreams_failure_is_forwarded", 2);
+    let mut client = harness.client();
     for (id, status) in [
         ("r1", "500 Oops"),
         ("r2", "404 Not Found"),
@@ -166,13 +173,13 @@
         ("r4", "400 Bad"),
     ] {
         client.post("/pay/a", id, "body");
-        let mut asked = stage.asked();
-        asked.say(&format!(
+        let mut upstream_request = harness.next_upstream_request();
+        upstream_request.send(&format!(
             "HTTP/1.1 {status}\r\nRequest-Id: {id}\r\nServer-Seal: {}\r\nContent-Length: 3\r\n\r\nwhy",
             seal(id, "x")
         ));
-        asked.keep();
-        let answer = client.answer();
+        upstream_request.keep_open();
+        let answer = client.response();
         assert_eq!(
             Some(answer.status().to_string().as_str()),
             status.split(' ').next()
@@ -183,14 +190,14 @@
         );
     }
     // Which of the two it goes to is drawn.
-    stage.finish_unwritten();
+    harness.finish();
 }
 
 /// No route matches: another host, no path, a path that a prefix only begins like.
 #[test]
-fn without_a_route_it_is_404() {
-    let stage = Stage::serving("without_a_route_it_is_404", 1);
-    let mut client = stage.client();
+fn a_request_without_a_route_gets_404() {
+    let harness = Harness::with_upstreams("a_request_without_a_route_gets_404", 1);
+    let mut client = harness.client();
     for (id, target, host) in [
         ("r1", "/none/a", "post.example"),
         ("r2", "/slips/a", "other.example"),
@@ -198,27 +205,27 @@
         ("r4", "/", "post.example"),
     ] {
         client.send(&request("GET", target, id, &[], "").replace("post.example", host));
-        assert_eq!(client.answer().status(), 404);
+        assert_eq!(client.response().status(), 404);
     }
     // The longest prefix, and a host however it is written.
     client.send(
         &request("GET", "/slips/a", "r5", &[], "").replace("post.example", "POST.example:8161"),
     );
-    stage.asked().answer("found");
-    assert_eq!(client.answer().text(), "found");
-    stage.finish();
+    harness.next_upstream_request().respond("found");
+    assert_eq!(client.response().text(), "found");
+    harness.finish_with_transcript();
 }
 
 /// Readiness, and what is answered before there is a configuration: a promise with a time to come back.
 #[test]
-fn it_is_ready_once_it_has_a_configuration() {
-    let stage = Stage::empty("it_is_ready_once_it_has_a_configuration");
-    let (mut checker, mut client) = (stage.checker(), stage.client());
+fn the_proxy_is_ready_once_it_has_a_configuration() {
+    let harness = Harness::unconfigured("the_proxy_is_ready_once_it_has_a_configuration");
+    let (mut checker, mut client) = (harness.readiness_client(), harness.client());
     let check = "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n";
     checker.send(check);
-    assert_eq!(checker.answer().status(), 503);
+    assert_eq!(checker.response().status(), 503);
     client.post("/pay/a", "r1", "body");
-    let refused = client.answer();
+    let refused = client.response();
     assert_eq!(refused.status(), 503);
     let again: f64 = refused
         .header("retry-after")
@@ -226,61 +233,63 @@
         .parse()
         .unwrap();
     assert!(again > 0.0 && again < 5.0);
-    stage.serve(1);
+    harness.serve(1);
     checker.send(check);
-    assert_eq!(checker.answer().status(), 200);
+    assert_eq!(checker.response().status(), 200);
     client.post("/pay/a", "r2", "body");
-    stage.asked().answer("paid");
-    assert_eq!(client.answer().text(), "paid");
-    stage.finish();
+    harness.next_upstream_request().respond("paid");
+    assert_eq!(client.response().text(), "paid");
+    harness.finish_with_transcript();
 }
 
 /// One with a configuration and no list is not ready: it could not serve.
 #[test]
-fn it_is_not_ready_before_it_has_a_list() {
-    let stage = Stage::empty("it_is_not_ready_before_it_has_a_list");
-    let mut checker = stage.checker();
+fn the_proxy_is_not_ready_without_an_upstream_list() {
+    let harness = Harness::unconfigured("the_proxy_is_not_ready_without_an_upstream_list");
+    let mut checker = harness.readiness_client();
     let check = "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n";
-    stage.configure(ROUTES);
+    harness.configure(ROUTES);
     checker.send(check);
-    assert_eq!(checker.answer().status(), 503);
-    let entry = stage.upstream("printer", "a");
-    stage.list(vec![entry]);
-    stage.control_node.until_state("ready", |state| state.ready);
+    assert_eq!(checker.response().status(), 503);
+    let entry = harness.add_upstream("printer", "a");
+    harness.send_upstream_list(vec![entry]);
+    harness
+        .control_node
+        .wait_for_state("ready", |state| state.ready);
     checker.send(check);
-    assert_eq!(checker.answer().status(), 200);
-    stage.finish();
+    assert_eq!(checker.response().status(), 200);
+    harness.finish_with_transcript();
 }
 
 /// DENIED is for what is proper: what passes the limits is refused, whole, and nothing of it reaches an upstream.
 #[test]
-fn what_passes_the_limits_is_refused() {
-    let stage = Stage::serving("what_passes_the_limits_is_refused", 1);
+fn requests_over_the_limits_are_rejected() {
+    let harness = Harness::with_upstreams("requests_over_the_limits_are_rejected", 1);
     let long = format!("X-Long: {}", "x".repeat(2100));
-    let mut client = stage.client();
+    let mut client = harness.client();
     client.get_with("/slips/a", "r1", &[&long]);
-    let refused = client.answer();
+    let refused = client.response();
     assert_eq!(
         (refused.status(), refused.header("connection")),
         (431, Some("close"))
     );
-    client.until_closed();
+    client.expect_closed();
     // A head within the limit is taken.
-    let mut client = stage.client();
+    let mut client = harness.client();
     client.get_with("/slips/a", "r2", &[&long[..1800]]);
-    stage.asked().answer("taken");
-    assert_eq!(client.answer().status(), 200);
+    harness.next_upstream_request().respond("taken");
+    assert_eq!(client.response().status(), 200);
 
-    let mut client = stage.client();
+    let mut client = harness.client();
     let head = request("POST", "/pay/a", "r3", &[], "").replace(": 0\r\n", ": 2000001\r\n");
     client.send_bytes(
         "r3, and a body of 2000001 bytes",
         &[head.as_bytes(), &vec![b'x'; 2_000_001]].concat(),
     );
-    assert_eq!(client.answer().status(), 413);
-    client.until_closed();
+    assert_eq!(client.response().status(), 413);
+    client.expect_closed();
 
-    let mut client = stage.client();
+    let mut client = harness.client();
     let head = request("POST", "/pay/a", "r4", &["Transfer-Encoding: chunked"], "");
     let body = [
         b"1e8481\r\n".as_slice(),
@@ -292,15 +301,15 @@
         "r4, and a body of 2000001 bytes in a chunk",
         &[head.as_bytes(), &body].concat(),
     );
-    assert_eq!(client.answer().status(), 413);
-    client.until_closed();
-    stage.finish();
+    assert_eq!(client.response().status(), 413);
+    client.expect_closed();
+    harness.finish_with_transcript();
 }
 
 /// UNASKED: what can be read in two ways is not carried, and what may be smuggled in it is not run.
 #[test]
-fn what_can_be_read_in_two_ways_is_refused() {
-    let stage = Stage::serving("what_can_be_read_in_two_ways_is_refused", 1);
+fn ambiguous_requests_are_rejected() {
+    let harness = Harness::with_upstreams("ambiguous_requests_are_rejected", 1);
     let inner = "GET /slips/smuggled HTTP/1.1\r\nHost: post.example\r\nRequest-Id: evil\r\n\r\n";
     let start = "POST /pay/a HTTP/1.1\r\nHost: post.example\r\nRequest-Id: r1\r\n";
     let length = inner.len();
@@ -320,40 +329,46 @@
         format!("{start}Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n{inner}"),
         format!("{start}X-A: b\nContent-Length: 0\r\n\r\n{inner}"),
     ] {
-        let mut client = stage.client();
+        let mut client = harness.client();
         client.send(&wrong);
-        assert_eq!(client.answer().status(), 400);
-        client.until_closed();
+        assert_eq!(client.response().status(), 400);
+        client.expect_closed();
     }
-    stage.finish();
+    harness.finish_with_transcript();
 }
 
 /// MIXED: requests that come at once on one connection are run one at a time and answered in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let stage = Stage::serving("pipelined_requests_are_answered_in_order", 3);
-    let mut client = stage.client();
+    let harness = Harness::with_upstreams("pipelined_requests_are_answered_in_order", 3);
+    let mut client = harness.client();
     let three: Vec<String> = ["r1", "r2", "r3"]
         .iter()
         .map(|id| request("POST", "/pay/a", id, &[], id))
         .collect();
     client.send(&three.concat());
     for id in ["r1", "r2", "r3"] {
-        let asked = stage.asked();
-        assert_eq!((asked.id(), asked.request.text().as_str()), (id, id));
+        let upstream_request = harness.next_upstream_request();
+        assert_eq!(
+            (
+                upstream_request.id(),
+                upstream_request.message.text().as_str()
+            ),
+            (id, id)
+        );
         // Two beats: the proxy had all the time to take the next one up.
-        stage.control_node.heard_up_to_now();
+        harness.control_node.received_so_far();
         for _ in 0..2 {
-            let state = stage.control_node.until_state("a beat", |_| true);
+            let state = harness.control_node.wait_for_state("a beat", |_| true);
             assert_eq!(state.open, 1, "one is in hand");
         }
-        stage.nothing_asked_yet();
-        asked.answer(&format!("to {id}"));
-        let answer = client.answer();
+        harness.assert_no_upstream_request();
+        upstream_request.respond(&format!("to {id}"));
+        let answer = client.response();
         assert_eq!(
             (answer.header("request-id"), answer.text()),
             (Some(id), format!("to {id}"))
         );
     }
-    stage.finish_unwritten();
+    harness.finish();
 }
--- a/crates/sandtrack-proxy/tests/exchange/harness.rs
+++ b/crates/sandtrack-proxy/tests/exchange/harness.rs
@@ -1,8 +1,8 @@
 //! One proxy with its stand-ins, on addresses of its own.
 use crate::control_node::{ControlNode, PORT};
-use crate::process::Proxy;
+use crate::proxy_process::ProxyProcess;
 use crate::transcript::Transcript;
-use crate::upstream::{Arrived, Asked, Upstream};
+use crate::upstream::{ReceivedRequest, Upstream, UpstreamRequest};
 use crate::wire::{Chunk, Message, Wire, PATIENCE};
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
 use sandtrack_protocol::metrics::{PATH, PROXY_PORT};
@@ -118,49 +118,49 @@
     }
 }
 
-pub struct Stage {
+pub struct Harness {
     name: String,
     pub ip: String,
-    pub proxy: Proxy,
+    pub proxy: ProxyProcess,
     pub control_node: ControlNode,
     transcript: Rc<Transcript>,
     upstreams: RefCell<Vec<Upstream>>,
-    sender: Sender<Arrived>,
-    arrivals: Receiver<Arrived>,
+    sender: Sender<ReceivedRequest>,
+    received_requests: Receiver<ReceivedRequest>,
     clients: Cell<usize>,
     number: Cell<u64>,
     round: Cell<u64>,
 }
 
-impl Stage {
+impl Harness {
     /// A proxy whose session stands, and that was told nothing yet.
-    pub fn empty(name: &str) -> Stage {
-        Stage::with_bounds(name, BOUNDS)
+    pub fn unconfigured(name: &str) -> Harness {
+        Harness::with_bounds(name, BOUNDS)
     }
 
-    pub fn with_bounds(name: &str, bounds: &str) -> Stage {
-        Stage::with_settings(name, |ip| settings(ip, true, &[], bounds))
+    pub fn with_bounds(name: &str, bounds: &str) -> Harness {
+        Harness::with_settings(name, |ip| settings(ip, true, &[], bounds))
     }
 
     /// A proxy whose session stands, that may have so much memory, in MB.
-    pub fn with_memory(name: &str, memory_mb: u32) -> Stage {
+    pub fn with_memory(name: &str, memory_mb: u32) -> Harness {
         let own = format!("\"memory_mb\":{memory_mb}");
-        Stage::with_settings(name, |ip| {
+        Harness::with_settings(name, |ip| {
             settings(ip, true, &[], BOUNDS).replace("\"memory_mb\":260", &own)
         })
     }
 
-    fn with_settings(name: &str, settings: impl FnOnce(&str) -> String) -> Stage {
+    fn with_settings(name: &str, settings: impl FnOnce(&str) -> String) -> Harness {
         let (ip, control_node) = control_node(true);
-        let proxy = Proxy::start(name, Some(&settings(&ip)));
-        let stage = Stage::of(name, &ip, proxy, control_node);
-        stage.control_node.until_hello();
-        stage
+        let proxy = ProxyProcess::start(name, Some(&settings(&ip)));
+        let harness = Harness::of(name, &ip, proxy, control_node);
+        harness.control_node.wait_for_hello();
+        harness
     }
 
-    pub fn of(name: &str, ip: &str, proxy: Proxy, control_node: ControlNode) -> Stage {
-        let (sender, arrivals) = channel();
-        Stage {
+    pub fn of(name: &str, ip: &str, proxy: ProxyProcess, control_node: ControlNode) -> Harness {
+        let (sender, received_requests) = channel();
+        Harness {
             name: name.to_owned(),
             ip: ip.to_owned(),
             proxy,
@@ -168,7 +168,7 @@
             transcript: Rc::new(Transcript::default()),
             upstreams: RefCell::new(Vec::new()),
             sender,
-            arrivals,
+            received_requests,
             clients: Cell::new(0),
             number: Cell::new(0),
             round: Cell::new(0),
@@ -176,24 +176,24 @@
     }
 
     /// A proxy that is ready, alone, with so many upstreams of the one service in its zone.
-    pub fn serving(name: &str, upstreams: usize) -> Stage {
-        let stage = Stage::empty(name);
-        stage.serve(upstreams);
-        stage
+    pub fn with_upstreams(name: &str, upstreams: usize) -> Harness {
+        let harness = Harness::unconfigured(name);
+        harness.serve(upstreams);
+        harness
     }
 
     pub fn serve(&self, upstreams: usize) {
-        self.tell_alone();
+        self.send_single_proxy_census();
         let entries = (0..upstreams)
-            .map(|_| self.upstream("printer", "a"))
+            .map(|_| self.add_upstream("printer", "a"))
             .collect();
-        self.list(entries);
+        self.send_upstream_list(entries);
         self.configure(ROUTES);
     }
 
-    pub fn tell_alone(&self) {
+    pub fn send_single_proxy_census(&self) {
         let control_nodes = vec![self.control_node.address.clone()];
-        self.control_node.tell(ToProxy::Census {
+        self.control_node.send(ToProxy::Census {
             control_nodes,
             proxies: 1,
             rank: 0,
@@ -201,7 +201,7 @@
     }
 
     /// A new stand-in, as the list would show it.
-    pub fn upstream(&self, service: &str, zone: &str) -> UpstreamEntry {
+    pub fn add_upstream(&self, service: &str, zone: &str) -> UpstreamEntry {
         let identifier = format!(
             "i-{}-{}",
             self.ip.replace('.', "x"),
@@ -214,10 +214,10 @@
     }
 
     /// Tells which upstreams there are, all of them.
-    pub fn list(&self, entries: Vec<UpstreamEntry>) {
+    pub fn send_upstream_list(&self, entries: Vec<UpstreamEntry>) {
         self.round.set(self.round.get() + 1);
         let round = self.round.get();
-        self.control_node.tell(ToProxy::Upstreams {
+        self.control_node.send(ToProxy::Upstreams {
             whole: true,
             round,
             entries,
@@ -226,10 +226,10 @@
     }
 
     /// Tells what changed in the list.
-    pub fn relist(&self, entries: Vec<UpstreamEntry>, gone: &[&str]) {
+    pub fn send_upstream_changes(&self, entries: Vec<UpstreamEntry>, gone: &[&str]) {
         self.round.set(self.round.get() + 1);
         let gone = gone.iter().map(|name| (*name).to_owned()).collect();
-        self.control_node.tell(ToProxy::Upstreams {
+        self.control_node.send(ToProxy::Upstreams {
             whole: false,
             round: self.round.get(),
             entries,
@@ -248,23 +248,23 @@
         self.number.set(self.number.get() + 1);
         let number = self.number.get();
         let document = document_with_limits(number * 10, routes, limits);
-        self.control_node.tell(ToProxy::Configuration {
+        self.control_node.send(ToProxy::Configuration {
             number,
             version: number * 10,
             document,
         });
-        self.serves_by(number * 10);
+        self.wait_for_version(number * 10);
         number
     }
 
     /// Waits until what was told before is in force.
-    pub fn settle(&self) {
+    pub fn wait_until_applied(&self) {
         self.configure(ROUTES);
     }
 
-    pub fn serves_by(&self, version: u64) {
+    pub fn wait_for_version(&self, version: u64) {
         self.control_node
-            .until_state(&format!("version {version}"), |state| {
+            .wait_for_state(&format!("version {version}"), |state| {
                 state.version == version
             });
     }
@@ -283,7 +283,7 @@
     }
 
     /// A client of the platform's check.
-    pub fn checker(&self) -> Client {
+    pub fn readiness_client(&self) -> Client {
         Client::connect(
             &format!("{}:8167", self.ip),
             "the platform".to_owned(),
@@ -292,26 +292,26 @@
     }
 
     /// Waits for the next request at any upstream.
-    pub fn asked(&self) -> Asked {
-        let arrived = self
-            .arrivals
+    pub fn next_upstream_request(&self) -> UpstreamRequest {
+        let received = self
+            .received_requests
             .recv_timeout(PATIENCE)
             .expect("no upstream was asked");
-        Asked::new(arrived, self.transcript.clone())
+        UpstreamRequest::new(received, self.transcript.clone())
     }
 
     /// The next request at any upstream is answered by a stream, of which the client gets the head and the first event.
-    pub fn begun_stream(&self, client: &mut Client) -> Asked {
-        let mut asked = self.asked();
-        asked.begin_stream();
-        asked.event(1, "one");
-        client.stream();
-        client.gets_event(1, "one");
-        asked
+    pub fn started_stream(&self, client: &mut Client) -> UpstreamRequest {
+        let mut upstream_request = self.next_upstream_request();
+        upstream_request.start_stream();
+        upstream_request.send_event(1, "one");
+        client.stream_head();
+        client.expect_event(1, "one");
+        upstream_request
     }
 
     /// Asks for the proxy's figures until this one has that value.
-    pub fn until_figure(&self, name: &str, value: u64) {
+    pub fn wait_for_metric(&self, name: &str, value: u64) {
         let (line, began) = (format!("{name} {value}\n"), Instant::now());
         loop {
             let figures = self.figures();
@@ -336,20 +336,20 @@
     }
 
     /// Nothing has come up to now.
-    pub fn nothing_asked_yet(&self) {
-        if let Ok(arrived) = self.arrivals.try_recv() {
-            let asked = Asked::new(arrived, self.transcript.clone());
-            panic!("an upstream was asked:\n{}", asked.request.head);
+    pub fn assert_no_upstream_request(&self) {
+        if let Ok(received) = self.received_requests.try_recv() {
+            let upstream_request = UpstreamRequest::new(received, self.transcript.clone());
+            panic!("an upstream was asked:\n{}", upstream_request.message.head);
         }
     }
 
     /// Ends the proxy and all stand-ins. No request came that the test did not take, and what was said is approved.
-    pub fn finish(mut self) {
+    pub fn finish_with_transcript(mut self) {
         self.finish_quietly().approve(&self.name);
     }
 
     /// The same, where what is said has no fixed order.
-    pub fn finish_unwritten(mut self) {
+    pub fn finish(mut self) {
         self.finish_quietly();
     }
 
@@ -360,9 +360,9 @@
             upstream.finish();
         }
         let more: Vec<String> = self
-            .arrivals
+            .received_requests
             .try_iter()
-            .map(|arrived| arrived.request.head.clone())
+            .map(|received| received.message.head.clone())
             .collect();
         assert!(more.is_empty(), "upstreams were asked once more: {more:#?}");
         self.transcript.clone()
@@ -442,16 +442,16 @@
     }
 
     /// The next answer, whole.
-    pub fn answer(&mut self) -> Message {
+    pub fn response(&mut self) -> Message {
         let answer = self
-            .any_answer()
+            .any_response()
             .expect("the connection ended without an answer");
         assert!(answer.whole, "the answer is cut:\n{}", answer.head);
         answer
     }
 
     /// The next answer, however it ends.
-    pub fn any_answer(&mut self) -> Option<Message> {
+    pub fn any_response(&mut self) -> Option<Message> {
         let answer = self.wire.message();
         match &answer {
             None => self
@@ -479,7 +479,7 @@
     }
 
     /// The head of a stream.
-    pub fn stream(&mut self) -> String {
+    pub fn stream_head(&mut self) -> String {
         let head = self
             .wire
             .head()
@@ -490,7 +490,7 @@
     }
 
     /// The next event of a stream; `None` once it ended, and `ended` tells how.
-    pub fn event(&mut self) -> Option<String> {
+    pub fn next_event(&mut self) -> Option<String> {
         loop {
             if let Some(at) = self.begun.windows(2).position(|bytes| bytes == b"\n\n") {
                 let event: Vec<u8> = self.begun.drain(..at + 2).collect();
@@ -499,7 +499,7 @@
                     .note(&format!("{} gets an event", self.name), &event);
                 return Some(event);
             }
-            match self.wire.chunk() {
+            match self.wire.read_chunk() {
                 Chunk::Data(data) => self.begun.extend(data),
                 end => {
                     assert_eq!(
@@ -518,9 +518,9 @@
     }
 
     /// The next event has this id and data.
-    pub fn gets_event(&mut self, id: u64, data: &str) {
+    pub fn expect_event(&mut self, id: u64, data: &str) {
         assert_eq!(
-            self.event().as_deref(),
+            self.next_event().as_deref(),
             Some(format!("id: {id}\ndata: {data}").as_str())
         );
     }
@@ -528,7 +528,7 @@
     /// Takes pieces of a stream that are too many for a transcript, until it is cut.
     pub fn drain_until_cut(&mut self) {
         loop {
-            match self.wire.chunk() {
+            match self.wire.read_chunk() {
                 Chunk::Data(_) => {}
                 Chunk::Cut => return,
                 Chunk::Last => panic!("it looks complete"),
@@ -536,18 +536,18 @@
         }
     }
 
-    pub fn stream_is_whole(&mut self) {
-        assert_eq!(self.event(), None, "no more events");
+    pub fn expect_stream_complete(&mut self) {
+        assert_eq!(self.next_event(), None, "no more events");
         assert_eq!(self.ended, Some(Chunk::Last));
     }
 
-    pub fn stream_is_cut(&mut self) {
-        assert_eq!(self.event(), None, "no more events");
+    pub fn expect_stream_aborted(&mut self) {
+        assert_eq!(self.next_event(), None, "no more events");
         assert_eq!(self.ended, Some(Chunk::Cut));
     }
 
     /// Waits until the proxy has closed the connection; nothing more came.
-    pub fn until_closed(mut self) {
+    pub fn expect_closed(mut self) {
         assert_eq!(
             String::from_utf8_lossy(&self.wire.rest()),
             "",
@@ -558,7 +558,7 @@
     }
 
     /// The connection is neither closed nor spoken on for that long.
-    pub fn rests_for(&mut self, time: Duration) {
+    pub fn expect_idle_for(&mut self, time: Duration) {
         self.wire.patience(Some(time));
         let mut byte = [0];
         let read = self
@@ -573,7 +573,7 @@
         self.wire.patience(Some(PATIENCE));
     }
 
-    pub fn leave(self) {
+    pub fn disconnect(self) {
         self.transcript.note(&format!("{} leaves", self.name), "");
     }
 }
--- a/crates/sandtrack-proxy/tests/exchange/process.rs
+++ b/crates/sandtrack-proxy/tests/exchange/proxy_process.rs
@@ -12,13 +12,13 @@
     ended: bool,
 }
 
-pub struct Proxy {
+pub struct ProxyProcess {
     child: Child,
     pub settings: PathBuf,
     log: Arc<(Mutex<Log>, Condvar)>,
 }
 
-impl Proxy {
+impl ProxyProcess {
     /// Starts it with a settings file of this content; `None`: there is no such file.
     pub fn start(name: &str, settings: Option<&str>) -> Self {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -47,7 +47,7 @@
             written.0.lock().unwrap().ended = true;
             written.1.notify_all();
         });
-        Proxy {
+        ProxyProcess {
             child,
             settings: path,
             log,
@@ -55,7 +55,7 @@
     }
 
     /// Waits until so many lines of its log have this text.
-    pub fn until_logged_times(&self, text: &str, times: usize) {
+    pub fn wait_for_log_lines(&self, text: &str, times: usize) {
         let (log, changed) = &*self.log;
         let count = |log: &Log| log.lines.iter().filter(|line| line.contains(text)).count();
         let missing = |log: &mut Log| !log.ended && count(log) < times;
@@ -85,8 +85,8 @@
 
     /// It ends with status 0, and by its own clock so many seconds after it was told to stop at most: what a busy machine
     /// takes until the test sees it is not counted.
-    pub fn ends_within(&mut self, grace: f64) {
-        assert_eq!(self.ended(PATIENCE).code(), Some(0));
+    pub fn assert_exits_within(&mut self, grace: f64) {
+        assert_eq!(self.wait_for_exit(PATIENCE).code(), Some(0));
         let took = self.logged_at("proxy ends") - self.logged_at("told to stop");
         assert!(took < grace, "it took {took:.3} s of {grace} s");
     }
@@ -105,7 +105,7 @@
     }
 
     /// Its exit status; it must end within this time.
-    pub fn ended(&mut self, within: Duration) -> ExitStatus {
+    pub fn wait_for_exit(&mut self, within: Duration) -> ExitStatus {
         let until = Instant::now() + within;
         let (log, changed) = &*self.log;
         let left = until.saturating_duration_since(Instant::now());
@@ -141,7 +141,7 @@
     }
 }
 
-impl Drop for Proxy {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         self.kill();
         let _ = std::fs::remove_file(&self.settings);
--- a/crates/sandtrack-proxy/tests/exchange/upstream.rs
+++ b/crates/sandtrack-proxy/tests/exchange/upstream.rs
@@ -12,18 +12,18 @@
 pub const HEALTH: &str = "/health";
 
 /// A request that came, with the connection it came on.
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub identifier: String,
-    pub request: Message,
+    pub message: Message,
     /// Requests and probes that came on the connection before.
-    pub earlier: usize,
+    pub earlier_requests: usize,
     wire: Wire,
     home: Arc<Home>,
 }
 
 struct Home {
     identifier: String,
-    sender: Sender<Arrived>,
+    sender: Sender<ReceivedRequest>,
     stopped: AtomicBool,
     reading: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -36,7 +36,7 @@
 }
 
 impl Upstream {
-    pub fn start(ip: &str, identifier: &str, sender: Sender<Arrived>) -> Self {
+    pub fn start(ip: &str, identifier: &str, sender: Sender<ReceivedRequest>) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let home = Arc::new(Home {
@@ -89,10 +89,10 @@
 }
 
 /// Reads the next request of a connection on a thread.
-fn read(home: &Arc<Home>, mut wire: Wire, earlier: usize) {
+fn read(home: &Arc<Home>, mut wire: Wire, earlier_requests: usize) {
     let reader = home.clone();
     let reading = std::thread::spawn(move || {
-        let mut earlier = earlier;
+        let mut earlier_requests = earlier_requests;
         wire.patience(None);
         while let Some(request) = wire.message() {
             if !request.whole {
@@ -104,15 +104,15 @@
                     "HTTP/1.1 200 OK\r\nInstance-Id: {identifier}\r\nContent-Length: 0\r\n\r\n"
                 );
                 wire.send(well.as_bytes());
-                earlier += 1;
+                earlier_requests += 1;
                 continue;
             }
             wire.patience(Some(PATIENCE));
             let (identifier, home) = (reader.identifier.clone(), reader.clone());
-            let _ = reader.sender.send(Arrived {
+            let _ = reader.sender.send(ReceivedRequest {
                 identifier,
-                request,
-                earlier,
+                message: request,
+                earlier_requests,
                 wire,
                 home,
             });
@@ -123,39 +123,39 @@
 }
 
 /// A request that came to an upstream, to be answered when the test says so.
-pub struct Asked {
+pub struct UpstreamRequest {
     pub identifier: String,
-    pub request: Message,
-    pub earlier: usize,
+    pub message: Message,
+    pub earlier_requests: usize,
     name: String,
     wire: Wire,
     home: Arc<Home>,
     transcript: Rc<Transcript>,
 }
 
-impl Asked {
-    pub fn new(arrived: Arrived, transcript: Rc<Transcript>) -> Self {
-        let Arrived {
+impl UpstreamRequest {
+    pub fn new(received: ReceivedRequest, transcript: Rc<Transcript>) -> Self {
+        let ReceivedRequest {
             identifier,
-            request,
-            earlier,
+            message,
+            earlier_requests,
             wire,
             home,
-        } = arrived;
+        } = received;
         let name = format!("upstream {}", transcript.number(&identifier));
-        let body = match request.body.len() {
+        let body = match message.body.len() {
             0 => String::new(),
             long @ 300.. => format!("\n\n({long} bytes)"),
-            _ => format!("\n\n{}", request.text()),
+            _ => format!("\n\n{}", message.text()),
         };
         transcript.note(
             &format!("{name} is asked"),
-            &format!("{}{body}", request.head),
+            &format!("{}{body}", message.head),
         );
-        Asked {
+        UpstreamRequest {
             identifier,
-            request,
-            earlier,
+            message,
+            earlier_requests,
             name,
             wire,
             home,
@@ -164,31 +164,31 @@
     }
 
     pub fn id(&self) -> &str {
-        self.request.header("request-id").unwrap_or_default()
+        self.message.header("request-id").unwrap_or_default()
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.transcript.note(&format!("{} says", self.name), text);
         self.wire.send(text.as_bytes());
     }
 
     /// Says what is too long for a transcript.
-    pub fn say_bytes(&mut self, what: &str, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, what: &str, bytes: &[u8]) {
         self.transcript.note(&format!("{} says", self.name), what);
         self.wire.send(bytes);
     }
 
     /// Answers whole with its seal, and stays open for more.
-    pub fn answer(mut self, body: &str) {
+    pub fn respond(mut self, body: &str) {
         let text = answer(self.id(), body);
-        self.say(&text);
-        self.keep();
+        self.send(&text);
+        self.keep_open();
     }
 
     /// The head of a stream.
-    pub fn begin_stream(&mut self) {
+    pub fn start_stream(&mut self) {
         let id = self.id().to_owned();
-        self.say(&format!(
+        self.send(&format!(
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Seal: {}\r\nContent-Type: text/event-stream\r\n\
              Transfer-Encoding: chunked\r\n\r\n",
             seal(&id, &self.name)
@@ -196,11 +196,11 @@
     }
 
     /// One event, in a chunk of its own.
-    pub fn event(&mut self, id: u64, data: &str) {
-        self.chunk(&format!("id: {id}\ndata: {data}\n\n"));
+    pub fn send_event(&mut self, id: u64, data: &str) {
+        self.send_chunk(&format!("id: {id}\ndata: {data}\n\n"));
     }
 
-    pub fn chunk(&mut self, text: &str) {
+    pub fn send_chunk(&mut self, text: &str) {
         self.transcript
             .note(&format!("{} says, in a chunk", self.name), text);
         self.wire
@@ -212,18 +212,18 @@
         self.transcript
             .note(&format!("{} ends its chunks", self.name), "");
         self.wire.send(b"0\r\n\r\n");
-        self.keep();
+        self.keep_open();
     }
 
     /// Further requests on its connection are read.
-    pub fn keep(self) {
-        read(&self.home, self.wire, self.earlier + 1);
+    pub fn keep_open(self) {
+        read(&self.home, self.wire, self.earlier_requests + 1);
     }
 
     /// As [`Asked::answer`]; this end can still write.
-    pub fn answer_and_write(self, body: &str) -> TcpStream {
+    pub fn respond_and_keep_writer(self, body: &str) -> TcpStream {
         let stream = self.wire.stream.try_clone().unwrap();
-        self.answer(body);
+        self.respond(body);
         stream
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Waits until the proxy has closed the connection, on which nothing more came.
-    pub fn until_closed(mut self) {
+    pub fn expect_closed(mut self) {
         assert_eq!(self.wire.rest(), b"", "nothing more is asked on it");
         self.transcript
             .note(&format!("{} sees its connection closed", self.name), "");
--- a/crates/sandtrack-proxy/tests/exchange/wire.rs
+++ b/crates/sandtrack-proxy/tests/exchange/wire.rs
@@ -100,7 +100,7 @@
     }
 
     /// All up to and with `mark`; `None` when the connection ends before.
-    fn until(&mut self, mark: &[u8]) -> Option<Vec<u8>> {
+    fn read_until(&mut self, mark: &[u8]) -> Option<Vec<u8>> {
         loop {
             if let Some(at) = self
                 .held
@@ -126,12 +126,12 @@
 
     /// A head without its empty line; `None` when the connection ends before all of it came.
     pub fn head(&mut self) -> Option<String> {
-        let bytes = self.until(b"\r\n\r\n")?;
+        let bytes = self.read_until(b"\r\n\r\n")?;
         Some(String::from_utf8_lossy(&bytes[..bytes.len() - 4]).replace("\r\n", "\n"))
     }
 
-    pub fn chunk(&mut self) -> Chunk {
-        let Some(line) = self.until(b"\r\n") else {
+    pub fn read_chunk(&mut self) -> Chunk {
+        let Some(line) = self.read_until(b"\r\n") else {
             return Chunk::Cut;
         };
         let digits = String::from_utf8_lossy(&line).trim().to_owned();
@@ -158,7 +158,7 @@
         };
         if message.header("transfer-encoding").is_some() {
             loop {
-                match self.chunk() {
+                match self.read_chunk() {
                     Chunk::Data(data) => message.body.extend(data),
                     Chunk::Last => break,
                     Chunk::Cut => {
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -749,7 +749,7 @@
 
 /// One that was raced, and whose rival failed, is waited for: a third upstream is not made to work beside it.
 #[test]
-fn a_silent_send_is_raced_once() {
+fn a_silent_attempt_is_hedged_once() {
     let raced = [Input::UpstreamSelected(0), Input::HedgeUpstreamSelected(1)];
     let start = Action::Start {
         id: 1,
@@ -775,7 +775,7 @@
 }
 
 #[test]
-fn a_stream_that_broke_goes_on_behind_its_last_event() {
+fn a_broken_stream_resumes_behind_its_last_event() {
     let inputs = [Input::UpstreamSelected(0)]
         .into_iter()
         .chain(head_came(0))
@@ -800,7 +800,7 @@
 
 /// The one that was asked to take a silent stream up goes on with it where the silent one breaks.
 #[test]
-fn a_silent_stream_that_breaks_leaves_its_rival() {
+fn a_silent_stream_that_breaks_leaves_its_hedge_in_flight() {
     let inputs = [Input::UpstreamSelected(0)]
         .into_iter()
         .chain(head_came(0))
@@ -826,7 +826,7 @@
 
 /// With one attempt: what never got a byte may still go to another upstream.
 #[test]
-fn a_connection_that_never_came_up_is_no_attempt() {
+fn a_connection_that_was_never_established_is_no_attempt() {
     let mut exchange = Exchange::new(ExchangeParams {
         idempotent: false,
         streaming: false,
@@ -853,7 +853,7 @@
 
 /// What comes behind the final answer, as some of it was under way already, leads to nothing.
 #[test]
-fn behind_the_final_answer_nothing_follows() {
+fn nothing_follows_the_final_response() {
     let late = [
         Input::UpstreamSelected(2),
         Input::HedgeUpstreamSelected(2),
--- a/crates/sandtrack-proxy/tests/full_log.rs
+++ b/crates/sandtrack-proxy/tests/full_log.rs
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn a_proxy_whose_log_takes_nothing_serves_and_ends_in_order() {
+fn a_proxy_with_a_full_log_device_serves_and_stops_cleanly() {
     serves_and_ends("127.0.7.30", full());
 }
 
 #[test]
-fn a_proxy_whose_log_nobody_reads_serves_and_ends_in_order() {
+fn a_proxy_with_an_unread_log_pipe_serves_and_stops_cleanly() {
     let (_reader, log) = stuck();
     serves_and_ends("127.0.7.31", log);
 }
--- a/crates/sandtrack-proxy/tests/latency_cause.rs
+++ b/crates/sandtrack-proxy/tests/latency_cause.rs
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn the_longest_part_of_the_way_is_the_cause() {
+fn the_longest_stage_is_the_cause() {
     let cases = [
         (ON_TIME, LatencyCause::Upstream),
         (
--- a/crates/sandtrack-proxy/tests/outcomes.rs
+++ b/crates/sandtrack-proxy/tests/outcomes.rs
@@ -5,7 +5,7 @@
 use sandtrack_proxy::telemetry::outcomes::{RequestOutcome, RequestOutcomes};
 
 #[test]
-fn all_ends_are_counted_and_late_ones_apart() {
+fn all_outcomes_are_counted_and_late_ones_apart() {
     let mut outcomes = RequestOutcomes::default();
     outcomes.record(RequestOutcome::UpstreamResponse(200), -20.0);
     outcomes.record(RequestOutcome::LocalResponse(503, codes::NO_ROOM), -900.0);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn lines_of_a_second_are_bounded_and_what_was_left_out_is_told_later() {
+fn log_lines_are_rate_limited_and_suppressed_ones_are_reported() {
     let mut outcomes = RequestOutcomes::default();
     let written = (0..50)
         .filter(|_| outcomes.take_log_line(100.0).is_some())
