--- a/crates/sandtrack-proxy/src/metrics.rs
+++ b/crates/sandtrack-proxy/src/metrics.rs
@@ -58,7 +58,7 @@
         (
             "proxies_known",
             "Proxies among which bounds are shared",
-            u64::from(balancer.proxy_count),
+            u64::from(balancer.proxy_count()),
         ),
         (
             "zones_evacuated",
--- a/crates/sandtrack-proxy/src/placement/balancer.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer.rs
@@ -23,7 +23,6 @@
 use crate::placement::upstreams::UpstreamTable;
 use crate::placement::zone_health::ZoneFailureDetector;
 use crate::policy::Policy;
-use quotas::FALLBACK_PROXY_COUNT;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use sandtrack_protocol::configuration::Configuration;
@@ -60,10 +59,8 @@
     evacuated_number: u64,
     /// Zones that are sent nothing, by order of an operator.
     pub evacuated_zones: HashSet<String>,
-    /// How many proxies there are, as the control plane counts them.
-    pub proxy_count: u32,
-    /// Whether `proxy_count` was received rather than assumed.
-    proxy_count_known: bool,
+    /// How many proxies there are, once the control plane has told.
+    known_proxy_count: Option<u32>,
     /// Last heartbeat of a control node that is in contact with a majority, and so counts this proxy.
     last_control_heartbeat: Millis,
     /// Addresses of the control nodes, as the control plane gave them.
@@ -122,8 +119,7 @@
             upstreams_received: false,
             evacuated_number: 0,
             evacuated_zones: HashSet::new(),
-            proxy_count: FALLBACK_PROXY_COUNT,
-            proxy_count_known: false,
+            known_proxy_count: None,
             last_control_heartbeat: f64::NEG_INFINITY,
             control_nodes: Vec::new(),
             tiers: HashMap::new(),
--- a/crates/sandtrack-proxy/src/placement/balancer/control_updates.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/control_updates.rs
@@ -60,8 +60,7 @@
                 proxies,
                 ..
             } => {
-                self.proxy_count = proxies.max(1);
-                self.proxy_count_known = true;
+                self.known_proxy_count = Some(proxies.max(1));
                 self.last_control_heartbeat = now;
                 self.control_nodes = control_nodes;
             }
--- a/crates/sandtrack-proxy/src/placement/balancer/quotas.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/quotas.rs
@@ -8,12 +8,12 @@
 use sandtrack_protocol::configuration::Service;
 use sandtrack_tiers::Millis;
 
-/// How long after the last heartbeat of control the number of proxies is relied on, in ms. Control counts a proxy that it
-/// does not hear for longer than this (`KEPT_MS` of `sandtrack_control::membership`), also with a frame under way.
+/// How long after the last heartbeat of control the number of proxies is relied on, in ms. Control goes on counting a proxy
+/// that it does not hear for longer than this (`sandtrack_control::membership`), even with a frame under way.
 const PROXY_COUNT_LEASE_MS: Millis = 25_000.0;
 /// Number of proxies that is assumed while it is unknown: more than most deployments have, so that quotas are too small
 /// rather than too large.
-pub(super) const FALLBACK_PROXY_COUNT: u32 = 100;
+const FALLBACK_PROXY_COUNT: u32 = 100;
 /// Number of proxies among which an upstream's connections are shared until the number is known (ours).
 const INITIAL_CONNECTION_PROXIES: f64 = 16.0;
 /// Fraction of an upstream's connection limit that is used (ours).
@@ -22,12 +22,17 @@
 const DEFAULT_CONNECTION_LIMIT: f64 = 100.0;
 
 impl Balancer {
+    /// How many proxies there are: as the control plane counts them, or an assumed number.
+    pub fn proxy_count(&self) -> u32 {
+        self.known_proxy_count.unwrap_or(FALLBACK_PROXY_COUNT)
+    }
+
     /// Among how many proxies a limit over all is shared, as far as this one may rely on it.
     fn quota_proxy_count(&self, now: Millis) -> u32 {
         if now - self.last_control_heartbeat <= PROXY_COUNT_LEASE_MS {
-            self.proxy_count
+            self.proxy_count()
         } else {
-            self.proxy_count.max(FALLBACK_PROXY_COUNT)
+            self.proxy_count().max(FALLBACK_PROXY_COUNT)
         }
     }
 
@@ -58,11 +63,9 @@
                 f64::from(service.connection_limit)
             });
         // An upstream resets connections beyond its limit, which breaks no rule: an assumed number will do at first.
-        let proxies = if self.proxy_count_known {
-            f64::from(self.proxy_count)
-        } else {
-            INITIAL_CONNECTION_PROXIES
-        };
+        let proxies = self
+            .known_proxy_count
+            .map_or(INITIAL_CONNECTION_PROXIES, f64::from);
         ((limit * CONNECTION_LIMIT_USED / proxies) as usize).max(1)
     }
 
--- a/crates/sandtrack-proxy/tests/budget.rs
+++ b/crates/sandtrack-proxy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Shares of bounds that hold over all proxies.
+//! Quotas of limits that hold over all proxies, and retry budgets.
 mod common;
 use common::{balancer, entry, request, CONFIGURATION};
 use sandtrack_protocol::frames::ToProxy;
@@ -62,8 +62,8 @@
     );
 }
 
-/// Services come and go with configurations, thousands of them in a day: those that went are forgotten once their window is over,
-/// and not before, as one that comes back has not earned its repeats anew.
+/// Services are added and removed, thousands of them in a day: the budgets of removed ones are forgotten once their window is
+/// over, and not before, as a service that comes back must not earn its retries anew.
 #[test]
 fn budgets_of_removed_services_are_forgotten_with_their_window() {
     let mut balancer = balancer(vec![entry("a1", "printer", "a")]);
--- a/crates/sandtrack-proxy/tests/common/mod.rs
+++ b/crates/sandtrack-proxy/tests/common/mod.rs
@@ -59,9 +59,9 @@
         .expect("it is listed")
 }
 
-/// A balancer of zone a with the configuration above and these upstreams, one of twelve proxies.
-pub fn balancer(entries: Vec<UpstreamEntry>) -> Balancer {
-    let mut balancer = Balancer::new(&settings(), 1);
+/// A balancer with the configuration above and these upstreams, which does not know the number of proxies yet.
+pub fn uncounted_balancer(settings: &Settings, seed: u64, entries: Vec<UpstreamEntry>) -> Balancer {
+    let mut balancer = Balancer::new(settings, seed);
     let document = CONFIGURATION.to_owned();
     balancer.apply(
         0.0,
@@ -80,6 +80,12 @@
             gone: Vec::new(),
         },
     );
+    balancer
+}
+
+/// A balancer of zone a with the configuration above and these upstreams, one of twelve proxies.
+pub fn balancer(entries: Vec<UpstreamEntry>) -> Balancer {
+    let mut balancer = uncounted_balancer(&settings(), 1, entries);
     balancer.apply(
         0.0,
         ToProxy::Census {
--- a/crates/sandtrack-proxy/tests/placement.rs
+++ b/crates/sandtrack-proxy/tests/placement.rs
@@ -1,13 +1,14 @@
 //! Selection of upstreams.
 mod common;
-use common::{balancer, entry, fleet, index_of, probe_all, request};
+use common::{balancer, entry, fleet, index_of, probe_all, request, uncounted_balancer};
 use sandtrack_protocol::frames::ToProxy;
+use sandtrack_protocol::settings::Settings;
 use sandtrack_proxy::placement::balancer::{ApplyOutcome, Balancer, SendOutcome};
 use sandtrack_proxy::placement::selection::Placement;
 use sandtrack_proxy::request::ProxyRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often each upstream is drawn for requests that end at once.
+/// How often each upstream is picked for requests that end at once.
 fn picks(balancer: &mut Balancer, target: &str, count: usize) -> BTreeMap<String, usize> {
     let mut picked = BTreeMap::new();
     let request = request(balancer, target, &[]);
@@ -21,7 +22,7 @@
     picked
 }
 
-/// Places of the upstreams in the own region.
+/// Indices of the upstreams in the own region.
 fn indices_in_north(balancer: &Balancer) -> Vec<usize> {
     let upstreams = &balancer.upstreams;
     upstreams
@@ -48,24 +49,27 @@
 {
     let mut balancer = balancer(fleet());
     probe_all(&mut balancer, 0.0);
-    let (letter, tag) = (
+    let (unbound, bound_request) = (
         request(&balancer, "/letters/1", &[]),
         request(&balancer, "/tags/1", &[]),
     );
     let near = indices_in_north(&balancer);
     near.iter()
         .for_each(|index| (0..4).for_each(|_| balancer.send_started(*index)));
-    let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &unbound, &[]) else {
         panic!("the far region has room")
     };
     assert_eq!(balancer.upstreams.get(index).region, "south");
-    let Placement::Send(index) = balancer.choose_upstream(1000.0, &tag, &[]) else {
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &bound_request, &[]) else {
         panic!("the near one queues")
     };
     assert_eq!(balancer.upstreams.get(index).region, "north");
     near.iter()
         .for_each(|index| (0..9).for_each(|_| balancer.send_started(*index)));
-    assert_eq!(balancer.choose_upstream(1000.0, &tag, &[]), Placement::Wait);
+    assert_eq!(
+        balancer.choose_upstream(1000.0, &bound_request, &[]),
+        Placement::Wait
+    );
 }
 
 #[test]
@@ -95,7 +99,7 @@
         picked.keys().map(String::as_str).collect::<Vec<_>>(),
         ["a2"]
     );
-    // An order that is older than what is known takes nothing back.
+    // An evacuation order that is older than what is known changes nothing.
     balancer.apply(
         1.0,
         ToProxy::Evacuated {
@@ -140,11 +144,11 @@
     cold.cold_remaining_ms = 60_000;
     let mut balancer = balancer(vec![cold]);
     probe_all(&mut balancer, 0.0);
-    let letter = request(&balancer, "/letters/1", &[]);
+    let unbound = request(&balancer, "/letters/1", &[]);
     let mut sends: Vec<f64> = Vec::new();
     for step in 0..3000 {
         let now = f64::from(step);
-        if let Placement::Send(_) = balancer.choose_upstream(now, &letter, &[]) {
+        if let Placement::Send(_) = balancer.choose_upstream(now, &unbound, &[]) {
             sends.push(now);
         }
     }
@@ -176,24 +180,24 @@
     let mut warming_up = entry("a0", "model", "a");
     warming_up.cold_remaining_ms = 120_000;
     let mut balancer = balancer(vec![warming_up]);
-    let letter = request(&balancer, "/letters/1", &[]);
+    let unbound = request(&balancer, "/letters/1", &[]);
     assert_eq!(
-        sent_within_a_second(&mut balancer, &letter, 20_000.0),
+        sent_within_a_second(&mut balancer, &unbound, 20_000.0),
         4,
         "a twelfth of the limit"
     );
     assert!(
-        sent_within_a_second(&mut balancer, &letter, 29_000.0) <= 1,
+        sent_within_a_second(&mut balancer, &unbound, 29_000.0) <= 1,
         "as if there were a hundred"
     );
     balancer.apply(40_000.0, ToProxy::Beat { attached: false });
     assert!(
-        sent_within_a_second(&mut balancer, &letter, 41_000.0) <= 1,
+        sent_within_a_second(&mut balancer, &unbound, 41_000.0) <= 1,
         "a control node without contact to a majority does not know either"
     );
     balancer.apply(50_000.0, ToProxy::Beat { attached: true });
     assert_eq!(
-        sent_within_a_second(&mut balancer, &letter, 51_000.0),
+        sent_within_a_second(&mut balancer, &unbound, 51_000.0),
         4,
         "control counts it again"
     );
@@ -209,8 +213,8 @@
     for key in 1..=700 {
         let prefix = format!("{key:x}:13300,ff{key:x}:3720");
         // Their own parts differ, the shared one counts.
-        let letter = request(&first, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-        let name = |balancer: &mut Balancer| match balancer.choose_upstream(1.0, &letter, &[]) {
+        let unbound = request(&first, "/letters/1", &[("Prompt-Prefix", &prefix)]);
+        let name = |balancer: &mut Balancer| match balancer.choose_upstream(1.0, &unbound, &[]) {
             Placement::Send(index) => balancer.upstreams.get(index).entry.identifier.clone(),
             other => panic!("{other:?}"),
         };
@@ -218,27 +222,27 @@
         assert!((0..5).all(|_| name(&mut first) == home) && name(&mut second) == home);
         *owners.entry(home).or_default() += 1;
     }
-    // Tags are bound to the north, and nothing was seen of them: one there keeps half of what one in the south does, within a
-    // quarter.
+    // One route is bound to the north, and none of its requests was seen: an upstream there owns half as many prefixes as one in
+    // the south, within a quarter.
     assert_owned(&owners, 0.5);
-    // Much has to be read of them: now it keeps a third, as both agree.
-    let tag = request(
+    // Many of its requests were seen: now it owns a third, as both proxies agree.
+    let bound_request = request(
         &first,
         "/tags/1",
         &[("Token-Counts", "900,20"), ("Prompt-Prefix", "a:900")],
     );
     for balancer in [&mut first, &mut second] {
-        (0..20_000).for_each(|_| balancer.request_arrived(1.0, &tag));
+        (0..20_000).for_each(|_| balancer.request_arrived(1.0, &bound_request));
     }
     owners.clear();
     for key in 1..=700 {
-        let letter = request(
+        let unbound = request(
             &first,
             "/letters/1",
             &[("Prompt-Prefix", &format!("{key:x}:13300,ff:3720"))],
         );
         let homes = [&mut first, &mut second].map(|balancer| {
-            match balancer.choose_upstream(1.0, &letter, &[]) {
+            match balancer.choose_upstream(1.0, &unbound, &[]) {
                 Placement::Send(index) => balancer.upstreams.get(index).entry.identifier.clone(),
                 other => panic!("{other:?}"),
             }
@@ -249,8 +253,8 @@
     assert_owned(&owners, 0.35);
 }
 
-/// One in the north keeps so much of what one in the south does, within a quarter; and in each region all keep alike, within
-/// a half.
+/// An upstream in the north owns `expected` times as many prefixes as one in the south, within a quarter; and in each region
+/// all own alike, within a half.
 fn assert_owned(owners: &BTreeMap<String, usize>, expected: f64) {
     assert_eq!(owners.len(), 11, "{owners:?}");
     let counts = |south: bool| -> Vec<f64> {
@@ -318,26 +322,8 @@
 
 #[test]
 fn until_the_number_of_proxies_is_known_connections_suffice_and_slow_start_is_respected() {
-    let mut balancer = Balancer::new(&common::settings(), 1);
-    let document = common::CONFIGURATION.to_owned();
-    balancer.apply(
-        0.0,
-        ToProxy::Configuration {
-            number: 3,
-            version: 7,
-            document,
-        },
-    );
     let entries = vec![entry("a0", "model", "a"), entry("p0", "printer", "a")];
-    balancer.apply(
-        0.0,
-        ToProxy::Upstreams {
-            whole: true,
-            round: 1,
-            entries,
-            gone: Vec::new(),
-        },
-    );
+    let mut balancer = uncounted_balancer(&common::settings(), 1, entries);
     assert_eq!(balancer.connection_quota(index_of(&balancer, "a0")), 21);
     assert_eq!(balancer.connection_quota(index_of(&balancer, "p0")), 7);
     assert!(balancer.slow_start_quota(0.0, index_of(&balancer, "a0")) <= 1);
@@ -360,27 +346,8 @@
     let mut uses: BTreeMap<String, usize> = BTreeMap::new();
     for proxy in 0..400 {
         let settings = common::SETTINGS.replace("front-a-1", &format!("front-a-{proxy}"));
-        let settings = sandtrack_protocol::settings::Settings::parse(settings.into_bytes())
-            .expect("good settings");
-        let mut balancer = Balancer::new(&settings, proxy);
-        let document = common::CONFIGURATION.to_owned();
-        balancer.apply(
-            0.0,
-            ToProxy::Configuration {
-                number: 3,
-                version: 7,
-                document,
-            },
-        );
-        balancer.apply(
-            0.0,
-            ToProxy::Upstreams {
-                whole: true,
-                round: 1,
-                entries: entries.clone(),
-                gone: Vec::new(),
-            },
-        );
+        let settings = Settings::parse(settings.into_bytes()).expect("good settings");
+        let mut balancer = uncounted_balancer(&settings, proxy, entries.clone());
         let subset_size = balancer.policy.local_subset_size;
         assert_eq!(balancer.probes_due(0.0).len(), subset_size);
         let picked = picks(&mut balancer, "/letters/1", 100);
@@ -436,16 +403,16 @@
         .collect();
     let mut balancer = balancer(entries);
     probe_all(&mut balancer, 0.0);
-    let letter = request(&balancer, "/letters/1", &[]);
+    let unbound = request(&balancer, "/letters/1", &[]);
     // Twenty upstreams of four slots, half as many again queue.
     for at in 0..120 {
-        let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+        let Placement::Send(index) = balancer.choose_upstream(1000.0, &unbound, &[]) else {
             panic!("no room after {at}")
         };
         balancer.send_started(index);
     }
     assert_eq!(
-        balancer.choose_upstream(1000.0, &letter, &[]),
+        balancer.choose_upstream(1000.0, &unbound, &[]),
         Placement::Wait
     );
 }
@@ -473,8 +440,8 @@
     let near = indices_in_north(&balancer);
     near.iter()
         .for_each(|index| (0..4).for_each(|_| balancer.send_started(*index)));
-    let letter = request(&balancer, "/letters/1", &[]);
-    let Placement::Send(index) = balancer.choose_upstream(1000.0, &letter, &[]) else {
+    let unbound = request(&balancer, "/letters/1", &[]);
+    let Placement::Send(index) = balancer.choose_upstream(1000.0, &unbound, &[]) else {
         panic!("the far region has room")
     };
     assert_eq!(balancer.upstreams.get(index).region, "south");
@@ -505,8 +472,8 @@
         let mut regions = BTreeSet::new();
         for key in 1..=200 {
             let prefix = format!("{key:x}:13300,ff:3720");
-            let letter = request(&balancer, "/letters/1", &[("Prompt-Prefix", &prefix)]);
-            if let Placement::Send(index) = balancer.choose_upstream(1.0, &letter, &[]) {
+            let unbound = request(&balancer, "/letters/1", &[("Prompt-Prefix", &prefix)]);
+            if let Placement::Send(index) = balancer.choose_upstream(1.0, &unbound, &[]) {
                 regions.insert(balancer.upstreams.get(index).region.clone());
             }
         }
--- a/crates/sandtrack-proxy/tests/drawn_fleets.rs
+++ b/crates/sandtrack-proxy/tests/placement_properties.rs
@@ -1,4 +1,4 @@
-//! Placement on drawn fleets and workloads: what holds whatever the sizes, loads, ways and losses are.
+//! Properties of placement on random fleets and workloads, whatever their sizes, loads, round trips and failures are.
 mod common;
 use common::{balancer, entry, request};
 use rand::{Rng, SeedableRng};
@@ -13,7 +13,7 @@
 const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "south")];
 const FLEETS: u64 = 400;
 
-/// A fleet with a way to each region that was measured.
+/// A random fleet whose round trip to each region was measured.
 struct Fleet {
     balancer: Balancer,
     evacuated: BTreeSet<&'static str>,
@@ -34,13 +34,13 @@
             }
         }
         let mut balancer = balancer(entries);
-        let way = [1.0, 10.0, 75.0, 300.0][random.gen_range(0..4)];
+        let one_way = [1.0, 10.0, 75.0, 300.0][random.gen_range(0..4)];
         let all: Vec<usize> = balancer.upstreams.listed().collect();
         for index in all {
             let trip = if balancer.upstreams.get(index).region == "north" {
                 1.0
             } else {
-                2.0 * way
+                2.0 * one_way
             };
             balancer.probe_finished(0.0, index, Some(trip));
         }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A letter may go anywhere and has a long prompt; a tag is bound to the north.
+    /// Either a long prompt that may go anywhere, or a request that is bound to the north.
     fn request(&mut self) -> ProxyRequest {
         if self.random.gen_bool(0.5) {
             return request(
@@ -71,10 +71,10 @@
             self.random.gen_range(1..30),
             1000 * self.random.gen_range(1..40),
         );
-        letter(&self.balancer, prefix, shared)
+        long_prompt(&self.balancer, prefix, shared)
     }
 
-    /// Whether an upstream may serve the request, by the rules alone.
+    /// Whether an upstream is eligible for the request, by the rules alone.
     fn may_serve(&self, request: &ProxyRequest, index: usize) -> bool {
         let upstream = self.balancer.upstreams.get(index);
         let homes = &request.route.home_regions;
@@ -92,7 +92,7 @@
     }
 }
 
-fn letter(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
+fn long_prompt(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
     let parts = format!("{prefix:x}:{shared},ff:1000");
     let counts = format!("{},50", shared + 1000);
     request(
@@ -120,7 +120,7 @@
                 })
                 .collect();
             let slots = |index: usize| fleet.balancer.upstreams.get(index).slots();
-            let has_room = loads
+            let has_capacity = loads
                 .iter()
                 .any(|(index, load)| load + 1.0 <= slots(*index) * 1.5);
             match fleet.balancer.choose_upstream(now, &request, &[]) {
@@ -133,7 +133,10 @@
                     fleet.balancer.long_prompt_sent(now, &request, index);
                 }
                 Placement::Wait => {
-                    assert!(!has_room, "fleet {seed}, step {step}: it waits beside room")
+                    assert!(
+                        !has_capacity,
+                        "fleet {seed}, step {step}: it waits beside free capacity"
+                    )
                 }
                 Placement::Unavailable => assert!(able.is_empty(), "fleet {seed}, step {step}"),
             }
@@ -145,24 +148,24 @@
 fn a_prefix_is_prefilled_once_while_nothing_fails() {
     for seed in 0..FLEETS {
         let mut fleet = Fleet::picked(seed);
-        let mut readers: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
+        let mut owners: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
         for step in 0..120 {
-            // Far enough from each other for each to be read before the next one comes.
+            // Far enough from each other for each prefill to be over before the next one begins.
             let now = 3000.0 * f64::from(step);
             let prefix = fleet.random.gen_range(1..20);
-            let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placement::Send(index) = fleet.balancer.choose_upstream(now, &letter, &[]) {
+            let prompt = long_prompt(&fleet.balancer, prefix, 10_000);
+            if let Placement::Send(index) = fleet.balancer.choose_upstream(now, &prompt, &[]) {
                 fleet.balancer.send_started(index);
-                fleet.balancer.long_prompt_sent(now, &letter, index);
+                fleet.balancer.long_prompt_sent(now, &prompt, index);
                 fleet
                     .balancer
                     .send_finished(now + 500.0, index, SendOutcome::Completed);
-                readers.entry(prefix).or_default().insert(index);
+                owners.entry(prefix).or_default().insert(index);
             }
         }
         assert!(
-            readers.values().all(|of| of.len() == 1),
-            "fleet {seed}: {readers:?}"
+            owners.values().all(|of| of.len() == 1),
+            "fleet {seed}: {owners:?}"
         );
     }
 }
@@ -171,7 +174,7 @@
 fn a_failed_zone_is_avoided_after_two_failures() {
     for seed in 0..FLEETS {
         let mut fleet = Fleet::picked(seed);
-        let request = letter(&fleet.balancer, 3, 10_000);
+        let request = long_prompt(&fleet.balancer, 3, 10_000);
         let able = fleet.able(&request);
         let zone =
             |fleet: &Fleet, index: usize| fleet.balancer.upstreams.get(index).entry.zone.clone();
@@ -191,8 +194,8 @@
                 .send_finished(100.0, *index, SendOutcome::ConnectionFailed);
         }
         for prefix in 1..40 {
-            let letter = letter(&fleet.balancer, prefix, 10_000);
-            if let Placement::Send(index) = fleet.balancer.choose_upstream(300.0, &letter, &[]) {
+            let prompt = long_prompt(&fleet.balancer, prefix, 10_000);
+            if let Placement::Send(index) = fleet.balancer.choose_upstream(300.0, &prompt, &[]) {
                 assert_ne!(zone(&fleet, index), lost, "fleet {seed}");
             }
         }
@@ -214,7 +217,7 @@
         let slots = able
             .first()
             .map_or(0.0, |index| fleet.balancer.upstreams.get(*index).slots());
-        // A quarter of the places of those that it uses, beside one that is half full.
+        // A quarter of the slots of the subset, beside one upstream that is half full.
         let (count, held) = ((used as f64 * slots / 4.0) as usize, (slots / 2.0) as usize);
         let Placement::Send(crowded) = fleet.balancer.choose_upstream(0.0, &request, &[]) else {
             continue;
--- a/crates/sandtrack-proxy/tests/prefill_queue.rs
+++ b/crates/sandtrack-proxy/tests/prefill_queue.rs
@@ -17,7 +17,7 @@
 }
 
 /// A letter with this shared prefix and so many tokens of it; 1,000 are its own.
-fn letter(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
+fn long_prompt(balancer: &Balancer, prefix: u32, shared: u32) -> ProxyRequest {
     let parts = format!("{prefix:x}:{shared},ff{prefix:x}:1000");
     let counts = format!("{},50", shared + 1000);
     request(
@@ -48,40 +48,40 @@
 #[test]
 fn a_prompt_goes_where_its_prefix_is_cached_whichever_proxy_sent_it_there() {
     let mut balancer = probed_balancer();
-    let letter = letter(&balancer, 7, 13_000);
-    let first = chosen(&mut balancer, 1.0, &letter);
+    let prompt = long_prompt(&balancer, 7, 13_000);
+    let first = chosen(&mut balancer, 1.0, &prompt);
     let other = balancer
         .upstreams
         .listed()
         .find(|index| *index != first)
         .expect("there are several");
-    report(&mut balancer, 1.0, &letter, other, 14_000);
+    report(&mut balancer, 1.0, &prompt, other, 14_000);
     // Once its prefill is over, that one has the least to prefill.
-    assert_eq!(chosen(&mut balancer, 2000.0, &letter), other);
+    assert_eq!(chosen(&mut balancer, 2000.0, &prompt), other);
 }
 
 #[test]
 fn while_the_owners_of_a_prefix_can_not_begin_in_time_another_prefills_it_too() {
     let mut balancer = probed_balancer();
-    let letter = letter(&balancer, 7, 13_000);
-    let owner = chosen(&mut balancer, 1.0, &letter);
-    report(&mut balancer, 1.0, &letter, owner, 14_000);
-    assert_eq!(chosen(&mut balancer, 2000.0, &letter), owner);
-    report(&mut balancer, 2000.0, &letter, owner, 90_000);
-    let spare = chosen(&mut balancer, 2001.0, &letter);
+    let prompt = long_prompt(&balancer, 7, 13_000);
+    let owner = chosen(&mut balancer, 1.0, &prompt);
+    report(&mut balancer, 1.0, &prompt, owner, 14_000);
+    assert_eq!(chosen(&mut balancer, 2000.0, &prompt), owner);
+    report(&mut balancer, 2000.0, &prompt, owner, 90_000);
+    let spare = chosen(&mut balancer, 2001.0, &prompt);
     assert_ne!(spare, owner, "1.8 s of prefill are queued there");
-    report(&mut balancer, 2001.0, &letter, spare, 14_000);
+    report(&mut balancer, 2001.0, &prompt, spare, 14_000);
     // Both own it now: the one that is free first.
-    assert_eq!(chosen(&mut balancer, 2400.0, &letter), spare);
+    assert_eq!(chosen(&mut balancer, 2400.0, &prompt), spare);
 }
 
 #[test]
 fn a_prefill_queue_counts_in_tokens_and_not_in_requests() {
     let mut balancer = probed_balancer();
-    let heavy = letter(&balancer, 7, 39_000);
+    let heavy = long_prompt(&balancer, 7, 39_000);
     let owner = chosen(&mut balancer, 1.0, &heavy);
     // Another prompt of which the same upstream is the first choice.
-    let light = (100..400).map(|prefix| letter(&balancer, prefix, 13_000));
+    let light = (100..400).map(|prefix| long_prompt(&balancer, prefix, 13_000));
     let light = light
         .collect::<Vec<_>>()
         .into_iter()
@@ -107,10 +107,10 @@
 fn proxies_that_know_nothing_choose_the_same_upstream() {
     let (mut one, mut other) = (probed_balancer(), probed_balancer());
     for prefix in 1..200 {
-        let letter = letter(&one, prefix, 13_000);
+        let prompt = long_prompt(&one, prefix, 13_000);
         assert_eq!(
-            chosen(&mut one, 1.0, &letter),
-            chosen(&mut other, 1.0, &letter)
+            chosen(&mut one, 1.0, &prompt),
+            chosen(&mut other, 1.0, &prompt)
         );
     }
 }
@@ -123,14 +123,14 @@
         for _ in 0..40 {
             balancer.record_round_trip(1.0, south, trip);
         }
-        let letters: Vec<ProxyRequest> = (1..100)
-            .map(|prefix| letter(&balancer, prefix, 13_000))
+        let prompts: Vec<ProxyRequest> = (1..100)
+            .map(|prefix| long_prompt(&balancer, prefix, 13_000))
             .collect();
-        let index = |letter: &ProxyRequest| {
-            let index = chosen(&mut balancer, 1.0, letter);
+        let index = |prompt: &ProxyRequest| {
+            let index = chosen(&mut balancer, 1.0, prompt);
             balancer.upstreams.get(index).region.clone()
         };
-        letters
+        prompts
             .iter()
             .map(index)
             .filter(|region| region == "south")
@@ -174,12 +174,12 @@
 #[test]
 fn reports_are_bounded_and_taken_once() {
     let mut balancer = probed_balancer();
-    let letters: Vec<ProxyRequest> = (1..100)
-        .map(|prefix| letter(&balancer, prefix, 10_000 + prefix))
+    let prompts: Vec<ProxyRequest> = (1..100)
+        .map(|prefix| long_prompt(&balancer, prefix, 10_000 + prefix))
         .collect();
-    for letter in &letters {
-        let index = chosen(&mut balancer, 1.0, letter);
-        balancer.long_prompt_sent(1.0, letter, index);
+    for prompt in &prompts {
+        let index = chosen(&mut balancer, 1.0, prompt);
+        balancer.long_prompt_sent(1.0, prompt, index);
     }
     let reports = balancer.take_prompt_reports();
     assert!(
--- a/crates/sandtrack-proxy/tests/region_round_trips.rs
+++ b/crates/sandtrack-proxy/tests/region_round_trips.rs
@@ -25,7 +25,7 @@
     let policy = Policy::default();
     for way in WAYS {
         let mut trips = RegionRoundTrips::default();
-        // A connection and an answer on it.
+        // A connection and a response on it.
         let takes = 4.0 * way;
         let mut attempts = 0;
         while trips.get("south").is_none() && attempts < 8 {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Upstreams behind a way of this length; whether one of them is sent to once all have been tried.
+/// Whether a request is connected to an upstream at this one-way delay, after some attempts.
 fn is_reached(balancer: &mut Balancer, way: f64) -> bool {
     let request = request(balancer, "/letters/1", &[]);
     let mut now = 0.0;
@@ -132,7 +132,7 @@
     let policy = Policy::default();
     let mut trips = RegionRoundTrips::default();
     trips.sample(0.0, "south", 4.0, &policy);
-    // Now a way and back takes 600 ms, a probe on a new connection 1,200.
+    // Now a round trip takes 600 ms, a probe on a new connection 1,200.
     let mut now = 100.0;
     while 1200.0 > trips.probe_timeout(now, "south", Some(4.0), &policy) {
         trips.timed_out(now, "south");
--- a/crates/sandtrack-proxy/tests/request.rs
+++ b/crates/sandtrack-proxy/tests/request.rs
@@ -1,4 +1,4 @@
-//! A request is decoded into a command object.
+//! Decoding of requests.
 mod common;
 use common::{balancer, head, request};
 use sandtrack_proxy::request::ProxyRequest;
--- a/crates/sandtrack-proxy/tests/zone_health.rs
+++ b/crates/sandtrack-proxy/tests/zone_health.rs
@@ -115,7 +115,7 @@
     assert!(zones.has_failed(10_001.0, "a") && !zones.has_failed(10_002.0, "a"));
 }
 
-/// Nothing of the zone is in use, so that none of the others is probed: only time can tell that it is back.
+/// No other upstream of the zone is in use, so that none is probed: only time can end the failure.
 #[test]
 fn a_zone_whose_failed_upstreams_were_removed_is_used_again() {
     let mut balancer = two_zones();
