--- a/crates/sandtrack-proxy/src/health_checks.rs
+++ b/crates/sandtrack-proxy/src/health_checks.rs
@@ -34,16 +34,11 @@
     loop {
         let now = context.clock.now();
         let due = context.balancer.borrow_mut().probes_due(now);
-        for DueProbe {
-            upstream,
-            address,
-            path,
-        } in due
-        {
+        for probe in due {
             let task_context = context.clone();
             context
                 .executor
-                .spawn(async move { check_upstream(&task_context, upstream, address, path).await })
+                .spawn(async move { check_upstream(&task_context, probe).await })
                 .detach();
         }
         context.pool.borrow_mut().remove_expired(now);
@@ -51,7 +46,12 @@
     }
 }
 
-async fn check_upstream(context: &ProxyContext, upstream: usize, address: String, path: String) {
+async fn check_upstream(context: &ProxyContext, probe: DueProbe) {
+    let DueProbe {
+        upstream,
+        address,
+        path,
+    } = probe;
     let started_at = context.clock.now();
     let (identifier, timeout) = {
         let balancer = context.balancer.borrow();
--- a/crates/sandtrack-proxy/src/lib.rs
+++ b/crates/sandtrack-proxy/src/lib.rs
@@ -6,6 +6,8 @@
 //!
 //! The way of a request: [`listener`] reads it, [`request`] decodes it, [`exchange::forward`] runs its exchange, with an
 //! [`exchange::attempt`] for each send to an upstream over [`upstream_connections`].
+#![warn(missing_docs)]
+
 pub mod context;
 pub mod control_session;
 pub mod exchange;
--- a/crates/sandtrack-proxy/src/listener/connection.rs
+++ b/crates/sandtrack-proxy/src/listener/connection.rs
@@ -1,6 +1,6 @@
 //! One client's connection: reads a request, has it forwarded, and so on until one side closes.
 use super::limits::ClientLimits;
-use super::read_request::{read_request, request_id, ReadOutcome, RejectedRequest};
+use super::read_request::{read_request, request_id, ReadError, RejectedRequest};
 use crate::context::ProxyContext;
 use crate::exchange::client_response::{ClientConnection, LocalResponse};
 use crate::exchange::forward::forward;
@@ -93,12 +93,12 @@
         )
         .await;
         match outcome {
-            ReadOutcome::Closed => return,
-            ReadOutcome::Rejected(rejection) => {
+            Err(ReadError::Closed) => return,
+            Err(ReadError::Rejected(rejection)) => {
                 connection.reject(&rejection, true).await;
                 return linger(&connection.stream).await;
             }
-            ReadOutcome::Request(received) => {
+            Ok(received) => {
                 // The reservation of `received` is released at the end of this block.
                 let keep_open = connection
                     .respond(received.head, received.body, received.arrived_at)
--- a/crates/sandtrack-proxy/src/listener/read_request.rs
+++ b/crates/sandtrack-proxy/src/listener/read_request.rs
@@ -43,9 +43,9 @@
     pub(super) request_id: String,
 }
 
-/// What reading came to.
-pub(super) enum ReadOutcome {
-    Request(ReceivedRequest),
+/// Why no request could be read.
+pub(super) enum ReadError {
+    /// The request is not acceptable, or it did not come in time.
     Rejected(RejectedRequest),
     /// The connection is over.
     Closed,
@@ -68,7 +68,7 @@
     parser: &mut Parser,
     input: &mut Ring,
     pipelined_at: Option<Millis>,
-) -> ReadOutcome {
+) -> Result<ReceivedRequest, ReadError> {
     let mut reader = RequestReader {
         context,
         stream,
@@ -85,15 +85,12 @@
             parser.set_head_max(reader.limits.max_head_bytes);
             input.set_bound(reader.limits.input_buffer_bytes());
         }
-        let step = match parser.next(input) {
-            Ok(Some(Part::Head(head))) => reader.on_head(head).await,
-            Ok(Some(Part::Data(data))) => reader.on_data(&data),
+        match parser.next(input) {
+            Ok(Some(Part::Head(head))) => reader.on_head(head).await?,
+            Ok(Some(Part::Data(data))) => reader.on_data(&data)?,
             Ok(Some(Part::End)) => return reader.finish(),
-            Ok(None) => reader.read_more(parser.within(input), input).await,
-            Err(bad) => Err(reject_malformed(bad)),
-        };
-        if let Err(outcome) = step {
-            return outcome;
+            Ok(None) => reader.read_more(parser.within(input), input).await?,
+            Err(bad) => return Err(reject_malformed(bad)),
         }
     }
 }
@@ -111,7 +108,7 @@
 }
 
 impl RequestReader<'_> {
-    async fn on_head(&mut self, mut head: Head) -> Result<(), ReadOutcome> {
+    async fn on_head(&mut self, mut head: Head) -> Result<(), ReadError> {
         let announced =
             content_length(&head).filter(|length| *length <= self.limits.max_body_bytes);
         if !announced.is_none_or(|length| self.reservation.grow_to(length)) {
@@ -123,7 +120,7 @@
             if !output.push(CONTINUE)
                 || !write_within(self.stream, &mut output, CONTINUE_WRITE_TIMEOUT).await
             {
-                return Err(ReadOutcome::Closed);
+                return Err(ReadError::Closed);
             }
         }
         let arrived_at = self
@@ -137,7 +134,7 @@
         Ok(())
     }
 
-    fn on_data(&mut self, data: &[u8]) -> Result<(), ReadOutcome> {
+    fn on_data(&mut self, data: &[u8]) -> Result<(), ReadError> {
         if self.body.len() + data.len() > self.limits.max_body_bytes {
             return Err(rejected(413, codes::TOO_LARGE, String::new()));
         }
@@ -147,20 +144,20 @@
         Ok(())
     }
 
-    fn finish(self) -> ReadOutcome {
-        match self.partial {
-            Some(partial) => ReadOutcome::Request(ReceivedRequest {
-                head: partial.head,
-                body: self.body,
-                reservation: self.reservation,
-                arrived_at: partial.arrived_at,
-            }),
-            None => rejected(400, codes::MALFORMED, String::new()),
-        }
+    fn finish(self) -> Result<ReceivedRequest, ReadError> {
+        let Some(partial) = self.partial else {
+            return Err(rejected(400, codes::MALFORMED, String::new()));
+        };
+        Ok(ReceivedRequest {
+            head: partial.head,
+            body: self.body,
+            reservation: self.reservation,
+            arrived_at: partial.arrived_at,
+        })
     }
 
     /// Waits for more bytes. `is_within`: a request has begun.
-    async fn read_more(&mut self, is_within: bool, input: &mut Ring) -> Result<(), ReadOutcome> {
+    async fn read_more(&mut self, is_within: bool, input: &mut Ring) -> Result<(), ReadError> {
         let clock = self.context.clock;
         if is_within && self.first_byte_at.is_none() {
             self.first_byte_at = Some(clock.now());
@@ -173,7 +170,7 @@
         };
         match future::or(read, timer).await {
             Some(Ok(count)) if count > 0 => Ok(()),
-            Some(_) => Err(ReadOutcome::Closed),
+            Some(_) => Err(ReadError::Closed),
             None if is_within => Err(rejected(408, codes::DEADLINE, self.known_id())),
             // The idle time-out may have grown meanwhile.
             None if clock.now()
@@ -182,7 +179,7 @@
             {
                 Ok(())
             }
-            None => Err(ReadOutcome::Closed),
+            None => Err(ReadError::Closed),
         }
     }
 
@@ -231,15 +228,15 @@
     }
 }
 
-fn rejected(status: u16, code: Code, request_id: String) -> ReadOutcome {
-    ReadOutcome::Rejected(RejectedRequest {
+fn rejected(status: u16, code: Code, request_id: String) -> ReadError {
+    ReadError::Rejected(RejectedRequest {
         status,
         code,
         request_id,
     })
 }
 
-fn reject_malformed(bad: Bad) -> ReadOutcome {
+fn reject_malformed(bad: Bad) -> ReadError {
     let code = if bad == Bad::Malformed {
         codes::MALFORMED
     } else {
--- a/crates/sandtrack-proxy/src/listener/readiness.rs
+++ b/crates/sandtrack-proxy/src/listener/readiness.rs
@@ -1,6 +1,6 @@
 //! The platform's readiness check: whether this process takes traffic.
 use super::limits::DEFAULT_MAX_HEAD_BYTES;
-use super::read_request::{read_request, ReadOutcome};
+use super::read_request::read_request;
 use crate::context::ProxyContext;
 use async_io::{Async, Timer};
 use sandtrack_net::http::{Parser, Side};
@@ -37,9 +37,7 @@
 async fn serve(context: &ProxyContext, stream: Async<TcpStream>) {
     let mut input = Ring::new(DEFAULT_MAX_HEAD_BYTES);
     let mut parser = Parser::new(Side::Request);
-    while let ReadOutcome::Request(request) =
-        read_request(context, &stream, &mut parser, &mut input, None).await
-    {
+    while let Ok(request) = read_request(context, &stream, &mut parser, &mut input, None).await {
         let head = request.head;
         let ready = context.balancer.borrow().is_ready();
         let (status, body): (u16, &[u8]) = match (head.target.as_str(), ready) {
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -16,28 +16,39 @@
 /// Events of a whole stream.
 const LAST_EVENT: u64 = 2;
 
+/// An attempt's connection.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ConnectionSide {
+    may_be_reused: bool,
+    reused: bool,
+    /// Bytes of the request may have come to the upstream.
+    reached: bool,
+}
+
+/// The body of an attempt's response.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct BodySide {
+    complete: bool,
+    trailing_bytes: bool,
+    /// Half an event was sent last.
+    half_event: bool,
+}
+
 /// What an upstream has done with an attempt, as it knows itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UpstreamSide {
     upstream: usize,
-    may_reuse_connection: bool,
-    reused: bool,
-    /// Bytes of the request may have come to it.
-    reached: bool,
+    connection: ConnectionSide,
     /// All of the request was written.
     written: bool,
-    /// It answered that the request has not run, and spoke of this request.
+    /// It answered that the request was not executed, and spoke of this request.
     denied: bool,
     head: Option<HeadSummary>,
-    /// Its answer is whole.
-    whole: bool,
-    trailing_bytes: bool,
+    body: BodySide,
     /// Of a stream: the id of the last event that it sent.
     event: u64,
-    /// It brought its events from the start or behind an id, as asked.
+    /// It sends its events from the start, or behind an id, as asked.
     resume_after: Option<u64>,
-    /// Half an event was sent last.
-    half: bool,
 }
 
 impl UpstreamSide {
@@ -47,7 +58,7 @@
             head.owner == ResponseOwner::ThisRequest
                 || head.owner == ResponseOwner::Unidentified
                     && head.was_not_executed()
-                    && !self.reused
+                    && !self.connection.reused
         })
     }
 }
@@ -248,7 +259,7 @@
         .ok_or("a connection that is not its own")?;
     let kept = side.head.is_some_and(|head| head.keep_alive);
     rule(
-        side.whole && !side.trailing_bytes && kept && side.is_own(),
+        side.body.complete && !side.body.trailing_bytes && kept && side.is_own(),
         || format!("kept a connection: {side:?}"),
     )
 }
@@ -275,12 +286,12 @@
         .as_ref()
         .ok_or("an attempt that is over")?;
     match ended {
-        SendOutcome::Completed => rule(side.whole && side.is_own() && !side.denied, || {
+        SendOutcome::Completed => rule(side.body.complete && side.is_own() && !side.denied, || {
             "not answered".to_owned()
         }),
-        SendOutcome::ConnectionFailed => {
-            rule(!side.whole, || "whole, and taken for broken".to_owned())
-        }
+        SendOutcome::ConnectionFailed => rule(!side.body.complete, || {
+            "whole, and taken for broken".to_owned()
+        }),
         _ => Ok(()),
     }
 }
@@ -433,7 +444,7 @@
     }
 
     fn events(&self, side: &UpstreamSide) -> Vec<AttemptEvent> {
-        if !side.reached {
+        if !side.connection.reached {
             let mut events = vec![
                 AttemptEvent::Connected { reused: false },
                 AttemptEvent::ConnectFailed {
@@ -443,7 +454,7 @@
                     connection_limit_reached: true,
                 },
             ];
-            if side.may_reuse_connection {
+            if side.connection.may_be_reused {
                 events.push(AttemptEvent::Connected { reused: true });
             }
             return events;
@@ -476,7 +487,7 @@
             return events;
         }
         if side.event < LAST_EVENT {
-            if !side.half {
+            if !side.body.half_event {
                 events.push(AttemptEvent::BodyChunk(event(
                     self.numbered,
                     side.event + 1,
@@ -488,7 +499,7 @@
             // One that does not know where to go on begins anew.
             if side.resume_after.is_some()
                 && side.event == side.resume_after.unwrap_or(0)
-                && !side.half
+                && !side.body.half_event
             {
                 events.push(AttemptEvent::BodyChunk(event(self.numbered, 1)));
             }
@@ -506,8 +517,8 @@
         };
         match event {
             AttemptEvent::Connected { reused } => {
-                side.reached = true;
-                side.reused = *reused;
+                side.connection.reached = true;
+                side.connection.reused = *reused;
                 self.runs += 1;
             }
             AttemptEvent::RequestWritten => side.written = true,
@@ -520,16 +531,16 @@
                 }
             }
             AttemptEvent::BodyChunk(bytes) => {
-                side.half = *bytes == half(numbered, side.event + 1);
-                if !side.half && *bytes != event_again(numbered) {
+                side.body.half_event = *bytes == half(numbered, side.event + 1);
+                if !side.body.half_event && *bytes != event_again(numbered) {
                     side.event += 1;
-                } else if !side.half && side.event == 0 {
+                } else if !side.body.half_event && side.event == 0 {
                     side.event = 1;
                 }
             }
             AttemptEvent::BodyEnd { trailing_bytes } => {
-                side.whole = true;
-                side.trailing_bytes = *trailing_bytes;
+                side.body.complete = true;
+                side.body.trailing_bytes = *trailing_bytes;
             }
             _ => {}
         }
@@ -566,17 +577,17 @@
                 self.upstreams += 1;
                 self.attempts[id] = Some(UpstreamSide {
                     upstream,
-                    may_reuse_connection,
-                    reused: false,
-                    reached: false,
+                    connection: ConnectionSide {
+                        may_be_reused: may_reuse_connection,
+                        reused: false,
+                        reached: false,
+                    },
                     written: false,
                     denied: false,
                     head: None,
-                    whole: false,
-                    trailing_bytes: false,
+                    body: BodySide::default(),
                     event: resume_after.unwrap_or(0),
                     resume_after,
-                    half: false,
                 });
             }
             Action::Relay { bytes, .. } => {
@@ -585,7 +596,7 @@
             }
             Action::KeepFailure(_) => self.kept_failure = self.last_whole.take(),
             Action::ReleaseConnection(id, _) | Action::CloseConnection(id, _) => {
-                self.last_whole = self.attempts[id].take().filter(|side| side.whole);
+                self.last_whole = self.attempts[id].take().filter(|side| side.body.complete);
             }
             Action::Abandon(id) => self.attempts[id] = None,
             Action::ApplyLoadReport(_) | Action::RecordLatency(_) => {}
