--- a/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
+++ b/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
@@ -1,12 +1,17 @@
-//! TWICE: what may run once is sent again only where it has not run for certain. REFUSED: no promise where it may have run.
+//! A non-idempotent request is retried only where it was certainly not executed (rule TWICE), and no response promises so
+//! where it may have been executed (rule REFUSED).
 use crate::harness::{printer, request, Harness};
-use crate::upstream::seal;
+use crate::upstream::{seal, UpstreamRequest};
 
-/// Routes whose requests may run once, with two upstreams a try.
-const TWO_TRIES: [&str; 2] = ["/pay/a", "/letters/a"];
+/// Non-idempotent routes with two attempts.
+const TWO_ATTEMPTS: [&str; 2] = ["/pay/a", "/letters/a"];
 
-fn refusal(id: &str, status: &str, more: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{more}Content-Length: 4\r\n\r\nbusy")
+/// Rejects a request with this status line and these headers, and keeps the connection open.
+fn reject(mut upstream_request: UpstreamRequest, id: &str, status: &str, headers: &str) {
+    upstream_request.send(&format!(
+        "HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{headers}Content-Length: 4\r\n\r\nbusy"
+    ));
+    upstream_request.keep_open();
 }
 
 /// After a reset, a close or silence a request that was sent may have run.
@@ -14,7 +19,7 @@
 fn a_reset_after_reading_is_a_bad_gateway() {
     let harness = Harness::with_upstreams("a_reset_after_reading_is_a_bad_gateway", 3);
     let mut client = harness.client();
-    for (at, target) in TWO_TRIES.iter().enumerate() {
+    for (at, target) in TWO_ATTEMPTS.iter().enumerate() {
         client.post(target, &format!("a{at}"), "body");
         harness.next_upstream_request().reset();
         let answer = client.response();
@@ -78,12 +83,11 @@
     for (at, (status, more)) in refusals.iter().enumerate() {
         let id = format!("r{at}");
         client.post("/pay/a", &id, "body");
-        let mut first = harness.next_upstream_request();
-        let turned_away = first.identifier.clone();
-        first.send(&refusal(&id, status, more));
-        first.keep_open();
+        let first = harness.next_upstream_request();
+        let rejected_by = first.identifier.clone();
+        reject(first, &id, status, more);
         let second = harness.next_upstream_request();
-        assert_ne!(second.identifier, turned_away, "it goes to another");
+        assert_ne!(second.identifier, rejected_by, "it goes to another");
         assert_eq!(
             (second.id(), second.message.text().as_str()),
             (id.as_str(), "body")
@@ -101,9 +105,12 @@
     let harness = Harness::with_upstreams("a_rejected_stream_is_retried_elsewhere", 2);
     let mut client = harness.client();
     client.post("/letters/a", "r1", "body");
-    let mut first = harness.next_upstream_request();
-    first.send(&refusal("r1", "503 Full", "Not-Executed: 1\r\n"));
-    first.keep_open();
+    reject(
+        harness.next_upstream_request(),
+        "r1",
+        "503 Full",
+        "Not-Executed: 1\r\n",
+    );
     let second = harness.started_stream(&mut client);
     second.end_stream();
     client.expect_stream_complete();
@@ -125,9 +132,12 @@
     ] {
         client.post(target, id, "body");
         for _ in 0..tries {
-            let mut upstream_request = harness.next_upstream_request();
-            upstream_request.send(&refusal(id, "503 Full", "Not-Executed: 1\r\n"));
-            upstream_request.keep_open();
+            reject(
+                harness.next_upstream_request(),
+                id,
+                "503 Full",
+                "Not-Executed: 1\r\n",
+            );
         }
         let answer = client.response();
         assert_eq!(answer.status(), 503);
@@ -147,9 +157,7 @@
     let harness = Harness::with_upstreams("a_reset_after_a_rejection_is_a_bad_gateway", 3);
     let mut client = harness.client();
     client.post("/pay/a", "r1", "body");
-    let mut first = harness.next_upstream_request();
-    first.send(&refusal("r1", "421 Another", ""));
-    first.keep_open();
+    reject(harness.next_upstream_request(), "r1", "421 Another", "");
     harness.next_upstream_request().reset();
     assert_eq!(client.response().status(), 502);
     harness.finish_with_transcript();
@@ -325,13 +333,12 @@
     let harness = Harness::with_upstreams("a_rejection_without_not_executed_is_a_bad_gateway", 3);
     let mut client = harness.client();
     for (at, status) in ["503 Busy", "429 Slow", "408 Late"].iter().enumerate() {
-        for target in TWO_TRIES {
+        for target in TWO_ATTEMPTS {
             let id = format!("r{at}{}", &target[1..4]);
             client.post(target, &id, "body");
-            let mut upstream_request = harness.next_upstream_request();
+            let upstream_request = harness.next_upstream_request();
             let seal = format!("Server-Seal: {}\r\nRetry-After: 1\r\n", seal(&id, "x"));
-            upstream_request.send(&refusal(&id, status, &seal));
-            upstream_request.keep_open();
+            reject(upstream_request, &id, status, &seal);
             assert_eq!(client.response().status(), 502);
         }
     }
@@ -348,10 +355,9 @@
         for target in ["/pay/once/a", "/slips/once/a"] {
             let id = format!("r{at}{}", &target[1..4]);
             client.post(target, &id, "body");
-            let mut upstream_request = harness.next_upstream_request();
+            let upstream_request = harness.next_upstream_request();
             let seal = format!("Server-Seal: {}\r\nRetry-After: 1\r\n", seal(&id, "x"));
-            upstream_request.send(&refusal(&id, status, &seal));
-            upstream_request.keep_open();
+            reject(upstream_request, &id, status, &seal);
             let answer = client.response();
             assert_eq!(
                 (answer.status(), answer.header("server-seal")),
@@ -390,9 +396,12 @@
     let harness = Harness::with_upstreams("a_rejection_of_another_request_does_not_count", 3);
     let mut client = harness.client();
     client.post("/pay/a", "r1", "body");
-    let mut upstream_request = harness.next_upstream_request();
-    upstream_request.send(&refusal("r0", "503 Full", "Not-Executed: 1\r\n"));
-    upstream_request.keep_open();
+    reject(
+        harness.next_upstream_request(),
+        "r0",
+        "503 Full",
+        "Not-Executed: 1\r\n",
+    );
     assert_eq!(client.response().status(), 502);
     harness.finish_with_transcript();
 }
@@ -414,9 +423,12 @@
     harness.next_upstream_request().close();
     assert_eq!(client.response().status(), 502);
     client.post("/pay/a", "r2", "body");
-    let mut upstream_request = harness.next_upstream_request();
-    upstream_request.send(&refusal("r2", "503 Full", "Not-Executed: 1\r\n"));
-    upstream_request.keep_open();
+    reject(
+        harness.next_upstream_request(),
+        "r2",
+        "503 Full",
+        "Not-Executed: 1\r\n",
+    );
     assert_eq!(client.response().status(), 503);
     harness.finish();
 }
--- a/crates/sandtrack-proxy/tests/exchange/deadlines.rs
+++ b/crates/sandtrack-proxy/tests/exchange/deadlines.rs
@@ -1,6 +1,6 @@
-//! Nothing is held a quarter of a second past its route's `timeout_ms`, whoever is silent; what has not run by then is told
-//! when to come back.
-use crate::harness::{printer, request, Harness};
+//! No request is held a quarter of a second past its route's `timeout_ms`, whoever is silent; one that was not executed by
+//! then is told when to retry.
+use crate::harness::{printer, request, Harness, LIMITS};
 use crate::upstream::UpstreamRequest;
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,12 +13,7 @@
 /// A proxy whose routes hold a request for [`TIMEOUT`] at most; each client would wait for 20 s.
 fn short_routes(name: &str, upstreams: usize) -> Harness {
     let harness = Harness::unconfigured(name);
-    harness.send_single_proxy_census();
-    let entries = (0..upstreams)
-        .map(|_| harness.add_upstream("printer", "a"))
-        .collect();
-    harness.send_upstream_list(entries);
-    harness.configure(&routes());
+    harness.serve_routes(upstreams, &routes(), LIMITS);
     harness
 }
 
--- a/crates/sandtrack-proxy/tests/exchange/harness.rs
+++ b/crates/sandtrack-proxy/tests/exchange/harness.rs
@@ -1,4 +1,4 @@
-//! One proxy with its stand-ins, on addresses of its own.
+//! The test harness: one proxy with stand-ins for its clients, upstreams and control node, on addresses of its own.
 use crate::control_node::{ControlNode, PORT};
 use crate::proxy_process::ProxyProcess;
 use crate::transcript::Transcript;
@@ -118,6 +118,7 @@
     }
 }
 
+/// One proxy and its surroundings.
 pub struct Harness {
     name: String,
     pub ip: String,
@@ -133,7 +134,7 @@
 }
 
 impl Harness {
-    /// A proxy whose session stands, and that was told nothing yet.
+    /// A proxy whose control session is established, and that has no configuration yet.
     pub fn unconfigured(name: &str) -> Harness {
         Harness::with_bounds(name, BOUNDS)
     }
@@ -142,7 +143,7 @@
         Harness::with_settings(name, |ip| settings(ip, true, &[], bounds))
     }
 
-    /// A proxy whose session stands, that may have so much memory, in MB.
+    /// The same, with a memory limit in MB.
     pub fn with_memory(name: &str, memory_mb: u32) -> Harness {
         let own = format!("\"memory_mb\":{memory_mb}");
         Harness::with_settings(name, |ip| {
@@ -182,15 +183,22 @@
         harness
     }
 
+    /// Gives the proxy what it needs to serve, with so many upstreams of the one service in its zone.
     pub fn serve(&self, upstreams: usize) {
+        self.serve_routes(upstreams, ROUTES, LIMITS);
+    }
+
+    /// The same, with these routes and limits.
+    pub fn serve_routes(&self, upstreams: usize, routes: &str, limits: &str) {
         self.send_single_proxy_census();
         let entries = (0..upstreams)
             .map(|_| self.add_upstream("printer", "a"))
             .collect();
         self.send_upstream_list(entries);
-        self.configure(ROUTES);
+        self.configure_limits(routes, limits);
     }
 
+    /// Tells the proxy that it is the only one.
     pub fn send_single_proxy_census(&self) {
         let control_nodes = vec![self.control_node.address.clone()];
         self.control_node.send(ToProxy::Census {
--- a/crates/sandtrack-proxy/tests/exchange/memory_budget.rs
+++ b/crates/sandtrack-proxy/tests/exchange/memory_budget.rs
@@ -1,5 +1,5 @@
-//! The memory that a process may have bounds the bodies that it holds in sum, not only each: one that passes it is killed, with
-//! all requests in hand.
+//! The process's memory limit bounds the sum of the bodies that it holds, and not only each: a process that exceeds it is
+//! killed, with all its open requests.
 use crate::harness::{request, Harness, ROUTES};
 use crate::upstream::{seal, UpstreamRequest};
 
@@ -10,13 +10,7 @@
 
 fn serving(name: &str, upstreams: usize) -> Harness {
     let harness = Harness::with_memory(name, MEMORY_MB);
-    harness.send_single_proxy_census();
-    harness.send_upstream_list(
-        (0..upstreams)
-            .map(|_| harness.add_upstream("printer", "a"))
-            .collect(),
-    );
-    harness.configure_limits(ROUTES, LIMITS);
+    harness.serve_routes(upstreams, ROUTES, LIMITS);
     harness
 }
 
@@ -25,23 +19,23 @@
     assert!(peak < f64::from(MEMORY_MB), "{peak:.0} MB of {MEMORY_MB}");
 }
 
-/// What is short is served while long bodies are in hand, some of which are carried; these.
-fn carried_while_short_is_served(harness: &Harness) -> Vec<UpstreamRequest> {
+/// What is short is served while long bodies are in hand, some of which are forwarded; these.
+fn forwarded_while_short_is_served(harness: &Harness) -> Vec<UpstreamRequest> {
     let mut short = harness.client();
     short.post("/pay/b", "short", "one");
-    let mut carried = Vec::new();
+    let mut forwarded = Vec::new();
     loop {
         let upstream_request = harness.next_upstream_request();
         if upstream_request.id() == "short" {
             upstream_request.respond("served");
             break;
         }
-        carried.push(upstream_request);
+        forwarded.push(upstream_request);
     }
     assert_eq!(short.response().text(), "served");
     assert_memory(harness);
-    assert!(!carried.is_empty(), "some long bodies are carried");
-    carried
+    assert!(!forwarded.is_empty(), "some long bodies are forwarded");
+    forwarded
 }
 
 /// Each body is within the operator's limit, and so is each client; together they are twice the memory of the process.
@@ -55,8 +49,8 @@
         let bytes = request("POST", "/pay/a", &format!("r{number}"), &[], &body);
         client.send_bytes("a long body", bytes.as_bytes());
     }
-    let carried = carried_while_short_is_served(&harness);
-    let carried: Vec<String> = carried
+    let forwarded = forwarded_while_short_is_served(&harness);
+    let forwarded: Vec<String> = forwarded
         .into_iter()
         .map(|upstream_request| {
             let id = upstream_request.id().to_owned();
@@ -66,17 +60,17 @@
         .collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let answer = client.response();
-        if carried.contains(&format!("r{number}")) {
+        if forwarded.contains(&format!("r{number}")) {
             assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
         } else {
-            assert_eq!(answer.status(), 503, "it is not carried");
+            assert_eq!(answer.status(), 503, "it is not forwarded");
             assert!(
                 answer.header("retry-after").is_some(),
                 "it is told when to come back"
             );
         }
     }
-    // Its room is given back: one more is carried.
+    // Its room is given back: one more is forwarded.
     let mut next = harness.client();
     next.send_bytes(
         "a long body",
@@ -100,8 +94,8 @@
         let head = request("POST", "/pay/a", &id, &["Transfer-Encoding: chunked"], "");
         client.send_bytes("a long body in chunks", format!("{head}{body}").as_bytes());
     }
-    let carried = carried_while_short_is_served(&harness);
-    carried
+    let forwarded = forwarded_while_short_is_served(&harness);
+    forwarded
         .into_iter()
         .for_each(|upstream_request| upstream_request.respond("done"));
     let statuses: Vec<u16> = clients
--- a/crates/sandtrack-proxy/tests/exchange/response_integrity.rs
+++ b/crates/sandtrack-proxy/tests/exchange/response_integrity.rs
@@ -1,28 +1,29 @@
-//! MIXED: upstreams in trouble. A client gets the whole answer to its own request, with its seal, or an answer that is no
-//! success.
+//! A client gets the complete response to its own request, with its seal, or one that is no success, whatever upstreams send
+//! (rule MIXED).
 use crate::harness::Harness;
 use crate::upstream::UpstreamRequest;
 use crate::wire::PATIENCE;
 use std::io::{Read, Write};
 
-const LENGTH_NOT_MET: &str =
+const SHORT_BODY: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 100\r\n\r\nonly a part";
-const CHUNKS_NOT_ENDED: &str =
+const UNTERMINATED_CHUNKS: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nTransfer-Encoding: chunked\r\n\r\n6\r\na part\r\n";
-const WITHIN_A_HEAD: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-S";
-const ANOTHER_ID: &str =
+const TRUNCATED_HEAD: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-S";
+const OTHER_REQUEST_ID: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nServer-Seal: s0\r\nContent-Length: 5\r\n\r\nother";
-const NO_ANSWER: &str = "\u{1}\u{2}garbage that is no answer\r\n\r\n";
-const BAD_CHUNK: &str =
+const NO_RESPONSE: &str = "\u{1}\u{2}garbage that is no answer\r\n\r\n";
+const MALFORMED_CHUNK: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbytes\r\n";
-const TWO_LENGTHS: &str =
+const TWO_CONTENT_LENGTHS: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nbytes";
 /// What an upstream answers a probe: it may come late, in the place where an answer is due.
-const TO_A_PROBE: &str = "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n";
+const HEALTH_CHECK_RESPONSE: &str =
+    "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n";
 const WITHOUT_SEAL: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 5\r\n\r\nbytes";
 
 /// A request that may run twice gets its answer from another upstream.
-fn tried_elsewhere(name: &str, wrong: &str) {
+fn assert_retried_elsewhere(name: &str, wrong: &str) {
     let harness = Harness::with_upstreams(name, 2);
     let mut client = harness.client();
     client.get_with("/slips/a", "r1", &[]);
@@ -44,7 +45,7 @@
 }
 
 /// One that may run once is not sent again, and its client is not told a success.
-fn not_passed_on(name: &str, wrong: &str) {
+fn assert_not_forwarded(name: &str, wrong: &str) {
     let harness = Harness::with_upstreams(name, 2);
     let mut client = harness.client();
     client.post("/pay/a", "r1", "body");
@@ -55,29 +56,29 @@
     harness.finish_with_transcript();
 }
 
-macro_rules! wrong_answers {
+macro_rules! invalid_responses {
     ($($elsewhere:ident, $once:ident: $wrong:expr;)*) => {$(
         #[test]
         fn $elsewhere() {
-            tried_elsewhere(stringify!($elsewhere), $wrong);
+            assert_retried_elsewhere(stringify!($elsewhere), $wrong);
         }
 
         #[test]
         fn $once() {
-            not_passed_on(stringify!($once), $wrong);
+            assert_not_forwarded(stringify!($once), $wrong);
         }
     )*};
 }
 
-wrong_answers! {
-    a_short_body_is_retried_elsewhere, a_short_body_is_no_success: LENGTH_NOT_MET;
-    unterminated_chunks_are_retried_elsewhere, unterminated_chunks_are_no_success: CHUNKS_NOT_ENDED;
-    a_truncated_head_is_retried_elsewhere, a_truncated_head_is_no_success: WITHIN_A_HEAD;
-    another_request_id_is_retried_elsewhere, another_request_id_is_no_success: ANOTHER_ID;
-    bytes_that_are_no_response_are_retried_elsewhere, bytes_that_are_no_response_are_no_success: NO_ANSWER;
-    a_malformed_chunk_is_retried_elsewhere, a_malformed_chunk_is_no_success: BAD_CHUNK;
-    two_content_lengths_are_retried_elsewhere, two_content_lengths_are_no_success: TWO_LENGTHS;
-    a_health_check_response_is_retried_elsewhere, a_health_check_response_is_no_success: TO_A_PROBE;
+invalid_responses! {
+    a_short_body_is_retried_elsewhere, a_short_body_is_no_success: SHORT_BODY;
+    unterminated_chunks_are_retried_elsewhere, unterminated_chunks_are_no_success: UNTERMINATED_CHUNKS;
+    a_truncated_head_is_retried_elsewhere, a_truncated_head_is_no_success: TRUNCATED_HEAD;
+    another_request_id_is_retried_elsewhere, another_request_id_is_no_success: OTHER_REQUEST_ID;
+    bytes_that_are_no_response_are_retried_elsewhere, bytes_that_are_no_response_are_no_success: NO_RESPONSE;
+    a_malformed_chunk_is_retried_elsewhere, a_malformed_chunk_is_no_success: MALFORMED_CHUNK;
+    two_content_lengths_are_retried_elsewhere, two_content_lengths_are_no_success: TWO_CONTENT_LENGTHS;
+    a_health_check_response_is_retried_elsewhere, a_health_check_response_is_no_success: HEALTH_CHECK_RESPONSE;
     a_response_without_seal_is_retried_elsewhere, a_response_without_seal_is_no_success: WITHOUT_SEAL;
     a_close_without_a_response_is_retried_elsewhere, a_close_without_a_response_is_no_success: "";
 }
@@ -90,7 +91,7 @@
     let mut client = harness.client();
     client.get_with("/slips/a", "r1", &[]);
     let mut first = harness.next_upstream_request();
-    first.send(ANOTHER_ID);
+    first.send(OTHER_REQUEST_ID);
     first.respond("late");
     harness.next_upstream_request().respond("whole");
     assert_eq!(client.response().text(), "whole");
@@ -108,7 +109,7 @@
     client.get("/slips/a", "r1");
     let mut upstream_request = harness.next_upstream_request();
     upstream_request.send(&format!(
-        "{}{ANOTHER_ID}",
+        "{}{OTHER_REQUEST_ID}",
         crate::upstream::answer("r1", "one")
     ));
     assert_eq!(client.response().text(), "one");
@@ -131,9 +132,14 @@
         1,
     );
     let mut client = harness.client();
-    for (at, surplus) in [ANOTHER_ID, TO_A_PROBE, NO_ANSWER, LENGTH_NOT_MET]
-        .iter()
-        .enumerate()
+    for (at, surplus) in [
+        OTHER_REQUEST_ID,
+        HEALTH_CHECK_RESPONSE,
+        NO_RESPONSE,
+        SHORT_BODY,
+    ]
+    .iter()
+    .enumerate()
     {
         let (id, next) = (format!("a{at}"), format!("b{at}"));
         client.get("/slips/a", &id);
@@ -161,7 +167,10 @@
         1,
     );
     let mut client = harness.client();
-    for (at, surplus) in [ANOTHER_ID, TO_A_PROBE, NO_ANSWER].iter().enumerate() {
+    for (at, surplus) in [OTHER_REQUEST_ID, HEALTH_CHECK_RESPONSE, NO_RESPONSE]
+        .iter()
+        .enumerate()
+    {
         let id = format!("a{at}");
         client.get_with("/slips/a", &id, &[]);
         let mut upstream_request = harness.next_upstream_request();
@@ -186,7 +195,7 @@
     client.get_with("/slips/a", "r1", &[]);
     for _ in 0..2 {
         let mut upstream_request = harness.next_upstream_request();
-        upstream_request.send(LENGTH_NOT_MET);
+        upstream_request.send(SHORT_BODY);
         upstream_request.close();
     }
     assert_eq!(client.response().status(), 502);
