--- a/crates/sandtrack-net/src/http.rs
+++ b/crates/sandtrack-net/src/http.rs
@@ -116,6 +116,9 @@
     }
 
     /// The next part, if all of it is there.
+    ///
+    /// # Errors
+    /// Where the bytes are no message, or the message is too long.
     pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Part>, Bad> {
         loop {
             match self.state {
@@ -177,16 +180,7 @@
                     let Some(line) = take_line(ring)? else {
                         return Ok(None);
                     };
-                    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
-                    let digits = std::str::from_utf8(digits)
-                        .map_err(|_| Bad::Malformed)?
-                        .trim();
-                    let hex =
-                        !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
-                    if !hex || digits.trim_start_matches('0').len() > 8 {
-                        return Err(Bad::Malformed);
-                    }
-                    let size = usize::from_str_radix(digits, 16).map_err(|_| Bad::Malformed)?;
+                    let size = chunk_size(&line)?;
                     self.trailer = 0;
                     self.state = if size == 0 {
                         State::Trailer
@@ -226,6 +220,19 @@
     }
 }
 
+/// The size on a chunk's first line, without its extensions (RFC 9112, 7.1).
+fn chunk_size(line: &[u8]) -> Result<usize, Bad> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
+    let digits = std::str::from_utf8(digits)
+        .map_err(|_| Bad::Malformed)?
+        .trim();
+    let is_hex = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if !is_hex || digits.trim_start_matches('0').len() > 8 {
+        return Err(Bad::Malformed);
+    }
+    usize::from_str_radix(digits, 16).map_err(|_| Bad::Malformed)
+}
+
 /// What a collector has: a message whole, or a streamed one as it comes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Taken {
@@ -268,6 +275,10 @@
         }
     }
 
+    /// The next message, or what there is of a long or streamed one.
+    ///
+    /// # Errors
+    /// Where the bytes are no message, or the message is too long.
     pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Taken>, Bad> {
         if self.head.is_none() && !self.body.is_empty() {
             // What had come before it was too long to be kept.
--- a/crates/sandtrack-net/src/socket.rs
+++ b/crates/sandtrack-net/src/socket.rs
@@ -48,7 +48,10 @@
     poll(&mut asked, Some(&Timespec::default())).is_ok() && asked[0].revents().intersects(over)
 }
 
-/// Reads what there is, as much as the buffer has room for.
+/// Waits for bytes and reads what there is, as much as the buffer has room for; 0: the other side has ended.
+///
+/// # Errors
+/// The socket's error.
 pub async fn read_into(stream: &Async<TcpStream>, ring: &mut Ring) -> io::Result<usize> {
     let mut bytes = [0; 8192];
     let room = ring.room().min(bytes.len());
@@ -62,6 +65,9 @@
 }
 
 /// Writes all that the buffer holds, in one call where the socket takes it.
+///
+/// # Errors
+/// The socket's error; `WriteZero` where it takes nothing more.
 pub async fn write_all(stream: &Async<TcpStream>, ring: &mut Ring) -> io::Result<()> {
     while !ring.is_empty() {
         let count = stream
