--- a/crates/sandtrack-control/src/node/quorum.rs
+++ b/crates/sandtrack-control/src/node/quorum.rs
@@ -36,10 +36,13 @@
     /// acknowledged in the view is known here.
     pub fn may_push_configuration(&self, now: Millis) -> bool {
         let me = &self.peers.me.address;
-        let is_confirmed =
-            self.quorum_lease
-                .is_valid(now, me, self.replica.testimony(), self.replica.view());
-        self.has_quorum(now) && is_confirmed && self.replica.holds_all(self.complete_in_epoch)
+        let is_confirmed = self.quorum_lease.is_valid(
+            now,
+            me,
+            self.replica.view_attestation(),
+            self.replica.view(),
+        );
+        self.has_quorum(now) && is_confirmed && self.replica.is_up_to_date(self.complete_in_epoch)
     }
 
     /// Addresses of the voters of the view.
--- a/crates/sandtrack-control/src/quorum_lease.rs
+++ b/crates/sandtrack-control/src/quorum_lease.rs
@@ -5,7 +5,7 @@
 //! configuration. It is the lease read of Raft (Ongaro, section 6.4.1) with the voters' heartbeats as the renewals; time is
 //! the process's own monotonic clock.
 use crate::Millis;
-use sandtrack_replication::{Address, ViewAttestation, View};
+use sandtrack_replication::{Address, View, ViewAttestation};
 use std::collections::BTreeMap;
 
 /// How long a voter's report counts, in ms. It is shorter than the shortest pause of the process that is noticed
--- a/crates/sandtrack-control/tests/common/cluster.rs
+++ b/crates/sandtrack-control/tests/common/cluster.rs
@@ -199,7 +199,9 @@
 
     /// The records on the disk of a machine.
     pub fn wal(&self, number: usize) -> &[Vec<u8>] {
-        self.houses.get(&number).map_or(&[], |house| &house.wal)
+        self.machines
+            .get(&number)
+            .map_or(&[], |machine| &machine.wal)
     }
 
     /// Stops or goes on running a process; what comes meanwhile waits.
--- a/crates/sandtrack-control/tests/data_directory.rs
+++ b/crates/sandtrack-control/tests/data_directory.rs
@@ -3,9 +3,9 @@
 mod common;
 use common::cluster::{upstream, Cluster};
 use common::{good, settings};
+use sandtrack_control::node::{ControlNode, Start};
 use sandtrack_control::state_machine::ControlState;
 use sandtrack_control::wal_writer;
-use sandtrack_control::node::{ControlNode, Start};
 use sandtrack_replication::StateMachine;
 use sandtrack_wal::Wal;
 use std::path::{Path, PathBuf};
--- a/crates/sandtrack-control/tests/frame_bytes.rs
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -4,11 +4,13 @@
 mod fixtures;
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use sandtrack_control::state_machine::{ChangeKind, Command, Outcome, Query, QueryResult};
 use sandtrack_control::peer_frames::{
-    PollerLease, Digest, EndpointUpdate, Heartbeat, Hello, Member, PeerFrame, FORMAT,
+    Digest, EndpointUpdate, Heartbeat, Hello, Member, PeerFrame, PollerLease, FORMAT,
+};
+use sandtrack_control::state_machine::{ChangeKind, Command, Outcome, Query, QueryResult};
+use sandtrack_protocol::frames::{
+    decode, encode, PromptSent, ProxyInfo, ProxyState, UpstreamEntry,
 };
-use sandtrack_protocol::frames::{decode, encode, PromptSent, ProxyInfo, ProxyState, UpstreamEntry};
 use sandtrack_replication::Message;
 use std::fmt::Debug;
 
--- a/crates/sandtrack-control/tests/quorum_lease.rs
+++ b/crates/sandtrack-control/tests/quorum_lease.rs
@@ -1,6 +1,6 @@
 //! QuorumLease with a majority as a lease: pure, on a clock that is only counted.
 use sandtrack_control::quorum_lease::{QuorumLease, QUORUM_LEASE_MS};
-use sandtrack_replication::{Member, ViewAttestation, View};
+use sandtrack_replication::{Member, View, ViewAttestation};
 
 const ME: &str = "a";
 /// Of the disks of the voters, and of one that came after.
--- a/crates/sandtrack-protocol/tests/frame_bytes.rs
+++ b/crates/sandtrack-protocol/tests/frame_bytes.rs
@@ -4,8 +4,8 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use sandtrack_protocol::frames::{
-    frame, take, ItemChange, PromptSent, ProxyInfo, ProxyState, ToControl, ToProxy, UpstreamEntry,
-    FORMAT,
+    decode, encode, ItemChange, PromptSent, ProxyInfo, ProxyState, ToControl, ToProxy,
+    UpstreamEntry, FORMAT,
 };
 use std::fmt::Debug;
 
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/front.rs
@@ -6,8 +6,10 @@
     SESSION_TIMEOUT_MS,
 };
 use sandtrack_protocol::settings::Settings;
+use sandtrack_proxy::control_session::decisions::{
+    candidates, check_welcome, AcceptedNodes, Attachment,
+};
 use sandtrack_proxy::placement::balancer::{ApplyOutcome, Balancer};
-use sandtrack_proxy::session_policy::{candidates, judge_welcome, Accepted, Standing};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -35,14 +37,14 @@
 /// A round through candidates.
 struct Search {
     left: VecDeque<String>,
-    accepted: Accepted,
+    accepted: AcceptedNodes,
     attempt: Option<Attempt>,
 }
 
 struct Session {
     number: u64,
     address: String,
-    standing: Standing,
+    attachment: Attachment,
     heard: Millis,
     next_look: Millis,
     told_at: Millis,
@@ -117,13 +119,13 @@
         if let Some(session) = &mut self.session {
             if now >= session.next_look && self.search.is_none() {
                 session.next_look = now + LOOK_EVERY_MS;
-                if session.standing.take_look(now) {
+                if session.attachment.take_search_due(now) {
                     let except = session.address.clone();
-                    self.begin_search(Accepted::Attached, Some(&except));
+                    self.begin_search(AcceptedNodes::Attached, Some(&except));
                 }
             }
         } else if self.search.is_none() && now >= self.search_at {
-            let accepted = Accepted::in_round(self.balancer.is_ready(), self.vain_rounds);
+            let accepted = AcceptedNodes::for_round(self.balancer.is_ready(), self.vain_rounds);
             self.begin_search(accepted, None);
         }
         self.go_on(now, wishes);
@@ -151,7 +153,7 @@
         self.search_at = now;
     }
 
-    fn begin_search(&mut self, accepted: Accepted, except: Option<&str>) {
+    fn begin_search(&mut self, accepted: AcceptedNodes, except: Option<&str>) {
         let all = candidates(&self.settings, &self.balancer.control_nodes);
         let left = all
             .into_iter()
@@ -254,8 +256,8 @@
             .filter(|session| session.number == number)
         {
             session.heard = now;
-            if let ToProxy::Heartbeat { attached } = &frame {
-                session.standing.beat(now, *attached);
+            if let ToProxy::Beat { attached } = &frame {
+                session.attachment.on_heartbeat(now, *attached);
             }
             if self.balancer.apply(now, frame) == ApplyOutcome::NeedsFullConfiguration {
                 wishes.push(Wish::Send {
@@ -280,7 +282,7 @@
         let judged = match frame {
             ToProxy::Welcome {
                 format, attached, ..
-            } => judge_welcome(*format, *attached, search.accepted)
+            } => check_welcome(*format, *attached, search.accepted)
                 .map(|()| *attached)
                 .ok(),
             _ => None,
@@ -298,7 +300,7 @@
         self.session = Some(Session {
             number,
             address: attempt.address,
-            standing: Standing::new(now, attached),
+            attachment: Attachment::new(now, attached),
             heard: now,
             next_look: now + LOOK_EVERY_MS,
             told_at: now,
