--- a/crates/sandtrack-simulation/src/disk.rs
+++ b/crates/sandtrack-simulation/src/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated disk under the real [`Wal`](sandtrack_wal::Wal): a folder whose unsynced content and names are kept, lost or
-//! torn by a loss of power, each by itself (DEPLOY.md, "Disk"; LATER.md, "On the machines").
+//! A simulated disk under the real [`Wal`](sandtrack_wal::Wal): a directory whose unsynced contents and names are each kept,
+//! lost or torn by a loss of power.
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use sandtrack_wal::Store;
@@ -11,28 +11,28 @@
 
 /// What was written to a file since its last sync.
 #[derive(Clone, Debug)]
-enum Change {
+enum FileChange {
     Write { offset: usize, bytes: Vec<u8> },
-    Length(usize),
+    SetLength(usize),
 }
 
-impl Change {
+impl FileChange {
     fn apply(&self, content: &mut Vec<u8>) {
         match self {
-            Change::Write { offset, bytes } => {
+            FileChange::Write { offset, bytes } => {
                 content.resize(content.len().max(offset + bytes.len()), 0);
                 content[*offset..offset + bytes.len()].copy_from_slice(bytes);
             }
-            Change::Length(length) => content.resize(*length, 0),
+            FileChange::SetLength(length) => content.resize(*length, 0),
         }
     }
 }
 
-/// Content of one file, whatever its name.
+/// The content of a file, independent of its name.
 #[derive(Clone, Debug, Default)]
 struct File {
     synced: Vec<u8>,
-    changes: Vec<Change>,
+    changes: Vec<FileChange>,
 }
 
 impl File {
@@ -45,10 +45,10 @@
     }
 }
 
-/// A change of names that a sync of the folder has not covered yet; `file` is a number in `Folder::files`.
+/// A change of names that no sync of the directory has covered yet; `file` is a key of [`Directory::files`].
 #[derive(Clone, Debug)]
 enum NameChange {
-    Made { name: String, file: u64 },
+    Created { name: String, file: u64 },
     Renamed { from: String, to: String, file: u64 },
     Removed { name: String },
 }
@@ -56,7 +56,7 @@
 impl NameChange {
     fn apply(&self, names: &mut BTreeMap<String, u64>) {
         match self {
-            NameChange::Made { name, file } => {
+            NameChange::Created { name, file } => {
                 names.insert(name.clone(), *file);
             }
             NameChange::Renamed { from, to, file } => {
@@ -72,64 +72,65 @@
 
 /// How a disk behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mode {
+pub enum DiskMode {
+    /// Requests take their normal time.
     #[default]
-    Well,
-    /// Everything takes so many times as long.
+    Healthy,
+    /// Everything takes this many times as long.
     Slow(f64),
-    /// Nothing ends before the disk is well again.
+    /// No request completes before the disk is healthy again.
     Stalled,
-    /// Every write is refused.
+    /// Every write fails.
     Full,
 }
 
 #[derive(Debug, Default)]
-struct Folder {
+struct Directory {
     files: BTreeMap<u64, File>,
     names: BTreeMap<String, u64>,
     synced_names: BTreeMap<String, u64>,
     name_changes: Vec<NameChange>,
     next_file: u64,
     full: bool,
-    /// Calls that are still carried out; none: all.
-    calls_left: Option<u32>,
+    /// Operations that still succeed; `None`: all of them.
+    remaining_operations: Option<u32>,
 }
 
 /// The disk of a machine; clones are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct Disk(Rc<RefCell<Folder>>);
+pub struct Disk(Rc<RefCell<Directory>>);
 
 impl Disk {
-    /// Whether writes are refused from now on.
+    /// Sets whether writes fail from now on.
     pub fn set_full(&self, full: bool) {
         self.0.borrow_mut().full = full;
     }
 
-    /// After so many calls every one fails: the process dies amid its work. `None`: no more.
-    pub fn stop_after(&self, calls: Option<u32>) {
-        self.0.borrow_mut().calls_left = calls;
+    /// Lets every operation after this many fail, as if the process died amid its work. `None`: lets all succeed.
+    pub fn fail_after(&self, calls: Option<u32>) {
+        self.0.borrow_mut().remaining_operations = calls;
     }
 
-    /// Everything is gone.
+    /// Erases everything.
     pub fn wipe(&self) {
-        *self.0.borrow_mut() = Folder::default();
+        *self.0.borrow_mut() = Directory::default();
     }
 
-    /// What was not synced is kept, lost or torn, each by itself; at some losses of power, all of it is gone.
+    /// Loses power: each unsynced change is kept, lost or torn; sometimes all of them are lost.
     pub fn lose_power(&self, random: &mut Pcg64Mcg) {
-        let mut folder = self.0.borrow_mut();
-        let folder = &mut *folder;
+        let mut directory = self.0.borrow_mut();
+        let directory = &mut *directory;
         let all_gone = random.gen_bool(0.3);
-        for file in folder.files.values_mut() {
+        for file in directory.files.values_mut() {
             for change in std::mem::take(&mut file.changes) {
                 if all_gone {
                     continue;
                 }
                 let kept = match (change, random.gen_range(0..3)) {
                     (_, 0) => continue,
-                    (Change::Write { offset, bytes }, 1) => {
+                    (FileChange::Write { offset, bytes }, 1) => {
                         let torn = random.gen_range(0..=bytes.len());
-                        Change::Write {
+                        FileChange::Write {
                             offset,
                             bytes: bytes[..torn].to_vec(),
                         }
@@ -139,20 +140,20 @@
                 kept.apply(&mut file.synced);
             }
         }
-        let mut names = folder.synced_names.clone();
-        for change in std::mem::take(&mut folder.name_changes) {
+        let mut names = directory.synced_names.clone();
+        for change in std::mem::take(&mut directory.name_changes) {
             if !all_gone && random.gen() {
                 change.apply(&mut names);
             }
         }
-        (folder.names, folder.synced_names) = (names.clone(), names);
-        folder.calls_left = None;
+        (directory.names, directory.synced_names) = (names.clone(), names);
+        directory.remaining_operations = None;
     }
 }
 
-impl Folder {
-    fn call(&mut self) -> Result<()> {
-        match &mut self.calls_left {
+impl Directory {
+    fn count_operation(&mut self) -> Result<()> {
+        match &mut self.remaining_operations {
             Some(0) => Err(Error::other("the process has ended")),
             Some(left) => {
                 *left -= 1;
@@ -186,25 +187,25 @@
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        if folder.full {
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        if directory.full {
             return Err(ErrorKind::StorageFull.into());
         }
-        if !folder.names.contains_key(name) {
-            folder.next_file += 1;
-            let file = folder.next_file;
-            folder.files.insert(file, File::default());
-            folder.change_names(NameChange::Made {
+        if !directory.names.contains_key(name) {
+            directory.next_file += 1;
+            let file = directory.next_file;
+            directory.files.insert(file, File::default());
+            directory.change_names(NameChange::Created {
                 name: name.to_owned(),
                 file,
             });
         }
-        let change = Change::Write {
+        let change = FileChange::Write {
             offset: offset as usize,
             bytes: bytes.to_vec(),
         };
-        folder.file(name)?.changes.push(change);
+        directory.file(name)?.changes.push(change);
         Ok(())
     }
 
@@ -213,29 +214,29 @@
     }
 
     fn set_length(&mut self, name: &str, length: u64) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        folder
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        directory
             .file(name)?
             .changes
-            .push(Change::Length(length as usize));
+            .push(FileChange::SetLength(length as usize));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        let file = folder.file(name)?;
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        let file = directory.file(name)?;
         file.synced = file.content();
         file.changes.clear();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        let file = *folder.names.get(from).ok_or(ErrorKind::NotFound)?;
-        folder.change_names(NameChange::Renamed {
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        let file = *directory.names.get(from).ok_or(ErrorKind::NotFound)?;
+        directory.change_names(NameChange::Renamed {
             from: from.to_owned(),
             to: to.to_owned(),
             file,
@@ -244,10 +245,10 @@
     }
 
     fn remove(&mut self, name: &str) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        if folder.names.contains_key(name) {
-            folder.change_names(NameChange::Removed {
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        if directory.names.contains_key(name) {
+            directory.change_names(NameChange::Removed {
                 name: name.to_owned(),
             });
         }
@@ -255,13 +256,13 @@
     }
 
     fn sync_folder(&mut self) -> Result<()> {
-        let mut folder = self.0.borrow_mut();
-        folder.call()?;
-        let folder = &mut *folder;
-        folder.synced_names = folder.names.clone();
-        folder.name_changes.clear();
-        let used: Vec<u64> = folder.names.values().copied().collect();
-        folder.files.retain(|file, _| used.contains(file));
+        let mut directory = self.0.borrow_mut();
+        directory.count_operation()?;
+        let directory = &mut *directory;
+        directory.synced_names = directory.names.clone();
+        directory.name_changes.clear();
+        let used: Vec<u64> = directory.names.values().copied().collect();
+        directory.files.retain(|file, _| used.contains(file));
         Ok(())
     }
 
--- a/crates/sandtrack-simulation/src/documents.rs
+++ b/crates/sandtrack-simulation/src/documents.rs
@@ -1,4 +1,4 @@
-//! Configurations and calls as operators send them.
+//! Configuration documents and requests as operators send them.
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use sandtrack_protocol::document::{Document, Update};
@@ -13,15 +13,21 @@
     )
 }
 
-/// A whole configuration; `ballast` routes only make it large.
-pub fn whole(random: &mut Pcg64Mcg, version: u64, ballast: usize, valid: bool) -> String {
+/// A complete configuration; `filler_routes` routes only make it larger.
+pub fn configuration(
+    random: &mut Pcg64Mcg,
+    version: u64,
+    filler_routes: usize,
+    valid: bool,
+) -> String {
     let service = if valid {
         ["print", "lm"][random.gen_range(0..2)]
     } else {
         "nobody"
     };
     let first = route("r-first", service, random.gen_range(1000..9000));
-    let filler = (0..ballast).map(|number| route(&format!("r-filler-{number}"), "print", 4000));
+    let filler =
+        (0..filler_routes).map(|number| route(&format!("r-filler-{number}"), "print", 4000));
     let routes: Vec<String> = std::iter::once(first).chain(filler).collect();
     let text = format!(
         r#"{{"version_number":{version},"routes":[{}],"services":{SERVICES},"limits":{LIMITS}}}"#,
@@ -30,26 +36,26 @@
     text
 }
 
-/// A change of named items.
+/// An update of one named item.
 pub fn update(random: &mut Pcg64Mcg, version: u64) -> String {
     let name = format!("r-{}", random.gen_range(0..6));
     let set = route(&name, "lm", random.gen_range(1000..9000));
     format!(r#"{{"version_number":{version},"set_items":{{"routes":[{set}]}}}}"#)
 }
 
-/// What a whole configuration, or a change of `base`, is once in force; none where it can't be read.
-pub fn whole_in_force(body: &str) -> Option<Document> {
+/// The document of a complete configuration; `None` if it can't be parsed.
+pub fn parse_configuration(body: &str) -> Option<Document> {
     Document::parse(body.as_bytes()).ok()
 }
 
-pub fn update_in_force(base: &Document, body: &str) -> Option<Document> {
+pub fn apply_update(base: &Document, body: &str) -> Option<Document> {
     Update::parse(body.as_bytes())
         .ok()
         .map(|update| base.updated(&update))
 }
 
-/// A call as it is read off a connection.
-pub fn call(method: &str, target: &str, based_on: u64, body: &str) -> Message {
+/// A request as it is read off a connection.
+pub fn request(method: &str, target: &str, based_on: u64, body: &str) -> Message {
     let headers = vec![
         ("host".to_owned(), "control".to_owned()),
         ("based-on-version".to_owned(), based_on.to_string()),
--- a/crates/sandtrack-simulation/src/log_lines.rs
+++ b/crates/sandtrack-simulation/src/event_log.rs
@@ -1,5 +1,5 @@
-//! The log of a world: what happens in it and what the real code logs, each line with its simulated time. Kept for each
-//! thread, as worlds play side by side.
+//! The log of a simulation: its events and the log records of the real code, each line with its simulated time. There is one
+//! for each thread, as simulations run in parallel.
 use crate::plan::Millis;
 use std::cell::RefCell;
 
@@ -39,7 +39,7 @@
     fn flush(&self) {}
 }
 
-/// Keeps lines of this thread from now on.
+/// Starts to keep the lines of this thread.
 pub fn start() {
     if log::set_logger(&Logger).is_ok() {
         log::set_max_level(log::LevelFilter::Debug);
@@ -52,7 +52,7 @@
     });
 }
 
-/// The lines kept, which ends the keeping.
+/// Takes the kept lines, and stops to keep lines.
 pub fn take() -> Vec<String> {
     LINES.with_borrow_mut(|lines| std::mem::take(lines).lines)
 }
@@ -65,7 +65,7 @@
     LINES.with_borrow_mut(|lines| lines.machine = machine);
 }
 
-pub(crate) fn say(what: impl FnOnce() -> String) {
+pub(crate) fn record(what: impl FnOnce() -> String) {
     let time = LINES.with_borrow(|lines| lines.on.then_some(lines.time));
     if let Some(time) = time {
         let line = format!("{time:9.1} {}", what());
--- a/crates/sandtrack-simulation/src/lib.rs
+++ b/crates/sandtrack-simulation/src/lib.rs
@@ -1,20 +1,22 @@
-//! Seeded worlds of the whole control plane and its proxies: the real code of both ([`sandtrack_control::node`], the proxy's
-//! balancer and session policy, the WAL) on a simulated network, simulated disks, and operators that repeat their calls.
+//! Deterministic simulation testing of the whole control plane with its proxies: the real code of both
+//! ([`sandtrack_control::node`], the proxy's balancer and session policy, the WAL) runs on a simulated clock, a simulated
+//! network and simulated disks, and operators retry their calls.
 //!
-//! [`plan`] draws a world from a seed, [`world`] plays it, [`judge`] holds what must be true in it, [`search`] plays many,
-//! [`shrink`] makes a failing one small. The same plan always plays the same.
+//! [`plan`] draws the input of a simulation from a seed, [`simulation`] runs it, [`oracle`] checks the rules that must hold,
+//! [`runner`] runs many plans, [`shrink`] makes a failing one smaller. The same plan always runs the same.
 //!
-//! Plans are mixed ([`plan::Plan::drawn`]), long, or harsher: of closing faults, of seed turnover, or of slow nodes, lost zones
-//! and full disks. docs/system/control.md ("Tests") tells what is in them.
+//! Plans are mixed ([`plan::Plan::mixed`]), long, or harsher: of triggered faults, of seed turnover, or of slow nodes, lost
+//! zones and full disks. docs/system/control.md ("Tests") describes them.
+#![warn(missing_docs)]
 pub mod disk;
 mod documents;
-mod front;
-pub mod judge;
-pub mod log_lines;
+pub mod event_log;
 mod machine;
 mod network;
 mod operators;
+pub mod oracle;
 pub mod plan;
-pub mod search;
+pub mod runner;
 pub mod shrink;
-pub mod world;
+mod simulated_proxy;
+pub mod simulation;
--- a/crates/sandtrack-simulation/src/machine.rs
+++ b/crates/sandtrack-simulation/src/machine.rs
@@ -1,32 +1,32 @@
-//! A machine of a world: its disk, its control node on the real WAL, its proxy, and what waits while it is frozen.
-use crate::disk::{Disk, Mode};
-use crate::front::Front;
+//! A simulated machine: its disk, its control node on the real WAL, its proxy, and the state of its clock and speed.
+use crate::disk::{Disk, DiskMode};
 use crate::operators::zone_name;
 use crate::plan::{Millis, ZONES};
+use crate::simulated_proxy::SimulatedProxy;
 use sandtrack_control::node::ControlNode;
 use sandtrack_protocol::settings::Settings;
 use sandtrack_wal::Wal;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that a disk writes in a ms, and what a sync takes.
+/// Bytes that a disk writes in a ms.
 const BYTES_PER_MS: f64 = 120_000.0;
 const SYNC_MS: Millis = 0.5;
 pub const WAL_NAME: &str = "control.ledger";
 
-/// What a control node wants from its disk.
+/// A write that a control node has requested from its disk.
 #[derive(Clone, Debug)]
-pub struct DiskOrder {
+pub struct DiskRequest {
     pub ticket: u64,
     pub records: Vec<Vec<u8>>,
-    pub rewrites: bool,
+    pub replaces_log: bool,
 }
 
-impl DiskOrder {
-    /// How long it takes on a disk that is well.
-    pub fn takes(&self) -> Millis {
+impl DiskRequest {
+    /// The duration on a healthy disk, in ms.
+    pub fn duration(&self) -> Millis {
         let bytes: usize = self.records.iter().map(Vec::len).sum();
         bytes as f64 / BYTES_PER_MS
-            + if self.rewrites {
+            + if self.replaces_log {
                 3.0 * SYNC_MS
             } else {
                 SYNC_MS
@@ -34,78 +34,78 @@
     }
 }
 
-pub struct Control {
+pub struct ControlProcess {
     pub node: ControlNode,
     pub wal: Wal<Disk>,
-    /// The one at the front is under way; it ends at a time, where the disk is not stalled.
-    pub orders: VecDeque<DiskOrder>,
-    /// Connections by what the node calls them.
+    /// Requests in order; the first is under way.
+    pub disk_queue: VecDeque<DiskRequest>,
+    /// Connections to peers by the node's identifiers: connection and side.
     pub links: BTreeMap<u64, (u64, usize)>,
     pub sessions: BTreeMap<u64, (u64, usize)>,
-    /// Operators' calls by what the node calls them.
+    /// Calls of operators by the node's identifiers.
     pub calls: BTreeMap<u64, u64>,
-    /// When it will look at what is due.
-    pub tick_at: Millis,
-    /// What was seen of its state last.
-    pub seen: (u64, u64),
+    /// When the next tick is scheduled.
+    pub next_tick_at: Millis,
+    /// The configuration number and the evacuation number that were observed last.
+    pub last_numbers: (u64, u64),
 }
 
 pub struct Machine {
     pub zone: usize,
-    /// It has a disk and a control node.
-    pub core: bool,
+    /// Whether it has a disk and a control node beside its proxy.
+    pub runs_control: bool,
     pub removed: bool,
     pub frozen: bool,
     pub disk: Disk,
-    pub mode: Mode,
-    pub control: Option<Control>,
-    pub control_life: u64,
-    pub proxy: Option<Front>,
-    pub proxy_life: u64,
-    /// Connections of the proxy by what it calls them.
+    pub disk_mode: DiskMode,
+    pub control: Option<ControlProcess>,
+    pub control_generation: u64,
+    pub proxy: Option<SimulatedProxy>,
+    pub proxy_generation: u64,
+    /// Connections of the proxy by its identifiers: connection and side.
     pub proxy_connections: BTreeMap<u64, (u64, usize)>,
-    /// It was started for the first time with the whole system.
-    pub first: bool,
-    /// Since when it surely had no way to a majority of the voters.
-    pub alone_since: Option<Millis>,
-    /// When its processes last began, or went on, to run.
-    pub runs_since: Millis,
-    /// What its steady clock shows beyond the time of the world, in ms.
-    pub clock_ahead: Millis,
-    pub steps: Steps,
+    /// Whether the next start of its control node is the first one of the whole cluster.
+    pub first_start: bool,
+    /// Since when it has certainly reached no majority of the voters.
+    pub isolated_since: Option<Millis>,
+    /// When its processes last started or were resumed.
+    pub running_since: Millis,
+    /// Its steady clock's lead over simulated time, in ms.
+    pub clock_offset_ms: Millis,
+    pub step_delay: StepDelay,
 }
 
-/// Steps of a slow machine: what comes while one is under way waits.
+/// The pace of a slow machine: events that come while a step is under way are deferred.
 #[derive(Debug, Default)]
-pub struct Steps {
-    /// What each takes, in ms; 0: no time.
-    pub each_ms: Millis,
+pub struct StepDelay {
+    /// The duration of each step, in ms; 0 if the machine is not slow.
+    pub step_ms: Millis,
     pub busy_until: Millis,
-    /// The next one has its time.
-    pub planned: bool,
-    /// What happens now is the next one.
-    pub taken: bool,
+    /// The next step is scheduled.
+    pub is_scheduled: bool,
+    /// The event that is being handled now is that step.
+    pub is_current: bool,
 }
 
 impl Machine {
-    pub fn new(zone: usize, core: bool, first: bool) -> Machine {
+    pub fn new(zone: usize, runs_control: bool, first_start: bool) -> Machine {
         Machine {
             zone,
-            core,
+            runs_control,
             removed: false,
             frozen: false,
             disk: Disk::default(),
-            mode: Mode::Well,
+            disk_mode: DiskMode::Healthy,
             control: None,
-            control_life: 0,
+            control_generation: 0,
             proxy: None,
-            proxy_life: 0,
+            proxy_generation: 0,
             proxy_connections: BTreeMap::new(),
-            first,
-            alone_since: None,
-            runs_since: 0.0,
-            clock_ahead: 0.0,
-            steps: Steps::default(),
+            first_start,
+            isolated_since: None,
+            running_since: 0.0,
+            clock_offset_ms: 0.0,
+            step_delay: StepDelay::default(),
         }
     }
 
@@ -118,7 +118,7 @@
     format!("10.{}.0.1", machine + 1)
 }
 
-/// The machine of an address.
+/// The index of the machine with an address.
 pub fn machine_of(address: &str) -> Option<usize> {
     let number: usize = address.split('.').nth(1)?.parse().ok()?;
     number.checked_sub(1)
@@ -127,11 +127,11 @@
 /// The settings that a process of the machine reads at its start.
 ///
 /// # Panics
-/// Never: the text is whole.
+/// Never: the text is always valid.
 pub fn settings(
     machine: usize,
     zone: usize,
-    core: bool,
+    runs_control: bool,
     first_start: bool,
     seeds: &[usize],
 ) -> Settings {
@@ -147,7 +147,7 @@
     let text = format!(
         r#"{{"node_name":"front-{machine}","role":"r","ip_address":"{ip}","zone":"{}","region":"{}","zones":{{{}}},
         "listen_addresses":{{"front":"{ip}:8161","control":"{ip}:8166","directory":"{ip}:8164"}},
-        "internal_port_range":[7720,7735],"seed_nodes":[{}],"first_start":{first_start},"loss_counted":{core},
+        "internal_port_range":[7720,7735],"seed_nodes":[{}],"first_start":{first_start},"loss_counted":{runs_control},
         "data_directory":"/data","tolerated_losses":{{"machines":1,"zones":1,"regions":0}},
         "cloud_api":{{"address":"10.200.0.79:8169","rate_per_s":47.0,"lag_ms":800}}}}"#,
         zone_name(zone),
--- a/crates/sandtrack-simulation/src/main.rs
+++ b/crates/sandtrack-simulation/src/main.rs
@@ -1,16 +1,16 @@
-//! Plays worlds: `sandtrack-simulation seeds 10000`, `sandtrack-simulation long 3`, `sandtrack-simulation replay FILE`.
+//! Runs simulations: `sandtrack-simulation seeds 10000`, `sandtrack-simulation long 3`, `sandtrack-simulation replay FILE`.
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use sandtrack_simulation::plan::Plan;
-use sandtrack_simulation::search::{digest, play_all_on, play_with_log, Totals, THREADS};
+use sandtrack_simulation::runner::{digest, run_all_on, run_with_log, Totals, DEFAULT_THREADS};
 use sandtrack_simulation::shrink::shrink;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// So many failing worlds are made small and written down.
-const WRITTEN_MOST: usize = 5;
+/// At most this many failing plans are shrunk and written to replay files.
+const MAX_REPLAY_FILES: usize = 5;
 
-/// Which worlds are played, and how.
+/// Which seeds are run, and how.
 #[derive(Clone, Debug)]
 struct Range {
     first: u64,
@@ -46,7 +46,7 @@
     let threads = long("threads")
         .help("Worlds side by side")
         .argument("COUNT")
-        .fallback(THREADS);
+        .fallback(DEFAULT_THREADS);
     let count = positional::<u64>("COUNT");
     construct!(Range {
         first,
@@ -64,7 +64,7 @@
         .command("seeds");
     let long = range().map(Verb::Long).to_options();
     let long = long
-        .descr("Plays long worlds of about a thousand changes")
+        .descr("Plays long worlds of description a thousand changes")
         .command("long");
     let digests = range().map(Verb::Digests).to_options();
     let digests = digests
@@ -94,20 +94,20 @@
 
 fn main() -> ExitCode {
     match verbs().run() {
-        Verb::Seeds(range) => report(&range.plans(Plan::drawn), &range),
+        Verb::Seeds(range) => report(&range.plans(Plan::mixed), &range),
         Verb::Long(range) => report(&range.plans(Plan::long), &range),
-        Verb::Closing(range) => report(&range.plans(Plan::closing), &range),
+        Verb::Closing(range) => report(&range.plans(Plan::triggered), &range),
         Verb::Turnover(range) => report(&range.plans(Plan::turnover), &range),
         Verb::Harsh(range) => report(&range.plans(Plan::harsh), &range),
-        Verb::Digests(range) => digests(&range.plans(Plan::drawn)),
+        Verb::Digests(range) => digests(&range.plans(Plan::mixed)),
         Verb::Replay { file } => replay(&file),
     }
 }
 
-/// One line a world, to compare two states of the code.
+/// Prints one line for each simulation, to compare two versions of the code.
 fn digests(plans: &[Plan]) -> ExitCode {
     for plan in plans {
-        let (outcome, lines) = play_with_log(plan);
+        let (outcome, lines) = run_with_log(plan);
         println!("{} {:016x} {outcome:?}", plan.seed, digest(&lines));
     }
     ExitCode::SUCCESS
@@ -115,33 +115,33 @@
 
 fn report(plans: &[Plan], range: &Range) -> ExitCode {
     let began = Instant::now();
-    let totals = play_all_on(plans, range.threads);
+    let totals = run_all_on(plans, range.threads);
     let Totals {
-        worlds,
+        simulations,
         calls,
         changes,
         views,
         frames,
-        blows,
+        triggered_faults,
         failures,
     } = &totals;
     println!(
-        "{worlds} worlds, {calls} calls answered, {changes} changes acknowledged, {views} views, {frames} frames, \
-         {blows} closing faults, {} rules broken, {:.1} s",
+        "{simulations} worlds, {calls} calls answered, {changes} changes acknowledged, {views} views, {frames} frames, \
+         {triggered_faults} closing faults, {} rules broken, {:.1} s",
         failures.len(),
         began.elapsed().as_secs_f64()
     );
     for failure in failures {
         println!(
             "seed {}: {}: {}",
-            failure.plan.seed, failure.broken.rule, failure.broken.what
+            failure.plan.seed, failure.violation.rule, failure.violation.details
         );
     }
-    for failure in failures.iter().take(WRITTEN_MOST) {
+    for failure in failures.iter().take(MAX_REPLAY_FILES) {
         let small = shrink(failure);
         let path = range
             .folder
-            .join(format!("{}-{}.json", small.broken.rule, small.plan.seed));
+            .join(format!("{}-{}.json", small.violation.rule, small.plan.seed));
         let text = serde_json::to_string_pretty(&small.plan).unwrap_or_default();
         let written =
             std::fs::create_dir_all(&range.folder).and_then(|()| std::fs::write(&path, text));
@@ -172,15 +172,15 @@
             return ExitCode::FAILURE;
         }
     };
-    let (outcome, lines) = play_with_log(&plan);
+    let (outcome, lines) = run_with_log(&plan);
     lines.iter().for_each(|line| println!("{line}"));
-    if outcome.broken.is_empty() {
+    if outcome.violations.is_empty() {
         println!("no rule was broken");
         return ExitCode::SUCCESS;
     }
     outcome
-        .broken
+        .violations
         .iter()
-        .for_each(|broken| println!("{}: {}", broken.rule, broken.what));
+        .for_each(|violation| println!("{}: {}", violation.rule, violation.details));
     ExitCode::FAILURE
 }
--- a/crates/sandtrack-simulation/src/network.rs
+++ b/crates/sandtrack-simulation/src/network.rs
@@ -1,22 +1,22 @@
-//! Simulated TCP between machines: ordered for each connection, held up by cuts (also of one way), by bandwidth and by
-//! larger frames before; broken by resets, by ends of processes, and by what nobody acknowledges.
+//! Simulated TCP between machines. Frames of a connection keep their order; they are delayed by partitions (also of one
+//! direction), by bandwidth and by earlier frames. Connections break by resets, by the end of a process, and by time-out.
 use crate::plan::Millis;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A process gives a connection up whose bytes were not taken for so long, in ms (`TCP_USER_TIMEOUT` of control).
-const UNTAKEN_MS: Millis = 1500.0;
-/// What a cut held up comes so long after it healed, in ms: the sender repeats it.
-const REPEAT_MS: Millis = 200.0;
-/// Bytes of a packet beside its content.
-const OVERHEAD: usize = 60;
+/// A process closes a connection whose bytes were not acknowledged for this long, in ms (`TCP_USER_TIMEOUT` of control).
+const USER_TIMEOUT_MS: Millis = 1500.0;
+/// Frames that a partition blocked are retransmitted this long after it heals, in ms.
+const RETRANSMIT_DELAY_MS: Millis = 200.0;
+/// Bytes of a packet's headers.
+const PACKET_OVERHEAD_BYTES: usize = 60;
 
-/// What a machine's process listens for.
+/// The service that a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Port {
-    /// Of control nodes, for each other.
+    /// Replication links between control nodes.
     Peer,
-    /// Of control nodes, for proxies.
+    /// Sessions of proxies with control nodes.
     Session,
 }
 
@@ -26,41 +26,41 @@
     Proxy,
 }
 
-/// One end of a connection. Side 0 opened it.
+/// One end of a connection. Side 0 dialed it, side 1 accepted it.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct Endpoint {
     pub machine: usize,
     pub process: Process,
-    /// Which life of the process.
-    pub life: u64,
-    /// What the process calls it; none before it was accepted.
-    pub number: Option<u64>,
+    /// The generation of the process: it changes with each start and each kill.
+    pub generation: u64,
+    /// The process's own identifier of the connection; `None` before it was accepted.
+    pub local_id: Option<u64>,
     open: bool,
 }
 
-/// What travels.
+/// What is transmitted over a connection.
 #[derive(Clone, Debug)]
 pub enum Item {
     Frame(Rc<[u8]>),
-    End,
+    Fin,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Way {
-    held: VecDeque<Item>,
+struct DirectionState {
+    blocked: VecDeque<Item>,
     last_arrival: Millis,
-    /// Since when something sent is not acknowledged.
-    untaken: Option<Millis>,
+    /// Since when something that was sent has not been acknowledged.
+    unacknowledged_since: Option<Millis>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Connection {
     pub port: Port,
-    pub ends: [End; 2],
-    ways: [Way; 2],
+    pub ends: [Endpoint; 2],
+    directions: [DirectionState; 2],
 }
 
-/// An item that comes at the other end at a time: `from` is the side that sent it.
+/// The arrival of an item at the other end; `from` is the side that sent it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Millis,
@@ -73,28 +73,28 @@
 pub struct Network {
     pub connections: BTreeMap<u64, Connection>,
     next: u64,
-    /// Cut ways between machines; several cuts of one way end each by itself.
-    cuts: BTreeMap<(usize, usize), u32>,
+    /// Partitioned directed pairs of machines, each with the number of faults that partition it.
+    partitions: BTreeMap<(usize, usize), u32>,
     /// Machines without power.
-    dark: BTreeSet<usize>,
-    /// Bytes per ms that a machine's link carries, and until when it is busy.
+    powered_off: BTreeSet<usize>,
+    /// Each machine's outgoing link: bytes per ms, and the time until which it is busy.
     links: BTreeMap<usize, (f64, Millis)>,
-    /// Machines in the far zone.
-    far: BTreeSet<usize>,
+    /// Machines in the remote region.
+    remote_region: BTreeSet<usize>,
     zones: BTreeMap<usize, usize>,
-    arrivals: Vec<Arrival>,
+    pending_arrivals: Vec<Arrival>,
 }
 
-const IN_ZONE_MS: Millis = 0.2;
-const ACROSS_ZONES_MS: Millis = 0.9;
-const ACROSS_REGIONS_MS: Millis = 55.0;
+const WITHIN_ZONE_DELAY_MS: Millis = 0.2;
+const CROSS_ZONE_DELAY_MS: Millis = 0.9;
+const CROSS_REGION_DELAY_MS: Millis = 55.0;
 
 impl Network {
-    pub fn add_machine(&mut self, machine: usize, zone: usize, far: bool, mbps: f64) {
+    pub fn add_machine(&mut self, machine: usize, zone: usize, remote_region: bool, mbps: f64) {
         self.zones.insert(machine, zone);
         self.set_link(machine, mbps);
-        if far {
-            self.far.insert(machine);
+        if remote_region {
+            self.remote_region.insert(machine);
         }
     }
 
@@ -103,121 +103,121 @@
         link.0 = mbps * 1000.0 / 8.0;
     }
 
-    /// One way between two machines, in ms.
+    /// The one-way delay between two machines, in ms.
     pub fn delay(&self, from: usize, to: usize) -> Millis {
-        if self.far.contains(&from) != self.far.contains(&to) {
-            ACROSS_REGIONS_MS
+        if self.remote_region.contains(&from) != self.remote_region.contains(&to) {
+            CROSS_REGION_DELAY_MS
         } else if self.zones.get(&from) != self.zones.get(&to) {
-            ACROSS_ZONES_MS
+            CROSS_ZONE_DELAY_MS
         } else {
-            IN_ZONE_MS
+            WITHIN_ZONE_DELAY_MS
         }
     }
 
-    pub fn is_open(&self, from: usize, to: usize) -> bool {
-        let dark = self.dark.contains(&from) || self.dark.contains(&to);
-        !dark && (from == to || !self.cuts.contains_key(&(from, to)))
+    pub fn is_reachable(&self, from: usize, to: usize) -> bool {
+        let powered_off = self.powered_off.contains(&from) || self.powered_off.contains(&to);
+        !powered_off && (from == to || !self.partitions.contains_key(&(from, to)))
     }
 
-    pub fn is_dark(&self, machine: usize) -> bool {
-        self.dark.contains(&machine)
+    pub fn is_powered_off(&self, machine: usize) -> bool {
+        self.powered_off.contains(&machine)
     }
 
-    pub fn cut(&mut self, ways: &[(usize, usize)]) {
-        for way in ways {
-            *self.cuts.entry(*way).or_default() += 1;
+    pub fn partition(&mut self, directions: &[(usize, usize)]) {
+        for direction in directions {
+            *self.partitions.entry(*direction).or_default() += 1;
         }
     }
 
-    pub fn join(&mut self, now: Millis, ways: &[(usize, usize)]) {
-        for way in ways {
-            if let Some(count) = self.cuts.get_mut(way) {
+    pub fn heal(&mut self, now: Millis, directions: &[(usize, usize)]) {
+        for direction in directions {
+            if let Some(count) = self.partitions.get_mut(direction) {
                 *count -= 1;
                 if *count == 0 {
-                    self.cuts.remove(way);
+                    self.partitions.remove(direction);
                 }
             }
         }
-        self.release(now);
+        self.release_blocked(now);
     }
 
-    pub fn set_dark(&mut self, now: Millis, machine: usize, dark: bool) {
-        if dark {
-            self.dark.insert(machine);
+    pub fn set_powered_off(&mut self, now: Millis, machine: usize, powered_off: bool) {
+        if powered_off {
+            self.powered_off.insert(machine);
         } else {
-            self.dark.remove(&machine);
-            self.release(now);
+            self.powered_off.remove(&machine);
+            self.release_blocked(now);
         }
     }
 
-    /// Sends on what was held up and can go now.
-    fn release(&mut self, now: Millis) {
+    /// Retransmits the blocked items of all connections whose path is open again.
+    fn release_blocked(&mut self, now: Millis) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
-        for number in numbers {
+        for local_id in numbers {
             for side in 0..2 {
-                let connection = &self.connections[&number];
+                let connection = &self.connections[&local_id];
                 let (from, to) = (
                     connection.ends[side].machine,
                     connection.ends[1 - side].machine,
                 );
-                if !self.is_open(from, to) {
+                if !self.is_reachable(from, to) {
                     continue;
                 }
-                let both = self.is_open(to, from);
-                let Some(connection) = self.connections.get_mut(&number) else {
+                let both = self.is_reachable(to, from);
+                let Some(connection) = self.connections.get_mut(&local_id) else {
                     continue;
                 };
-                let held = std::mem::take(&mut connection.ways[side].held);
+                let blocked = std::mem::take(&mut connection.directions[side].blocked);
                 if both {
-                    connection.ways[side].untaken = None;
+                    connection.directions[side].unacknowledged_since = None;
                 }
-                for item in held {
-                    self.travel(now + REPEAT_MS, number, side, item);
+                for item in blocked {
+                    self.transmit(now + RETRANSMIT_DELAY_MS, local_id, side, item);
                 }
             }
         }
     }
 
-    /// Opens a connection; the other end is not there yet.
+    /// Opens a connection; the listening end has not accepted it yet.
     pub fn dial(&mut self, from: (usize, Process, u64, u64), to: usize, port: Port) -> u64 {
         self.next += 1;
-        let (machine, process, life, number) = from;
-        let dialer = End {
+        let (machine, process, generation, local_id) = from;
+        let dialer = Endpoint {
             machine,
             process,
-            life,
-            number: Some(number),
+            generation,
+            local_id: Some(local_id),
             open: true,
         };
-        let listener = End {
+        let listener = Endpoint {
             machine: to,
             process: Process::Control,
-            life: 0,
-            number: None,
+            generation: 0,
+            local_id: None,
             open: false,
         };
-        let ways = [Way::default(), Way::default()];
+        let directions = [DirectionState::default(), DirectionState::default()];
         self.connections.insert(
             self.next,
             Connection {
                 port,
                 ends: [dialer, listener],
-                ways,
+                directions,
             },
         );
         self.next
     }
 
-    /// The other end is there: what the process calls it comes with `accepted`.
-    pub fn listen(&mut self, connection: u64, life: u64) {
+    /// The listening process is there; it gives its identifier with [`Network::set_acceptor_id`].
+    pub fn accept_pending(&mut self, connection: u64, generation: u64) {
         if let Some(connection) = self.connections.get_mut(&connection) {
-            (connection.ends[1].life, connection.ends[1].open) = (life, true);
+            (connection.ends[1].generation, connection.ends[1].open) = (generation, true);
         }
     }
 
-    pub fn accepted(&mut self, connection: u64, number: u64) {
+    pub fn set_acceptor_id(&mut self, connection: u64, local_id: u64) {
         if let Some(connection) = self.connections.get_mut(&connection) {
-            connection.ends[1].number = Some(number);
+            connection.ends[1].local_id = Some(local_id);
         }
     }
 
@@ -226,31 +226,31 @@
             return;
         };
         let (from, to) = (known.ends[side].machine, known.ends[1 - side].machine);
-        let (there, back) = (self.is_open(from, to), self.is_open(to, from));
+        let (there, back) = (self.is_reachable(from, to), self.is_reachable(to, from));
         let Some(known) = self.connections.get_mut(&connection) else {
             return;
         };
         if !known.ends[side].open {
             return;
         }
-        let way = &mut known.ways[side];
+        let direction = &mut known.directions[side];
         if !there || !back {
-            way.untaken = way.untaken.or(Some(now));
+            direction.unacknowledged_since = direction.unacknowledged_since.or(Some(now));
         }
-        if !there || !way.held.is_empty() {
-            way.held.push_back(item);
+        if !there || !direction.blocked.is_empty() {
+            direction.blocked.push_back(item);
         } else {
-            self.travel(now, connection, side, item);
+            self.transmit(now, connection, side, item);
         }
     }
 
-    fn travel(&mut self, now: Millis, connection: u64, side: usize, item: Item) {
+    fn transmit(&mut self, now: Millis, connection: u64, side: usize, item: Item) {
         let Some(known) = self.connections.get(&connection) else {
             return;
         };
         let (from, to) = (known.ends[side].machine, known.ends[1 - side].machine);
         let delay = self.delay(from, to);
-        let size = OVERHEAD
+        let size = PACKET_OVERHEAD_BYTES
             + if let Item::Frame(bytes) = &item {
                 bytes.len()
             } else {
@@ -264,90 +264,92 @@
         let Some(known) = self.connections.get_mut(&connection) else {
             return;
         };
-        let way = &mut known.ways[side];
-        way.last_arrival = way.last_arrival.max(leaves + delay);
-        self.arrivals.push(Arrival {
-            at: way.last_arrival,
+        let direction = &mut known.directions[side];
+        direction.last_arrival = direction.last_arrival.max(leaves + delay);
+        self.pending_arrivals.push(Arrival {
+            at: direction.last_arrival,
             connection,
             from: side,
             item,
         });
     }
 
-    /// What was sent and is still to be planned.
-    pub fn take_arrivals(&mut self) -> Vec<Arrival> {
-        std::mem::take(&mut self.arrivals)
+    /// Takes the arrivals that have not been scheduled yet.
+    pub fn drain_arrivals(&mut self) -> Vec<Arrival> {
+        std::mem::take(&mut self.pending_arrivals)
     }
 
-    /// Whether an item gets to the other end now; what a cut holds up is kept, and what finds no connection is answered by
-    /// a reset.
-    pub fn arrive(&mut self, now: Millis, arrival: &Arrival) -> Option<End> {
+    /// The endpoint that an arriving item reaches now. A partition blocks the item; a closed endpoint answers with a reset.
+    pub fn receive(&mut self, now: Millis, arrival: &Arrival) -> Option<Endpoint> {
         let known = self.connections.get(&arrival.connection)?;
         let (from, to) = (&known.ends[arrival.from], &known.ends[1 - arrival.from]);
-        if !self.is_open(from.machine, to.machine) {
+        if !self.is_reachable(from.machine, to.machine) {
             let from_open = from.open;
             let known = self.connections.get_mut(&arrival.connection)?;
             if from_open {
-                let way = &mut known.ways[arrival.from];
-                way.untaken = way.untaken.or(Some(now));
-                way.held.push_back(arrival.item.clone());
+                let direction = &mut known.directions[arrival.from];
+                direction.unacknowledged_since = direction.unacknowledged_since.or(Some(now));
+                direction.blocked.push_back(arrival.item.clone());
             }
             return None;
         }
         if !to.open {
             if from.open && matches!(arrival.item, Item::Frame(_)) {
-                self.travel(now, arrival.connection, 1 - arrival.from, Item::End);
+                self.transmit(now, arrival.connection, 1 - arrival.from, Item::Fin);
             }
             return None;
         }
         Some(to.clone())
     }
 
-    /// An end is closed; the other one hears of it after what was sent before, unless it is `silent`.
+    /// Closes one end; the other end is notified after what was sent before, unless `silent`.
     pub fn close(&mut self, now: Millis, connection: u64, side: usize, silent: bool) {
         if !silent {
-            self.send(now, connection, side, Item::End);
+            self.send(now, connection, side, Item::Fin);
         }
         if let Some(known) = self.connections.get_mut(&connection) {
             known.ends[side].open = false;
             if silent {
-                known.ways[side].held.clear();
+                known.directions[side].blocked.clear();
             }
             if known.ends.iter().all(|end| !end.open)
-                && known.ways.iter().all(|way| way.held.is_empty())
+                && known
+                    .directions
+                    .iter()
+                    .all(|direction| direction.blocked.is_empty())
             {
                 self.connections.remove(&connection);
             }
         }
     }
 
-    /// Connections of a process, with the side that is its.
-    pub fn of(&self, machine: usize, process: Process) -> Vec<(u64, usize)> {
-        let mine = |end: &End| end.open && end.machine == machine && end.process == process;
+    /// The open connections of a process, each with the process's side.
+    pub fn connections_of(&self, machine: usize, process: Process) -> Vec<(u64, usize)> {
+        let mine = |end: &Endpoint| end.open && end.machine == machine && end.process == process;
         let side = |(id, connection): (&u64, &Connection)| {
             Some((*id, connection.ends.iter().position(mine)?))
         };
         self.connections.iter().filter_map(side).collect()
     }
 
-    /// Closes what was not acknowledged for too long; gives the ends whose processes are to hear of it.
-    pub fn give_up(&mut self, now: Millis) -> Vec<(u64, usize)> {
-        let mut given_up = Vec::new();
+    /// The ends whose data was not acknowledged for [`USER_TIMEOUT_MS`]. What they had blocked is dropped.
+    pub fn time_out(&mut self, now: Millis) -> Vec<(u64, usize)> {
+        let mut timed_out = Vec::new();
         for (id, connection) in &self.connections {
             for side in 0..2 {
-                let late = connection.ways[side]
-                    .untaken
-                    .is_some_and(|since| now - since > UNTAKEN_MS);
+                let late = connection.directions[side]
+                    .unacknowledged_since
+                    .is_some_and(|since| now - since > USER_TIMEOUT_MS);
                 if late && connection.ends[side].open {
-                    given_up.push((*id, side));
+                    timed_out.push((*id, side));
                 }
             }
         }
-        for (id, side) in &given_up {
+        for (id, side) in &timed_out {
             if let Some(connection) = self.connections.get_mut(id) {
-                connection.ways[*side].held.clear();
+                connection.directions[*side].blocked.clear();
             }
         }
-        given_up
+        timed_out
     }
 }
--- a/crates/sandtrack-simulation/src/operators.rs
+++ b/crates/sandtrack-simulation/src/operators.rs
@@ -1,29 +1,29 @@
-//! Operators: they send changes, evacuations and reads, and repeat them unchanged at another machine until the answer is
-//! clear (PROTOCOL.md, "The operator's API"; LATER.md, "On the wire"). Two of them change the configuration and race now and
-//! then, one for each zone evacuates, one reads; among busy ones three read, so that eight orders are under way.
+//! Operators: they send changes, evacuations and reads, and retry each unchanged at another machine until the response is
+//! definite. Two of them change the configuration and race now and then, one for each zone evacuates it, one reads; of busy
+//! operators three read, so that eight operations are in flight.
 use crate::documents;
-use crate::judge::Checks;
-use crate::plan::{Acknowledged, Millis, ZONES};
+use crate::oracle::Oracle;
+use crate::plan::{Millis, RequestKind, ZONES};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sandtrack_protocol::document::Document;
 use sandtrack_sidecar_core::message::Message;
 use std::collections::BTreeMap;
 
-/// A call that is not answered within this is repeated elsewhere.
-const SILENCE_MS: Millis = 1000.0;
-/// Pauses between two tries grow from the one to the other.
-const PAUSE_MS: Millis = 60.0;
-/// A control node sends a caller on to another one.
-const SENT_ON: u16 = 307;
-const PAUSE_MOST_MS: Millis = 800.0;
-/// An evacuation may be sent again for so long (`acknowledge_ms`).
-pub const ACKNOWLEDGE_MS: Millis = 6000.0;
-/// A configuration without a clear answer is given up after this.
-const GIVE_UP_MS: Millis = 20_000.0;
+/// A call without a response is retried at another machine after this, in ms.
+const RESPONSE_TIMEOUT_MS: Millis = 1000.0;
+/// The first backoff between two attempts, in ms; it doubles up to [`MAX_BACKOFF_MS`].
+const MIN_BACKOFF_MS: Millis = 60.0;
+/// The status with which a control node redirects a call to another one.
+const TEMPORARY_REDIRECT: u16 = 307;
+const MAX_BACKOFF_MS: Millis = 800.0;
+/// An evacuation may be retried for this long, in ms (`acknowledge_ms`).
+pub const ACKNOWLEDGE_LIMIT_MS: Millis = 6000.0;
+/// A change without a definite response is given up after this, in ms.
+const CHANGE_TIMEOUT_MS: Millis = 20_000.0;
 
 #[derive(Clone, Debug)]
-enum Kind {
+enum OperationKind {
     Change {
         based_on: u64,
         document: Option<Document>,
@@ -39,232 +39,242 @@
     },
 }
 
-impl Kind {
-    fn asks(&self) -> Acknowledged {
+impl OperationKind {
+    fn request_kind(&self) -> RequestKind {
         match self {
-            Kind::Change { .. } => Acknowledged::Change,
-            Kind::Evacuate { .. } => Acknowledged::Evacuation,
-            Kind::Read { .. } => Acknowledged::Read,
+            OperationKind::Change { .. } => RequestKind::Change,
+            OperationKind::Evacuate { .. } => RequestKind::Evacuation,
+            OperationKind::Read { .. } => RequestKind::Read,
         }
     }
 }
 
-/// What an operator wants, until the answer is clear.
+/// What an operator asks for, until the response is definite.
 #[derive(Clone, Debug)]
-struct Order {
-    kind: Kind,
-    /// The order that it repeats after its acknowledgement.
-    repeats: Option<usize>,
-    began: Millis,
-    tries: u32,
-    /// The call under way, and when it was sent.
+struct Operation {
+    kind: OperationKind,
+    /// The acknowledged operation that this one submits once more.
+    resubmits: Option<usize>,
+    began_at: Millis,
+    attempts: u32,
+    /// The call in flight, and when it was sent.
     call: Option<(u64, Millis)>,
-    again_at: Millis,
+    retry_at: Millis,
 }
 
-/// An operator with at most one order under way.
+/// An operator with at most one operation in flight.
 #[derive(Debug, Default)]
 struct Operator {
-    order: Option<usize>,
+    operation: Option<usize>,
     idle_until: Millis,
-    /// It has to read before it goes on: what is current is unclear.
-    lost: bool,
-    /// An order that is to be sent once more.
-    repeat: Option<usize>,
+    /// It must read before its next change: the configuration in force is unknown.
+    must_read: bool,
+    /// An acknowledged operation that is to be submitted once more.
+    resubmission: Option<usize>,
 }
 
-/// A call to be made.
-pub struct Outgoing {
+/// A call that is to be sent.
+pub struct OutgoingCall {
     pub call: u64,
     pub machine: usize,
     pub message: Message,
-    pub about: String,
+    pub description: String,
 }
 
 pub struct Operators {
     random: Pcg64Mcg,
-    orders: Vec<Order>,
-    /// Two for the configuration, one a zone, one that reads.
+    operations: Vec<Operation>,
+    /// Two that change the configuration, one for each zone, then those that read.
     operators: Vec<Operator>,
-    /// The newest configuration that they know.
-    belief: Document,
+    /// The newest configuration that the operators know.
+    known_configuration: Document,
     next_call: u64,
     next_version: u64,
-    ballast: usize,
-    pace_ms: Millis,
-    /// Up to eight orders are under way, and connections end amid calls.
+    filler_routes: usize,
+    max_pause_ms: Millis,
+    /// Up to eight operations are in flight, and connections end amid calls.
     busy: bool,
-    /// What each call asked for.
-    asked: BTreeMap<u64, Acknowledged>,
-    /// No new orders.
+    /// What each call asks for.
+    requested_kinds: BTreeMap<u64, RequestKind>,
+    /// Whether no new operations begin.
     pub stopped: bool,
     pub changes_acknowledged: u64,
-    pub answered: u64,
+    pub definite_responses: u64,
 }
 
-/// The first of those that read.
-const READER: usize = 2 + ZONES;
+/// The index of the first operator that reads.
+const FIRST_READER: usize = 2 + ZONES;
 const READERS: usize = 1;
-/// With these there are eight operators, so eight orders under way.
+/// The number of reading operators among busy ones: eight operators in all.
 const BUSY_READERS: usize = 3;
-/// Operators that don't change the configuration pause so long at least, in ms; busy ones pause as the others.
-const REST_MS: Millis = 400.0;
-/// A busy operator's connection ends with this chance before it hears an answer.
-const BROKEN_CHANCE: f64 = 0.15;
+/// The shortest pause of operators that don't change the configuration, in ms; busy ones pause as the others.
+const MIN_IDLE_MS: Millis = 400.0;
+/// The probability that a busy operator's connection ends before the response.
+const CONNECTION_LOSS_PROBABILITY: f64 = 0.15;
 
 pub fn zone_name(zone: usize) -> String {
     ["odori-hall", "asahi-hall", "kita-hall"][zone].to_owned()
 }
 
 impl Operators {
-    pub fn new(seed: u64, ballast: usize, pace_ms: Millis, busy: bool) -> Operators {
+    pub fn new(seed: u64, filler_routes: usize, max_pause_ms: Millis, busy: bool) -> Operators {
         let readers = if busy { BUSY_READERS } else { READERS };
         let mut operators: Vec<Operator> = Vec::new();
-        operators.resize_with(READER + readers, Operator::default);
+        operators.resize_with(FIRST_READER + readers, Operator::default);
         operators[1].idle_until = 2500.0;
         operators[2..]
             .iter_mut()
             .for_each(|operator| operator.idle_until = 2500.0);
         Operators {
             random: Pcg64Mcg::seed_from_u64(seed ^ 0x6f70_6572),
-            orders: Vec::new(),
+            operations: Vec::new(),
             operators,
-            belief: Document::default(),
+            known_configuration: Document::default(),
             next_call: 0,
             next_version: 0,
-            ballast,
-            pace_ms,
+            filler_routes,
+            max_pause_ms,
             busy,
-            asked: BTreeMap::new(),
+            requested_kinds: BTreeMap::new(),
             stopped: false,
             changes_acknowledged: 0,
-            answered: 0,
+            definite_responses: 0,
         }
     }
 
     pub fn are_idle(&self) -> bool {
         self.operators
             .iter()
-            .all(|operator| operator.order.is_none())
+            .all(|operator| operator.operation.is_none())
     }
 
-    /// Changes that are under way.
-    fn changes_open(&self) -> usize {
+    /// The number of changes in flight.
+    fn pending_changes(&self) -> usize {
         self.operators[..2]
             .iter()
-            .filter(|operator| operator.order.is_some())
+            .filter(|operator| operator.operation.is_some())
             .count()
     }
 
-    /// Looks at what is due; `machines` is the operators' list.
-    pub fn tick(&mut self, now: Millis, machines: &[usize], checks: &mut Checks) -> Vec<Outgoing> {
+    /// Begins and retries what is due; `machines` is the operators' list.
+    pub fn tick(
+        &mut self,
+        now: Millis,
+        machines: &[usize],
+        oracle: &mut Oracle,
+    ) -> Vec<OutgoingCall> {
         let mut calls = Vec::new();
         for operator in 0..self.operators.len() {
-            if self.operators[operator].order.is_none() {
-                self.begin(now, operator, checks);
+            if self.operators[operator].operation.is_none() {
+                self.begin(now, operator, oracle);
             }
-            if let Some(call) = self.go_on(now, operator, machines) {
+            if let Some(call) = self.send_due(now, operator, machines) {
                 calls.push(call);
             }
         }
         calls
     }
 
-    fn begin(&mut self, now: Millis, operator: usize, checks: &mut Checks) {
+    fn begin(&mut self, now: Millis, operator: usize, oracle: &mut Oracle) {
         if self.stopped || now < self.operators[operator].idle_until {
             return;
         }
         let kind = match operator {
-            0 | 1 if self.operators[operator].lost => {
-                self.operators[operator].lost = false;
-                Kind::Read {
-                    at_least: checks.newest_acknowledged(),
+            0 | 1 if self.operators[operator].must_read => {
+                self.operators[operator].must_read = false;
+                OperationKind::Read {
+                    at_least: oracle.newest_acknowledged(),
                 }
             }
-            0 | 1 => match self.begin_change(now, operator, checks) {
+            0 | 1 => match self.begin_change(now, operator, oracle) {
                 Some(kind) => kind,
                 None => return,
             },
-            READER.. => Kind::Read {
-                at_least: checks.newest_acknowledged(),
+            FIRST_READER.. => OperationKind::Read {
+                at_least: oracle.newest_acknowledged(),
             },
             _ => {
                 let zone = operator - 2;
-                checks.evacuation_sent(&zone_name(zone));
-                Kind::Evacuate {
+                oracle.evacuation_submitted(&zone_name(zone));
+                OperationKind::Evacuate {
                     zone,
                     begin: self.random.gen(),
                 }
             }
         };
-        let order = self.add(now, kind, None);
-        self.operators[operator].order = Some(order);
-        if let Kind::Change {
+        let operation = self.add(now, kind, None);
+        self.operators[operator].operation = Some(operation);
+        if let OperationKind::Change {
             document, based_on, ..
-        } = &self.orders[order].kind
+        } = &self.operations[operation].kind
         {
             let version = document.as_ref().map_or(0, |document| document.version);
             let valid = document.as_ref().filter(|document| {
                 sandtrack_protocol::configuration::Configuration::read(document).is_ok()
                     && version > *based_on
             });
-            checks.configuration_sent(order, version, valid.map(Document::to_json));
+            oracle.configuration_submitted(operation, version, valid.map(Document::to_json));
         }
     }
 
-    fn add(&mut self, now: Millis, kind: Kind, repeats: Option<usize>) -> usize {
-        self.orders.push(Order {
+    fn add(&mut self, now: Millis, kind: OperationKind, resubmits: Option<usize>) -> usize {
+        self.operations.push(Operation {
             kind,
-            repeats,
-            began: now,
-            tries: 0,
+            resubmits,
+            began_at: now,
+            attempts: 0,
             call: None,
-            again_at: now,
+            retry_at: now,
         });
-        self.orders.len() - 1
+        self.operations.len() - 1
     }
 
-    /// A change on top of what is known to be current, or one that was acknowledged once more.
-    fn begin_change(&mut self, now: Millis, operator: usize, checks: &mut Checks) -> Option<Kind> {
-        if let Some(before) = self.operators[operator].repeat {
-            if self.changes_open() > 0 {
+    /// A change of the newest known configuration; or the resubmission of an acknowledged one is begun, and `None` returned.
+    fn begin_change(
+        &mut self,
+        now: Millis,
+        operator: usize,
+        oracle: &mut Oracle,
+    ) -> Option<OperationKind> {
+        if let Some(before) = self.operators[operator].resubmission {
+            if self.pending_changes() > 0 {
                 return None;
             }
-            self.operators[operator].repeat = None;
-            let order = self.add(now, self.orders[before].kind.clone(), Some(before));
-            self.operators[operator].order = Some(order);
+            self.operators[operator].resubmission = None;
+            let operation = self.add(now, self.operations[before].kind.clone(), Some(before));
+            self.operators[operator].operation = Some(operation);
             return None;
         }
-        // While another waits to repeat or repeats one, nothing else is changed.
+        // While another operator resubmits a change, nothing else may change.
         let repeating = self.operators.iter().any(|other| {
-            other.repeat.is_some()
+            other.resubmission.is_some()
                 || other
-                    .order
-                    .is_some_and(|order| self.orders[order].repeats.is_some())
+                    .operation
+                    .is_some_and(|operation| self.operations[operation].resubmits.is_some())
         });
-        if repeating || operator == 1 && self.belief.version == 0 {
+        if repeating || operator == 1 && self.known_configuration.version == 0 {
             return None;
         }
         let other = self.operators[1 - operator]
-            .order
-            .map(|order| self.orders[order].kind.clone());
-        let races = matches!(&other, Some(Kind::Change { based_on, .. }) if *based_on == self.belief.version);
+            .operation
+            .map(|operation| self.operations[operation].kind.clone());
+        let races = matches!(&other, Some(OperationKind::Change { based_on, .. }) if *based_on == self.known_configuration.version);
         let other_version = match &other {
-            Some(Kind::Change {
+            Some(OperationKind::Change {
                 document: Some(document),
                 ..
             }) => Some(document.version),
             _ => None,
         };
-        // One of two that race picks the same number half of the time.
+        // Half of the changes that race pick the version of their rival.
         let same = races && self.random.gen();
         self.next_version =
-            self.next_version.max(self.belief.version) + self.random.gen_range(1..4);
+            self.next_version.max(self.known_configuration.version) + self.random.gen_range(1..4);
         let version = other_version.filter(|_| same).unwrap_or(self.next_version);
-        let _ = checks;
-        // Two that race differ: one content is one change, sent twice.
-        let body_of = |kind: &Kind| match kind {
-            Kind::Change { body, .. } => Some(body.clone()),
+        let _ = oracle;
+        // Rivals differ: the same content would be the same change, submitted twice.
+        let body_of = |kind: &OperationKind| match kind {
+            OperationKind::Change { body, .. } => Some(body.clone()),
             _ => None,
         };
         let others = other.as_ref().and_then(body_of);
@@ -275,12 +285,12 @@
         Some(kind)
     }
 
-    fn change(&mut self, version: u64) -> Kind {
-        let based_on = self.belief.version;
+    fn change(&mut self, version: u64) -> OperationKind {
+        let based_on = self.known_configuration.version;
         if based_on > 0 && self.random.gen_bool(0.3) {
             let body = documents::update(&mut self.random, version);
-            let document = documents::update_in_force(&self.belief, &body);
-            return Kind::Change {
+            let document = documents::apply_update(&self.known_configuration, &body);
+            return OperationKind::Change {
                 based_on,
                 document,
                 replaces: false,
@@ -288,17 +298,17 @@
             };
         }
         let valid = !self.random.gen_bool(0.08);
-        let mut body = documents::whole(
+        let mut body = documents::configuration(
             &mut self.random,
             version,
-            self.ballast,
+            self.filler_routes,
             valid || based_on == 0,
         );
         if !valid && based_on > 0 && self.random.gen() {
             body.truncate(body.len() / 2);
         }
-        let document = documents::whole_in_force(&body);
-        Kind::Change {
+        let document = documents::parse_configuration(&body);
+        OperationKind::Change {
             based_on,
             document,
             replaces: true,
@@ -306,84 +316,104 @@
         }
     }
 
-    /// Sends an order, for the first time or again.
-    fn go_on(&mut self, now: Millis, operator: usize, machines: &[usize]) -> Option<Outgoing> {
-        let number = self.operators[operator].order?;
-        let order = &mut self.orders[number];
-        if order.call.is_some_and(|(_, sent)| now - sent > SILENCE_MS) {
-            order.call = None;
+    /// Sends an operation if its first attempt or a retry is due.
+    fn send_due(
+        &mut self,
+        now: Millis,
+        operator: usize,
+        machines: &[usize],
+    ) -> Option<OutgoingCall> {
+        let number = self.operators[operator].operation?;
+        let operation = &mut self.operations[number];
+        if operation
+            .call
+            .is_some_and(|(_, sent)| now - sent > RESPONSE_TIMEOUT_MS)
+        {
+            operation.call = None;
         }
-        if order.call.is_some() || now < order.again_at || machines.is_empty() {
+        if operation.call.is_some() || now < operation.retry_at || machines.is_empty() {
             return None;
         }
-        let most = if matches!(order.kind, Kind::Evacuate { .. }) {
-            ACKNOWLEDGE_MS
+        let most = if matches!(operation.kind, OperationKind::Evacuate { .. }) {
+            ACKNOWLEDGE_LIMIT_MS
         } else {
-            GIVE_UP_MS
+            CHANGE_TIMEOUT_MS
         };
-        let first_change = matches!(order.kind, Kind::Change { based_on: 0, .. });
-        if now - order.began > most && !first_change {
-            self.ended(now, operator, true);
+        let first_change = matches!(operation.kind, OperationKind::Change { based_on: 0, .. });
+        if now - operation.began_at > most && !first_change {
+            self.finish(now, operator, true);
             return None;
         }
         self.next_call += 1;
-        order.call = Some((self.next_call, now));
-        let pause = (PAUSE_MS * f64::from(1 << order.tries.min(6))).min(PAUSE_MOST_MS);
-        order.again_at = now + pause;
-        order.tries += 1;
+        operation.call = Some((self.next_call, now));
+        let pause =
+            (MIN_BACKOFF_MS * f64::from(1 << operation.attempts.min(6))).min(MAX_BACKOFF_MS);
+        operation.retry_at = now + pause;
+        operation.attempts += 1;
         let machine = machines[self.random.gen_range(0..machines.len())];
-        let (message, about) = message(&order.kind);
-        self.asked.insert(self.next_call, order.kind.asks());
-        if self.busy && self.random.gen_bool(BROKEN_CHANCE) {
-            order.call = None;
+        let (message, description) = message(&operation.kind);
+        self.requested_kinds
+            .insert(self.next_call, operation.kind.request_kind());
+        if self.busy && self.random.gen_bool(CONNECTION_LOSS_PROBABILITY) {
+            operation.call = None;
         }
-        Some(Outgoing {
+        Some(OutgoingCall {
             call: self.next_call,
             machine,
             message,
-            about: format!("order {number}: {about}"),
+            description: format!("operation {number}: {description}"),
         })
     }
 
-    /// The operator is done with its order.
-    fn ended(&mut self, now: Millis, operator: usize, lost: bool) {
-        let pause = self.random.gen_range(0.1..1.0) * self.pace_ms;
+    /// Ends the operator's operation and draws the pause before the next one.
+    fn finish(&mut self, now: Millis, operator: usize, lost: bool) {
+        let pause = self.random.gen_range(0.1..1.0) * self.max_pause_ms;
         let known = &mut self.operators[operator];
-        known.order = None;
-        known.lost |= lost;
+        known.operation = None;
+        known.must_read |= lost;
         known.idle_until = now
             + if operator < 2 || self.busy {
                 pause
             } else {
-                pause.max(REST_MS)
+                pause.max(MIN_IDLE_MS)
             };
     }
 
-    /// What a call of an operator asked for.
-    pub fn asked_by(&self, call: u64) -> Option<Acknowledged> {
-        self.asked.get(&call).copied()
+    /// What a call of an operator asks for.
+    pub fn requested_by(&self, call: u64) -> Option<RequestKind> {
+        self.requested_kinds.get(&call).copied()
     }
 
-    /// Orders under way, each with when it began.
-    pub fn open(&self) -> Vec<(usize, Millis)> {
-        let orders = self.operators.iter().filter_map(|operator| operator.order);
-        orders
-            .map(|order| (order, self.orders[order].began))
+    /// The operations in flight, each with the time when it began.
+    pub fn pending(&self) -> Vec<(usize, Millis)> {
+        let operations = self
+            .operators
+            .iter()
+            .filter_map(|operator| operator.operation);
+        operations
+            .map(|operation| (operation, self.operations[operation].began_at))
             .collect()
     }
 
-    /// A connection broke before the answer came.
-    pub fn failed(&mut self, call: u64) {
-        for order in &mut self.orders {
-            order.call = order.call.filter(|(known, _)| *known != call);
+    /// A connection broke before the response.
+    pub fn connection_failed(&mut self, call: u64) {
+        for operation in &mut self.operations {
+            operation.call = operation.call.filter(|(known, _)| *known != call);
         }
     }
 
-    /// An answer came; one that is late or not clear changes nothing.
-    pub fn answer(&mut self, now: Millis, call: u64, status: u16, body: &str, checks: &mut Checks) {
+    /// Handles a response; one that is late or not definite changes nothing.
+    pub fn handle_response(
+        &mut self,
+        now: Millis,
+        call: u64,
+        status: u16,
+        body: &str,
+        oracle: &mut Oracle,
+    ) {
         let waits = |operator: &Operator| {
-            operator.order.filter(|order| {
-                self.orders[*order]
+            operator.operation.filter(|operation| {
+                self.operations[*operation]
                     .call
                     .is_some_and(|(known, _)| known == call)
             })
@@ -396,90 +426,105 @@
         let Some((operator, number)) = found else {
             return;
         };
-        self.orders[number].call = None;
-        if status == SENT_ON {
-            // It goes on elsewhere without a pause.
-            self.orders[number].again_at = now;
+        self.operations[number].call = None;
+        if status == TEMPORARY_REDIRECT {
+            // The call is retried elsewhere without backoff.
+            self.operations[number].retry_at = now;
             return;
         }
         if status >= 500 || status == 408 || status == 429 {
             return;
         }
-        self.answered += 1;
-        let order = self.orders[number].clone();
-        let lost = match order.kind {
-            Kind::Change {
+        self.definite_responses += 1;
+        let operation = self.operations[number].clone();
+        let lost = match operation.kind {
+            OperationKind::Change {
                 based_on, document, ..
             } => {
-                let repeats = order.repeats;
-                self.changed(
-                    operator, number, repeats, based_on, document, status, checks,
+                let resubmits = operation.resubmits;
+                self.handle_change_response(
+                    operator, number, resubmits, based_on, document, status, oracle,
                 )
             }
-            Kind::Evacuate { zone, begin } => {
+            OperationKind::Evacuate { zone, begin } => {
                 if status == 200 {
-                    checks.evacuation_acknowledged(&zone_name(zone), begin);
+                    oracle.evacuation_acknowledged(&zone_name(zone), begin);
                 }
                 false
             }
-            Kind::Read { at_least } => self.has_read(status, body, at_least, checks),
+            OperationKind::Read { at_least } => {
+                self.handle_read_response(status, body, at_least, oracle)
+            }
         };
-        self.ended(now, operator, lost);
+        self.finish(now, operator, lost);
     }
 
     #[allow(clippy::too_many_arguments)] // what is known of one answer
-    fn changed(
+    fn handle_change_response(
         &mut self,
         operator: usize,
         number: usize,
-        repeats: Option<usize>,
+        resubmits: Option<usize>,
         based_on: u64,
         document: Option<Document>,
         status: u16,
-        checks: &mut Checks,
+        oracle: &mut Oracle,
     ) -> bool {
-        if let Some(first) = repeats {
-            checks.repeat_answered(first, status);
+        if let Some(first) = resubmits {
+            oracle.resubmission_answered(first, status);
             return false;
         }
         if status != 200 {
-            checks.refused(number, status);
+            oracle.rejected(number, status);
             return true;
         }
-        checks.acknowledged(number, based_on);
+        oracle.acknowledged(number, based_on);
         self.changes_acknowledged += 1;
-        if let Some(document) = document.filter(|document| document.version > self.belief.version) {
-            self.belief = document;
+        if let Some(document) =
+            document.filter(|document| document.version > self.known_configuration.version)
+        {
+            self.known_configuration = document;
         }
         if self.random.gen_bool(0.1) {
-            self.operators[operator].repeat = Some(number);
+            self.operators[operator].resubmission = Some(number);
         }
         false
     }
 
-    fn has_read(&mut self, status: u16, body: &str, at_least: u64, checks: &mut Checks) -> bool {
+    fn handle_read_response(
+        &mut self,
+        status: u16,
+        body: &str,
+        at_least: u64,
+        oracle: &mut Oracle,
+    ) -> bool {
         let document = match status {
-            200 => documents::whole_in_force(body).unwrap_or_default(),
+            200 => documents::parse_configuration(body).unwrap_or_default(),
             _ => Document::default(),
         };
-        checks.read_is_fresh(document.version, at_least);
+        oracle.read_is_fresh(document.version, at_least);
         if status == 200 {
-            checks.read_is_what_was_sent(document.version, body);
+            oracle.read_is_what_was_sent(document.version, body);
         }
-        if document.version > self.belief.version {
-            self.belief = document;
+        if document.version > self.known_configuration.version {
+            self.known_configuration = document;
         }
         false
     }
 
-    /// A change for the time after a calm, outside of the operators' own pace: its message, and what it is.
-    pub fn last_change(&mut self, checks: &mut Checks) -> (usize, u64, Message) {
-        self.next_version = self.next_version.max(self.belief.version) + 1;
-        let based_on = self.belief.version;
-        let body = documents::whole(&mut self.random, self.next_version, self.ballast, true);
-        let document = documents::whole_in_force(&body);
-        let number = self.add(0.0, Kind::Read { at_least: 0 }, None);
-        checks.configuration_sent(
+    /// Submits a change in the steady state at the end: the operation, the version that it is based on, and the request.
+    pub fn final_change(&mut self, oracle: &mut Oracle) -> (usize, u64, Message) {
+        self.next_version = self.next_version.max(self.known_configuration.version) + 1;
+        let based_on = self.known_configuration.version;
+        let body = documents::configuration(
+            &mut self.random,
+            self.next_version,
+            self.filler_routes,
+            true,
+        );
+        let document = documents::parse_configuration(&body);
+        let number = self.add(0.0, OperationKind::Read { at_least: 0 }, None);
+        oracle.configuration_submitted(
             number,
             self.next_version,
             document.as_ref().map(Document::to_json),
@@ -487,18 +532,18 @@
         (
             number,
             based_on,
-            documents::call("POST", "/v1/configuration/replace", based_on, &body),
+            documents::request("POST", "/v1/configuration/replace", based_on, &body),
         )
     }
 
-    pub fn believe(&mut self, document: Document) {
-        self.belief = document;
+    pub fn set_known_configuration(&mut self, document: Document) {
+        self.known_configuration = document;
     }
 }
 
-fn message(kind: &Kind) -> (Message, String) {
+fn message(kind: &OperationKind) -> (Message, String) {
     match kind {
-        Kind::Change {
+        OperationKind::Change {
             based_on,
             replaces,
             body,
@@ -508,17 +553,17 @@
             let target = format!("/v1/configuration/{verb}");
             let version = document.as_ref().map(|document| document.version);
             (
-                documents::call("POST", &target, *based_on, body),
+                documents::request("POST", &target, *based_on, body),
                 format!("{verb} {based_on} by {version:?}"),
             )
         }
-        Kind::Evacuate { zone, begin } => {
+        OperationKind::Evacuate { zone, begin } => {
             let verb = if *begin { "begin" } else { "finish" };
             let target = format!("/v1/evacuation/{}/{verb}", zone_name(*zone));
-            (documents::call("POST", &target, 0, ""), target)
+            (documents::request("POST", &target, 0, ""), target)
         }
-        Kind::Read { .. } => (
-            documents::call("GET", "/v1/configuration/read", 0, ""),
+        OperationKind::Read { .. } => (
+            documents::request("GET", "/v1/configuration/read", 0, ""),
             "read".to_owned(),
         ),
     }
--- a/crates/sandtrack-simulation/src/plan/harsh.rs
+++ b/crates/sandtrack-simulation/src/plan/harsh.rs
@@ -1,138 +1,159 @@
-//! Faults of the harsher worlds: closing faults, seed turnover, slow nodes, lost zones. Those that cost machines keep the
-//! distance within which one loss is borne.
-use super::mixed::{core_fault, extra, length, side_fault, target};
+//! The faults of harsher plans: triggered faults, seed turnover, slow nodes, lost zones. Those that make machines unavailable
+//! follow each other only after recovery, since only one such loss at a time is tolerated.
+use super::mixed::{bounded_duration, control_fault, downtime_after, side_fault, target};
 use super::{
-    Acknowledged, Blow, DiskTrouble, Fault, Kind, Millis, Moment, ZoneBack, BACK_MOST_MS,
-    CATCH_UP_MS, FIRST_FAULT_MS, ZONES,
+    ClusterFault, DiskFault, Fault, FaultKind, Millis, RequestKind, Trigger, ZoneRecovery,
+    CATCH_UP_WAIT_MS, FAULT_FREE_START_MS, MAX_DOWNTIME_MS, ZONES,
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// A closing fault waits so long for its moment, in ms.
-const MOMENT_MS: Millis = 3000.0;
-/// A machine that joins has so long to come in, in ms.
-const JOIN_MS: Millis = 5000.0;
-/// Faults that cost no machine come beside the others with this chance.
-const SIDE_CHANCE: f64 = 0.4;
+/// A triggered fault waits this long for its trigger, in ms.
+const TRIGGER_WINDOW_MS: Millis = 3000.0;
+/// The time that a machine is given to join, in ms.
+const JOIN_DURATION_MS: Millis = 5000.0;
+/// The probability of a side fault, which makes no machine unavailable, beside another fault.
+const SIDE_FAULT_PROBABILITY: f64 = 0.4;
 
-pub(super) fn closing(random: &mut Pcg64Mcg, core: usize, span_ms: Millis) -> Vec<Fault> {
-    in_turn(random, span_ms, |random| match random.gen_range(0..4) {
-        0 => core_fault(random, core),
-        _ => closing_fault(random, core),
+pub(super) fn triggered(
+    random: &mut Pcg64Mcg,
+    control_machines: usize,
+    fault_window_ms: Millis,
+) -> Vec<Fault> {
+    sequential_faults(random, fault_window_ms, |random| {
+        match random.gen_range(0..4) {
+            0 => control_fault(random, control_machines),
+            _ => triggered_fault(random, control_machines),
+        }
     })
 }
 
-pub(super) fn turnover(random: &mut Pcg64Mcg, core: usize, span_ms: Millis) -> Vec<Fault> {
-    in_turn(random, span_ms, |random| match random.gen_range(0..12) {
-        0 => Kind::Kill(target(random, core)),
-        1 => Kind::HerdKill,
-        2 => Kind::HerdPower,
-        3 => Kind::Reload(target(random, core)),
-        4 => closing_fault(random, core),
-        5 => Kind::ZoneLoss {
-            zone: random.gen_range(0..ZONES),
-            back: ZoneBack::OtherMachines,
-        },
-        _ => Kind::Replace {
-            target: target(random, core),
-            planned: random.gen(),
-        },
+pub(super) fn turnover(
+    random: &mut Pcg64Mcg,
+    control_machines: usize,
+    fault_window_ms: Millis,
+) -> Vec<Fault> {
+    sequential_faults(random, fault_window_ms, |random| {
+        match random.gen_range(0..12) {
+            0 => FaultKind::Kill(target(random, control_machines)),
+            1 => FaultKind::KillAll,
+            2 => FaultKind::PowerLossAll,
+            3 => FaultKind::Reload(target(random, control_machines)),
+            4 => triggered_fault(random, control_machines),
+            5 => FaultKind::ZoneLoss {
+                zone: random.gen_range(0..ZONES),
+                recovery: ZoneRecovery::NewMachines,
+            },
+            _ => FaultKind::Replace {
+                target: target(random, control_machines),
+                planned: random.gen(),
+            },
+        }
     })
 }
 
-pub(super) fn all_kinds(random: &mut Pcg64Mcg, core: usize, span_ms: Millis) -> Vec<Fault> {
-    in_turn(random, span_ms, |random| match random.gen_range(0..12) {
-        0..=2 => Kind::SlowNode(target(random, core)),
-        3 | 4 => Kind::ZoneLoss {
-            zone: random.gen_range(0..ZONES),
-            back: zone_back(random),
-        },
-        5 | 6 => Kind::Disk {
-            target: target(random, core),
-            trouble: DiskTrouble::Full,
-        },
-        7 | 8 => closing_fault(random, core),
-        9 => Kind::Replace {
-            target: target(random, core),
-            planned: random.gen(),
-        },
-        10 => Kind::Reload(target(random, core)),
-        _ => core_fault(random, core),
+pub(super) fn all_kinds(
+    random: &mut Pcg64Mcg,
+    control_machines: usize,
+    fault_window_ms: Millis,
+) -> Vec<Fault> {
+    sequential_faults(random, fault_window_ms, |random| {
+        match random.gen_range(0..12) {
+            0..=2 => FaultKind::SlowNode(target(random, control_machines)),
+            3 | 4 => FaultKind::ZoneLoss {
+                zone: random.gen_range(0..ZONES),
+                recovery: zone_recovery(random),
+            },
+            5 | 6 => FaultKind::Disk {
+                target: target(random, control_machines),
+                fault: DiskFault::Full,
+            },
+            7 | 8 => triggered_fault(random, control_machines),
+            9 => FaultKind::Replace {
+                target: target(random, control_machines),
+                planned: random.gen(),
+            },
+            10 => FaultKind::Reload(target(random, control_machines)),
+            _ => control_fault(random, control_machines),
+        }
     })
 }
 
-/// One costly fault after the other, each once the one before counts no more, with others beside them.
-fn in_turn(
+/// One fault after the other, each after the recovery from the one before, with side faults beside them.
+fn sequential_faults(
     random: &mut Pcg64Mcg,
-    span_ms: Millis,
-    mut kind: impl FnMut(&mut Pcg64Mcg) -> Kind,
+    fault_window_ms: Millis,
+    mut kind: impl FnMut(&mut Pcg64Mcg) -> FaultKind,
 ) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut at: Millis = FIRST_FAULT_MS + random.gen_range(0.0..3000.0);
-    while at < span_ms {
+    let mut at: Millis = FAULT_FREE_START_MS + random.gen_range(0.0..3000.0);
+    while at < fault_window_ms {
         let kind = kind(random);
         let fault = Fault {
-            at: at.round(),
-            for_ms: how_long(random, kind).round(),
+            at_ms: at.round(),
+            duration_ms: fault_duration(random, kind).round(),
             kind,
         };
-        if random.gen_bool(SIDE_CHANCE) {
+        if random.gen_bool(SIDE_FAULT_PROBABILITY) {
             let after = random.gen_range(0.0..2000.0);
-            let for_ms = random.gen_range(200.0..4000.0);
+            let duration_ms = random.gen_range(200.0..4000.0);
             let side = Fault {
-                at: (at + after).round(),
-                for_ms,
+                at_ms: (at + after).round(),
+                duration_ms,
                 kind: side_fault(random),
             };
-            faults.extend(Some(side).filter(|side| side.ends() < span_ms));
+            faults.extend(Some(side).filter(|side| side.ends_at_ms() < fault_window_ms));
         }
-        at = fault.ends() + until_back(kind) + CATCH_UP_MS + random.gen_range(0.0..2500.0);
+        at = fault.ends_at_ms()
+            + recovery_duration(kind)
+            + CATCH_UP_WAIT_MS
+            + random.gen_range(0.0..2500.0);
         faults.push(fault);
     }
     faults
 }
 
-fn how_long(random: &mut Pcg64Mcg, kind: Kind) -> Millis {
+fn fault_duration(random: &mut Pcg64Mcg, kind: FaultKind) -> Millis {
     match kind {
-        Kind::Closing { .. } => MOMENT_MS,
-        Kind::ZoneLoss { .. } => random.gen_range(300.0..6000.0),
-        Kind::Reload(_) => 0.0,
+        FaultKind::Triggered { .. } => TRIGGER_WINDOW_MS,
+        FaultKind::ZoneLoss { .. } => random.gen_range(300.0..6000.0),
+        FaultKind::Reload(_) => 0.0,
         _ => {
-            let for_ms = random.gen_range(200.0..7000.0);
-            length(kind, for_ms, random)
+            let duration_ms = random.gen_range(200.0..7000.0);
+            bounded_duration(kind, duration_ms, random)
         }
     }
 }
 
 /// From a fault's end until all its machines are back, in ms.
-fn until_back(kind: Kind) -> Millis {
+fn recovery_duration(kind: FaultKind) -> Millis {
     match kind {
-        Kind::Closing { .. } => BACK_MOST_MS + 500.0,
-        Kind::ZoneLoss {
-            back: ZoneBack::OtherMachines,
+        FaultKind::Triggered { .. } => MAX_DOWNTIME_MS + 500.0,
+        FaultKind::ZoneLoss {
+            recovery: ZoneRecovery::NewMachines,
             ..
-        } => JOIN_MS,
-        _ => extra(kind),
+        } => JOIN_DURATION_MS,
+        _ => downtime_after(kind),
     }
 }
 
-fn zone_back(random: &mut Pcg64Mcg) -> ZoneBack {
+fn zone_recovery(random: &mut Pcg64Mcg) -> ZoneRecovery {
     [
-        ZoneBack::WithDisks,
-        ZoneBack::EmptyDisks,
-        ZoneBack::OtherMachines,
+        ZoneRecovery::IntactDisks,
+        ZoneRecovery::EmptyDisks,
+        ZoneRecovery::NewMachines,
     ][random.gen_range(0..3)]
 }
 
-fn closing_fault(random: &mut Pcg64Mcg, core: usize) -> Kind {
-    Kind::Closing {
-        moment: moment(random),
-        blow: blow(random, core),
+fn triggered_fault(random: &mut Pcg64Mcg, control_machines: usize) -> FaultKind {
+    FaultKind::Triggered {
+        trigger: draw_trigger(random),
+        fault: cluster_fault(random, control_machines),
     }
 }
 
-fn moment(random: &mut Pcg64Mcg) -> Moment {
-    // At the very moment, before the answer is there, or a little later.
+fn draw_trigger(random: &mut Pcg64Mcg) -> Trigger {
+    // At once, before the response arrives, or a little later.
     let most = [0.0, 5.0, 60.0][random.gen_range(0..3)];
     let after_ms = if most > 0.0 {
         random.gen_range(0.0..most)
@@ -140,32 +161,32 @@
         0.0
     };
     match random.gen_range(0..8) {
-        0..=3 => Moment::Acknowledged {
-            of: Acknowledged::Change,
+        0..=3 => Trigger::Acknowledgement {
+            of: RequestKind::Change,
             after_ms,
         },
-        4 | 5 => Moment::Acknowledged {
-            of: Acknowledged::Evacuation,
+        4 | 5 => Trigger::Acknowledgement {
+            of: RequestKind::Evacuation,
             after_ms,
         },
-        6 => Moment::Acknowledged {
-            of: Acknowledged::Read,
+        6 => Trigger::Acknowledgement {
+            of: RequestKind::Read,
             after_ms,
         },
-        _ => Moment::Sent { after_ms },
+        _ => Trigger::ChangeSent { after_ms },
     }
 }
 
-fn blow(random: &mut Pcg64Mcg, core: usize) -> Blow {
+fn cluster_fault(random: &mut Pcg64Mcg, control_machines: usize) -> ClusterFault {
     let all = random.gen();
     match random.gen_range(0..6) {
-        0 => Blow::Kill,
-        1 | 2 => Blow::Power,
-        3 | 4 => Blow::Disk {
-            target: target(random, core),
+        0 => ClusterFault::Kill,
+        1 | 2 => ClusterFault::PowerLoss,
+        3 | 4 => ClusterFault::DiskLoss {
+            target: target(random, control_machines),
             all,
         },
-        _ => Blow::ZoneDisks {
+        _ => ClusterFault::ZoneDiskLoss {
             zone: random.gen_range(0..ZONES),
             all,
         },
--- a/crates/sandtrack-simulation/src/front.rs
+++ b/crates/sandtrack-simulation/src/simulated_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy of a world: the real balancer and the real session policy, with the sockets of `session` played by the
-//! simulated network. What comes in is folded as the program does it.
+//! A simulated proxy: the real balancer and the real session policy on the simulated network. It does what the module
+//! `session` of the proxy does with sockets.
 use crate::plan::Millis;
 use sandtrack_protocol::frames::{
     self, ProxyInfo, ProxyState, ToControl, ToProxy, BEAT_MS, FORMAT, SILENCE_MS,
@@ -10,30 +10,30 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// As in `session` of the proxy.
-const CONNECT_MS: Millis = 350.0;
-const PAUSE_MS: Millis = 100.0;
-const LOOK_EVERY_MS: Millis = BEAT_MS as Millis;
+/// The time-out of connecting to a control node, in ms, as in `session` of the proxy.
+const CONNECT_TIMEOUT_MS: Millis = 350.0;
+const SEARCH_BACKOFF_MS: Millis = 100.0;
+const SEARCH_CHECK_INTERVAL_MS: Millis = BEAT_MS as Millis;
 
-/// What is asked of the network.
+/// What a proxy asks of the network.
 #[derive(Debug)]
-pub enum Wish {
+pub enum ProxyEffect {
     Dial { number: u64, address: String },
     Send { number: u64, bytes: Rc<[u8]> },
     Close { number: u64 },
 }
 
-/// A control node that is being asked for a session.
+/// An attempt to begin a session with a control node.
 struct Attempt {
     number: u64,
     address: String,
     opened: bool,
-    until: Millis,
+    deadline: Millis,
 }
 
-/// A round through candidates.
-struct Search {
-    left: VecDeque<String>,
+/// A search through the candidates for a session.
+struct CandidateSearch {
+    remaining: VecDeque<String>,
     accepted: Accepted,
     attempt: Option<Attempt>,
 }
@@ -42,47 +42,47 @@
     number: u64,
     address: String,
     standing: Standing,
-    heard: Millis,
-    next_look: Millis,
-    told_at: Millis,
-    told: Option<ProxyState>,
+    last_frame_at: Millis,
+    next_search_check: Millis,
+    last_state_at: Millis,
+    last_state: Option<ProxyState>,
 }
 
-pub struct Front {
+pub struct SimulatedProxy {
     settings: Settings,
     pub balancer: Balancer,
     pub incarnation: u64,
     session: Option<Session>,
-    search: Option<Search>,
+    search: Option<CandidateSearch>,
     search_at: Millis,
-    vain_rounds: u32,
+    failed_searches: u32,
     next_number: u64,
 }
 
-fn bytes(message: &ToControl) -> Rc<[u8]> {
+fn encode(message: &ToControl) -> Rc<[u8]> {
     frames::frame(message).into()
 }
 
-impl Front {
-    pub fn new(settings: Settings, incarnation: u64, now: Millis) -> Front {
-        Front {
+impl SimulatedProxy {
+    pub fn new(settings: Settings, incarnation: u64, now: Millis) -> SimulatedProxy {
+        SimulatedProxy {
             balancer: Balancer::new(&settings, incarnation),
             settings,
             incarnation,
             session: None,
             search: None,
             search_at: now,
-            vain_rounds: 0,
+            failed_searches: 0,
             next_number: 0,
         }
     }
 
-    /// Version of the configuration in force here; 0 before the first.
+    /// The version of the proxy's configuration; 0 before the first.
     pub fn version(&self) -> u64 {
         self.balancer.state().version
     }
 
-    /// The address of the control node that it has its session with.
+    /// The address of the control node that the session is with.
     pub fn control_node(&self) -> Option<&str> {
         self.session
             .as_ref()
@@ -109,41 +109,41 @@
         }
     }
 
-    /// Looks at what is due.
-    pub fn tick(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
-        self.end_silent(now, wishes);
-        self.tell(now, wishes);
+    /// Does what is due: time-outs, state reports and searches.
+    pub fn tick(&mut self, now: Millis, effects: &mut Vec<ProxyEffect>) {
+        self.close_timed_out_session(now, effects);
+        self.send_state(now, effects);
         if let Some(session) = &mut self.session {
-            if now >= session.next_look && self.search.is_none() {
-                session.next_look = now + LOOK_EVERY_MS;
+            if now >= session.next_search_check && self.search.is_none() {
+                session.next_search_check = now + SEARCH_CHECK_INTERVAL_MS;
                 if session.standing.take_look(now) {
                     let except = session.address.clone();
                     self.begin_search(Accepted::Attached, Some(&except));
                 }
             }
         } else if self.search.is_none() && now >= self.search_at {
-            let accepted = Accepted::in_round(self.balancer.is_ready(), self.vain_rounds);
+            let accepted = Accepted::in_round(self.balancer.is_ready(), self.failed_searches);
             self.begin_search(accepted, None);
         }
-        self.go_on(now, wishes);
+        self.try_next_candidate(now, effects);
     }
 
-    fn end_silent(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
+    fn close_timed_out_session(&mut self, now: Millis, effects: &mut Vec<ProxyEffect>) {
         if let Some(session) = self
             .session
-            .take_if(|session| now - session.heard > SILENCE_MS as Millis)
+            .take_if(|session| now - session.last_frame_at > SILENCE_MS as Millis)
         {
-            wishes.push(Wish::Close {
+            effects.push(ProxyEffect::Close {
                 number: session.number,
             });
-            self.lost(now, wishes);
+            self.session_lost(now, effects);
         }
     }
 
-    /// The session is over: a look for a better one ends with it, and the round begins anew.
-    fn lost(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
+    /// The session is over; the search for a better one ends with it, and a new search begins.
+    fn session_lost(&mut self, now: Millis, effects: &mut Vec<ProxyEffect>) {
         if let Some(attempt) = self.search.take().and_then(|search| search.attempt) {
-            wishes.push(Wish::Close {
+            effects.push(ProxyEffect::Close {
                 number: attempt.number,
             });
         }
@@ -152,35 +152,35 @@
 
     fn begin_search(&mut self, accepted: Accepted, except: Option<&str>) {
         let all = candidates(&self.settings, &self.balancer.control_nodes);
-        let left = all
+        let remaining = all
             .into_iter()
             .filter(|address| Some(address.as_str()) != except)
             .collect();
-        self.search = Some(Search {
-            left,
+        self.search = Some(CandidateSearch {
+            remaining,
             accepted,
             attempt: None,
         });
     }
 
-    /// Takes the next candidate where the one before did not answer in time.
-    fn go_on(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
+    /// Connects to the next candidate if the attempt before has failed or timed out.
+    fn try_next_candidate(&mut self, now: Millis, effects: &mut Vec<ProxyEffect>) {
         let Some(search) = &mut self.search else {
             return;
         };
-        if let Some(attempt) = search.attempt.take_if(|attempt| now > attempt.until) {
-            wishes.push(Wish::Close {
+        if let Some(attempt) = search.attempt.take_if(|attempt| now > attempt.deadline) {
+            effects.push(ProxyEffect::Close {
                 number: attempt.number,
             });
         }
         if search.attempt.is_some() {
             return;
         }
-        match search.left.pop_front() {
+        match search.remaining.pop_front() {
             Some(address) => {
                 self.next_number += 1;
                 let number = self.next_number;
-                wishes.push(Wish::Dial {
+                effects.push(ProxyEffect::Dial {
                     number,
                     address: address.clone(),
                 });
@@ -188,95 +188,107 @@
                     number,
                     address,
                     opened: false,
-                    until: now + CONNECT_MS,
+                    deadline: now + CONNECT_TIMEOUT_MS,
                 });
             }
             None => {
                 self.search = None;
                 if self.session.is_none() {
-                    self.vain_rounds += 1;
-                    self.search_at = now + PAUSE_MS;
+                    self.failed_searches += 1;
+                    self.search_at = now + SEARCH_BACKOFF_MS;
                 }
             }
         }
     }
 
-    fn tell(&mut self, now: Millis, wishes: &mut Vec<Wish>) {
+    fn send_state(&mut self, now: Millis, effects: &mut Vec<ProxyEffect>) {
         let state = self.balancer.state();
         let Some(session) = &mut self.session else {
             return;
         };
-        let marks = |state: &ProxyState| (state.ready, state.leaving, state.version);
-        let same = session.told.as_ref().map(marks) == Some(marks(&state));
-        if !same || now - session.told_at >= BEAT_MS as Millis {
-            wishes.push(Wish::Send {
+        let summary = |state: &ProxyState| (state.ready, state.leaving, state.version);
+        let same = session.last_state.as_ref().map(summary) == Some(summary(&state));
+        if !same || now - session.last_state_at >= BEAT_MS as Millis {
+            effects.push(ProxyEffect::Send {
                 number: session.number,
-                bytes: bytes(&ToControl::State(state.clone())),
+                bytes: encode(&ToControl::State(state.clone())),
             });
-            (session.told, session.told_at) = (Some(state), now);
+            (session.last_state, session.last_state_at) = (Some(state), now);
         }
     }
 
-    pub fn opened(&mut self, now: Millis, number: u64, wishes: &mut Vec<Wish>) {
+    pub fn opened(&mut self, now: Millis, number: u64, effects: &mut Vec<ProxyEffect>) {
         let hello = self.hello();
         let attempt = self
             .search
             .as_mut()
             .and_then(|search| search.attempt.as_mut());
         if let Some(attempt) = attempt.filter(|attempt| attempt.number == number) {
-            (attempt.opened, attempt.until) = (true, now + SILENCE_MS as Millis);
-            wishes.push(Wish::Send {
+            (attempt.opened, attempt.deadline) = (true, now + SILENCE_MS as Millis);
+            effects.push(ProxyEffect::Send {
                 number,
-                bytes: bytes(&hello),
+                bytes: encode(&hello),
             });
         }
     }
 
-    pub fn closed(&mut self, now: Millis, number: u64, wishes: &mut Vec<Wish>) {
+    pub fn closed(&mut self, now: Millis, number: u64, effects: &mut Vec<ProxyEffect>) {
         if self
             .session
             .take_if(|session| session.number == number)
             .is_some()
         {
-            self.lost(now, wishes);
+            self.session_lost(now, effects);
         }
         if let Some(search) = &mut self.search {
             search.attempt.take_if(|attempt| attempt.number == number);
         }
-        self.go_on(now, wishes);
+        self.try_next_candidate(now, effects);
     }
 
-    pub fn frame(&mut self, now: Millis, number: u64, frame: ToProxy, wishes: &mut Vec<Wish>) {
+    pub fn frame(
+        &mut self,
+        now: Millis,
+        number: u64,
+        frame: ToProxy,
+        effects: &mut Vec<ProxyEffect>,
+    ) {
         if let Some(session) = self
             .session
             .as_mut()
             .filter(|session| session.number == number)
         {
-            session.heard = now;
+            session.last_frame_at = now;
             if let ToProxy::Beat { attached } = &frame {
                 session.standing.beat(now, *attached);
             }
             if self.balancer.fold(now, frame) == Folded::WantConfiguration {
-                wishes.push(Wish::Send {
+                effects.push(ProxyEffect::Send {
                     number,
-                    bytes: bytes(&ToControl::WantConfiguration),
+                    bytes: encode(&ToControl::WantConfiguration),
                 });
             }
-            self.tell(now, wishes);
+            self.send_state(now, effects);
             return;
         }
-        self.welcomed(now, number, &frame, wishes);
+        self.handle_welcome(now, number, &frame, effects);
     }
 
-    /// The first frame of a session that was asked for.
-    fn welcomed(&mut self, now: Millis, number: u64, frame: &ToProxy, wishes: &mut Vec<Wish>) {
+    /// Handles the first frame of a new session: a welcome that is accepted replaces the session.
+    fn handle_welcome(
+        &mut self,
+        now: Millis,
+        number: u64,
+        frame: &ToProxy,
+        effects: &mut Vec<ProxyEffect>,
+    ) {
         let Some(search) = &mut self.search else {
             return;
         };
         let Some(attempt) = search.attempt.take_if(|attempt| attempt.number == number) else {
             return;
         };
-        let judged = match frame {
+        let attached = match frame {
             ToProxy::Welcome {
                 format, attached, ..
             } => judge_welcome(*format, *attached, search.accepted)
@@ -284,25 +296,25 @@
                 .ok(),
             _ => None,
         };
-        let Some(attached) = judged else {
-            wishes.push(Wish::Close { number });
-            return self.go_on(now, wishes);
+        let Some(attached) = attached else {
+            effects.push(ProxyEffect::Close { number });
+            return self.try_next_candidate(now, effects);
         };
         if let Some(before) = self.session.take() {
-            wishes.push(Wish::Close {
+            effects.push(ProxyEffect::Close {
                 number: before.number,
             });
         }
-        (self.search, self.vain_rounds) = (None, 0);
+        (self.search, self.failed_searches) = (None, 0);
         self.session = Some(Session {
             number,
             address: attempt.address,
             standing: Standing::new(now, attached),
-            heard: now,
-            next_look: now + LOOK_EVERY_MS,
-            told_at: now,
-            told: None,
+            last_frame_at: now,
+            next_search_check: now + SEARCH_CHECK_INTERVAL_MS,
+            last_state_at: now,
+            last_state: None,
         });
-        self.tell(now, wishes);
+        self.send_state(now, effects);
     }
 }
--- a/crates/sandtrack-simulation/src/world/connections.rs
+++ b/crates/sandtrack-simulation/src/simulation/connections.rs
@@ -1,30 +1,27 @@
-//! Connections that are dialed, accepted and carry frames to the processes at their ends.
+//! Connections: dialing, accepting, and delivery of frames to the processes at their ends.
 use super::event_loop::Event;
-use super::World;
+use super::timing::DIAL_TIMEOUT_MS;
+use super::Simulation;
 use crate::network::{Arrival, Item, Port, Process};
-use crate::plan::Millis;
 use sandtrack_control::node::Input;
 use sandtrack_control::peers::PeerFrame;
 use sandtrack_protocol::frames::{self, ToControl, ToProxy};
 
-/// A machine dials for so long; as in `program` of control.
-const DIAL_MS: Millis = 900.0;
-
-impl World {
-    pub(super) fn plan_arrivals(&mut self) {
-        for arrival in self.network.take_arrivals() {
+impl Simulation {
+    pub(super) fn schedule_arrivals(&mut self) {
+        for arrival in self.network.drain_arrivals() {
             let after = arrival.at - self.now;
-            self.later(after, Event::Arrive(arrival));
+            self.schedule(after, Event::Arrive(arrival));
         }
     }
 
     pub(super) fn dial(&mut self, connection: u64, from: usize, to: usize) {
         let is_there = to < self.machines.len();
-        if is_there && self.network.is_open(from, to) {
+        if is_there && self.network.is_reachable(from, to) {
             let delay = self.network.delay(from, to);
-            self.later(delay, Event::Dialed { connection });
+            self.schedule(delay, Event::Dialed { connection });
         }
-        self.later(DIAL_MS, Event::DialLate { connection });
+        self.schedule(DIAL_TIMEOUT_MS, Event::DialLate { connection });
     }
 
     pub(super) fn dialed(&mut self, connection: u64) {
@@ -32,44 +29,56 @@
             return;
         };
         let (from, to) = (known.ends[0].machine, known.ends[1].machine);
-        if !self.network.is_open(from, to) || !self.network.is_open(to, from) {
+        if !self.network.is_reachable(from, to) || !self.network.is_reachable(to, from) {
             return;
         }
         let delay = self.network.delay(to, from);
-        let stands = self.machines[to].control.is_some();
-        if stands {
-            let life = self.machines[to].control_life;
-            self.network.listen(connection, life);
-            self.later(
+        let accepted = self.machines[to].control.is_some();
+        if accepted {
+            let generation = self.machines[to].control_generation;
+            self.network.accept_pending(connection, generation);
+            self.schedule(
                 0.0,
                 Event::Accept {
                     connection,
                     machine: to,
-                    life,
+                    generation,
                 },
             );
         }
-        self.later(delay, Event::Opened { connection, stands });
+        self.schedule(
+            delay,
+            Event::Opened {
+                connection,
+                accepted,
+            },
+        );
     }
 
-    /// At the end that dialed.
-    pub(super) fn opened(&mut self, connection: u64, stands: bool) {
+    /// The dialing process is notified that its connection is established (`accepted`) or failed.
+    pub(super) fn opened(&mut self, connection: u64, accepted: bool) {
         let Some(known) = self.network.connections.get(&connection) else {
             return;
         };
         let end = known.ends[0].clone();
-        let Some(number) = end.number else { return };
+        let Some(number) = end.local_id else { return };
         let machine = end.machine;
-        // The kernel has it; the process hears of it when it runs again.
+        // The kernel completes the handshake; a frozen process is notified when it runs again.
         if self
-            .waits(machine, Event::Opened { connection, stands })
+            .defer(
+                machine,
+                Event::Opened {
+                    connection,
+                    accepted,
+                },
+            )
             .is_none()
         {
             return;
         }
         match end.process {
             Process::Control => {
-                if self.machines[machine].control_life != end.life {
+                if self.machines[machine].control_generation != end.generation {
                     return;
                 }
                 let control = self.machines[machine].control.as_mut();
@@ -77,7 +86,7 @@
                 else {
                     return;
                 };
-                if stands {
+                if accepted {
                     self.input(machine, Input::LinkOpened { link: number });
                 } else {
                     control.links.remove(&number);
@@ -86,27 +95,29 @@
                 }
             }
             Process::Proxy => {
-                let mut wishes = Vec::new();
+                let mut effects = Vec::new();
                 let now = self.clock(machine);
                 let mine = &mut self.machines[machine];
-                if mine.proxy_life != end.life || !mine.proxy_connections.contains_key(&number) {
+                if mine.proxy_generation != end.generation
+                    || !mine.proxy_connections.contains_key(&number)
+                {
                     return;
                 }
                 let Some(proxy) = mine.proxy.as_mut() else {
                     return;
                 };
-                if stands {
-                    proxy.opened(now, number, &mut wishes);
+                if accepted {
+                    proxy.opened(now, number, &mut effects);
                 } else {
                     mine.proxy_connections.remove(&number);
-                    proxy.closed(now, number, &mut wishes);
+                    proxy.closed(now, number, &mut effects);
                 }
-                self.wishes(machine, wishes);
+                self.perform_proxy_effects(machine, effects);
             }
         }
     }
 
-    pub(super) fn accept(&mut self, connection: u64, machine: usize, life: u64) {
+    pub(super) fn accept(&mut self, connection: u64, machine: usize, generation: u64) {
         let now = self.clock(machine);
         let Some(port) = self
             .network
@@ -116,7 +127,7 @@
         else {
             return;
         };
-        if self.machines[machine].control_life != life {
+        if self.machines[machine].control_generation != generation {
             return;
         }
         let Some(control) = self.machines[machine].control.as_mut() else {
@@ -126,38 +137,38 @@
             Port::Peer => {
                 let link = control.node.link_accepted(now);
                 control.links.insert(link, (connection, 1));
-                self.network.accepted(connection, link);
+                self.network.set_acceptor_id(connection, link);
                 self.input(machine, Input::LinkOpened { link });
             }
             Port::Session => {
                 let session = control.node.session_accepted(now);
                 control.sessions.insert(session, (connection, 1));
-                self.network.accepted(connection, session);
+                self.network.set_acceptor_id(connection, session);
             }
         }
     }
 
     pub(super) fn arrive(&mut self, arrival: Arrival) {
-        let Some(end) = self.network.arrive(self.now, &arrival) else {
-            return self.plan_arrivals();
+        let Some(end) = self.network.receive(self.now, &arrival) else {
+            return self.schedule_arrivals();
         };
         let side = 1 - arrival.from;
         let event = Event::Deliver {
             machine: end.machine,
             process: end.process,
-            life: end.life,
+            generation: end.generation,
             connection: arrival.connection,
             side,
             item: arrival.item,
         };
-        self.happen(event);
+        self.handle_event(event);
     }
 
     pub(super) fn deliver(
         &mut self,
         machine: usize,
         process: Process,
-        life: u64,
+        generation: u64,
         connection: u64,
         side: usize,
         item: Item,
@@ -166,16 +177,16 @@
         let Some(known) = self.network.connections.get(&connection) else {
             return;
         };
-        let (port, number) = (known.port, known.ends[side].number);
+        let (port, number) = (known.port, known.ends[side].local_id);
         let Some(number) = number else { return };
-        if matches!(item, Item::End) {
+        if matches!(item, Item::Fin) {
             self.network.close(self.now, connection, side, true);
         }
         match process {
-            Process::Control if self.machines[machine].control_life == life => {
+            Process::Control if self.machines[machine].control_generation == generation => {
                 self.deliver_to_control(machine, port, number, item);
             }
-            Process::Proxy if self.machines[machine].proxy_life == life => {
+            Process::Proxy if self.machines[machine].proxy_generation == generation => {
                 self.deliver_to_proxy(machine, number, item);
             }
             _ => {}
@@ -209,11 +220,11 @@
                 }
                 _ => return,
             },
-            (Port::Peer, Item::End) => match control.links.remove(&number) {
+            (Port::Peer, Item::Fin) => match control.links.remove(&number) {
                 Some(_) => Input::LinkClosed { link: number },
                 None => return,
             },
-            (Port::Session, Item::End) => {
+            (Port::Session, Item::Fin) => {
                 control.sessions.remove(&number);
                 Input::SessionClosed { session: number }
             }
@@ -223,7 +234,7 @@
 
     pub(super) fn deliver_to_proxy(&mut self, machine: usize, number: u64, item: Item) {
         let now = self.clock(machine);
-        let mut wishes = Vec::new();
+        let mut effects = Vec::new();
         let Some(proxy) = self.machines[machine].proxy.as_mut() else {
             return;
         };
@@ -233,15 +244,15 @@
                 let mut at = 0;
                 while let Ok(Some((frame, length))) = frames::take::<ToProxy>(&bytes[at..]) {
                     at += length;
-                    proxy.frame(now, number, frame, &mut wishes);
+                    proxy.frame(now, number, frame, &mut effects);
                 }
             }
-            Item::End => {
-                proxy.closed(now, number, &mut wishes);
+            Item::Fin => {
+                proxy.closed(now, number, &mut effects);
                 self.machines[machine].proxy_connections.remove(&number);
             }
         }
-        self.wishes(machine, wishes);
+        self.perform_proxy_effects(machine, effects);
         self.proxy_changed(machine, before);
     }
 }
--- a/crates/sandtrack-simulation/src/world/control_effects.rs
+++ b/crates/sandtrack-simulation/src/simulation/control_effects.rs
@@ -1,11 +1,12 @@
-//! What goes into a control node, and what it asks for, carried out as the program does it.
+//! Inputs of control nodes, and their effects, carried out as the real program does it.
 use super::event_loop::Event;
-use super::{World, RESTART_MS};
-use crate::disk::Mode;
-use crate::log_lines;
-use crate::machine::{machine_of, DiskOrder};
+use super::timing::{PLATFORM_LATENCY_MS, RESTART_DELAY_MS};
+use super::Simulation;
+use crate::disk::DiskMode;
+use crate::event_log;
+use crate::machine::{machine_of, DiskRequest};
 use crate::network::{Item, Port, Process};
-use crate::plan::{Millis, ZONES};
+use crate::plan::ZONES;
 use sandtrack_control::node::{Effect, Input};
 use sandtrack_control::peers::LinkOrder;
 use sandtrack_control::reader::{Call, Page};
@@ -14,13 +15,10 @@
 use sandtrack_wal::WalError;
 use std::rc::Rc;
 
-/// A call of the platform, in ms.
-const PLATFORM_MS: Millis = 8.0;
-
-impl World {
+impl Simulation {
     pub(super) fn input(&mut self, machine: usize, input: Input) {
         let now = self.clock(machine);
-        log_lines::set_machine(machine);
+        event_log::set_machine(machine);
         let Some(control) = self.machines[machine].control.as_mut() else {
             return;
         };
@@ -30,20 +28,20 @@
         self.after_input(machine);
     }
 
-    /// Looks at what it shows now, and plans its next look.
+    /// Checks what the control node shows after an input, and schedules its next tick.
     pub(super) fn after_input(&mut self, machine: usize) {
         let now = self.clock(machine);
         let Some(control) = self.machines[machine].control.as_mut() else {
             return;
         };
         let due = control.node.next_due();
-        let plan = due < control.tick_at || control.tick_at <= now;
+        let plan = due < control.next_tick_at || control.next_tick_at <= now;
         if plan {
-            control.tick_at = due.max(now + 0.1);
+            control.next_tick_at = due.max(now + 0.1);
         }
         let state = control.node.control_state();
         let seen = (state.configuration_number(), state.evacuation_number());
-        let before = std::mem::replace(&mut control.seen, seen);
+        let before = std::mem::replace(&mut control.last_numbers, seen);
         let configuration = (seen.0 != before.0).then(|| state.whole()).flatten();
         let evacuated =
             (seen.1 != before.1).then(|| state.evacuated().map(str::to_owned).collect());
@@ -53,64 +51,70 @@
             document,
         }) = configuration
         {
-            self.checks
-                .configuration_in_force(machine, number, version, document);
+            self.oracle
+                .configuration_applied(machine, number, version, document);
         }
         if let Some(zones) = evacuated {
-            self.say(|| format!("machine {machine}: evacuations {} are {zones:?}", seen.1));
-            self.checks.evacuations_in_force(machine, seen.1, zones);
+            self.record(|| format!("machine {machine}: evacuations {} are {zones:?}", seen.1));
+            self.oracle.evacuations_applied(machine, seen.1, zones);
         }
         if plan {
-            let life = self.machines[machine].control_life;
-            let tick_at = self.machines[machine]
+            let generation = self.machines[machine].control_generation;
+            let next_tick_at = self.machines[machine]
                 .control
                 .as_ref()
-                .map_or(now, |control| control.tick_at);
-            self.later(tick_at - now, Event::Tick { machine, life });
+                .map_or(now, |control| control.next_tick_at);
+            self.schedule(
+                next_tick_at - now,
+                Event::Tick {
+                    machine,
+                    generation,
+                },
+            );
         }
     }
 
     pub(super) fn perform(&mut self, machine: usize, effects: Vec<Effect>) {
-        let life = self.machines[machine].control_life;
+        let generation = self.machines[machine].control_generation;
         for effect in effects {
             match effect {
                 Effect::Reply { call, reply } => self.reply(machine, call, reply),
                 Effect::Link(order) => self.link_order(machine, order),
                 Effect::Session(order) => self.session_order(machine, order),
                 Effect::Write { ticket, records } => {
-                    self.disk_order(
+                    self.request_disk(
                         machine,
-                        DiskOrder {
+                        DiskRequest {
                             ticket,
                             records,
-                            rewrites: false,
+                            replaces_log: false,
                         },
                     );
                 }
                 Effect::Rewrite { ticket, records } => {
-                    self.disk_order(
+                    self.request_disk(
                         machine,
-                        DiskOrder {
+                        DiskRequest {
                             ticket,
                             records,
-                            rewrites: true,
+                            replaces_log: true,
                         },
                     );
                 }
-                Effect::Fetch { .. } => self.fetch(machine, life),
+                Effect::Fetch { .. } => self.fetch(machine, generation),
                 Effect::Exit => {
-                    self.say(|| format!("machine {machine}: control has ended"));
+                    self.record(|| format!("machine {machine}: control has ended"));
                     self.kill_control(machine, false);
-                    self.later(RESTART_MS, Event::StartControl { machine });
+                    self.schedule(RESTART_DELAY_MS, Event::StartControl { machine });
                     return;
                 }
             }
         }
-        self.plan_arrivals();
+        self.schedule_arrivals();
     }
 
     fn session_order(&mut self, machine: usize, order: SessionOrder) {
-        let life = self.machines[machine].control_life;
+        let generation = self.machines[machine].control_generation;
         let Some(control) = self.machines[machine].control.as_mut() else {
             return;
         };
@@ -126,13 +130,13 @@
                     return;
                 };
                 self.network.close(self.now, connection, side, false);
-                let (process, item) = (Process::Control, Item::End);
-                self.later(
+                let (process, item) = (Process::Control, Item::Fin);
+                self.schedule(
                     0.0,
                     Event::Deliver {
                         machine,
                         process,
-                        life,
+                        generation,
                         connection,
                         side,
                         item,
@@ -142,8 +146,8 @@
         }
     }
 
-    pub(super) fn fetch(&mut self, machine: usize, life: u64) {
-        let call = if self.platform_down > 0 {
+    pub(super) fn fetch(&mut self, machine: usize, generation: u64) {
+        let call = if self.platform_outages > 0 {
             Call::Failed("down".to_owned())
         } else {
             let entry = |number: usize| UpstreamEntry {
@@ -159,96 +163,104 @@
                 next_token: None,
             })
         };
-        self.later(
-            PLATFORM_MS,
+        self.schedule(
+            PLATFORM_LATENCY_MS,
             Event::Called {
                 machine,
-                life,
+                generation,
                 call,
             },
         );
     }
 
-    pub(super) fn disk_order(&mut self, machine: usize, order: DiskOrder) {
+    pub(super) fn request_disk(&mut self, machine: usize, order: DiskRequest) {
         let Some(control) = self.machines[machine].control.as_mut() else {
             return;
         };
-        control.orders.push_back(order);
-        if control.orders.len() == 1 {
-            self.plan_disk(machine);
+        control.disk_queue.push_back(order);
+        if control.disk_queue.len() == 1 {
+            self.schedule_disk(machine);
         }
     }
 
-    /// Plans the end of what the disk is doing; a stalled one does nothing.
-    pub(super) fn plan_disk(&mut self, machine: usize) {
+    /// Schedules the completion of the disk's current request; a stalled disk completes nothing.
+    pub(super) fn schedule_disk(&mut self, machine: usize) {
         let mine = &self.machines[machine];
         let Some(order) = mine
             .control
             .as_ref()
-            .and_then(|control| control.orders.front())
+            .and_then(|control| control.disk_queue.front())
         else {
             return;
         };
-        let slower = match mine.mode {
-            Mode::Stalled => return,
-            Mode::Slow(slower) => slower,
-            Mode::Well | Mode::Full => 1.0,
+        let slower = match mine.disk_mode {
+            DiskMode::Stalled => return,
+            DiskMode::Slow(slower) => slower,
+            DiskMode::Healthy | DiskMode::Full => 1.0,
         };
-        let (takes, life) = (order.takes() * slower, mine.control_life);
-        self.later(takes, Event::DiskDone { machine, life });
+        let (takes, generation) = (order.duration() * slower, mine.control_generation);
+        self.schedule(
+            takes,
+            Event::DiskDone {
+                machine,
+                generation,
+            },
+        );
     }
 
-    pub(super) fn disk_done(&mut self, machine: usize, life: u64) {
+    pub(super) fn disk_done(&mut self, machine: usize, generation: u64) {
         let mine = &mut self.machines[machine];
-        if mine.control_life != life || mine.mode == Mode::Stalled {
+        if mine.control_generation != generation || mine.disk_mode == DiskMode::Stalled {
             return;
         }
         let Some(control) = mine.control.as_mut() else {
             return;
         };
-        let Some(order) = control.orders.pop_front() else {
+        let Some(order) = control.disk_queue.pop_front() else {
             return;
         };
-        let done = if order.rewrites {
+        let done = if order.replaces_log {
             control.wal.rewrite(&order.records)
         } else {
             control.wal.append(&order.records)
         };
-        self.plan_disk(machine);
+        self.schedule_disk(machine);
         let ticket = order.ticket;
         match done {
-            Ok(()) => self.disk_input(machine, life, Input::Written { ticket }),
+            Ok(()) => self.disk_input(machine, generation, Input::Written { ticket }),
             Err(WalError::Unknown(_)) => {
-                self.say(|| format!("machine {machine}: the WAL is unknown, it starts anew"));
+                self.record(|| format!("machine {machine}: the WAL is unknown, it starts anew"));
                 self.kill_control(machine, false);
-                self.later(RESTART_MS, Event::StartControl { machine });
+                self.schedule(RESTART_DELAY_MS, Event::StartControl { machine });
             }
-            Err(_) => self.disk_input(machine, life, Input::WriteFailed { ticket }),
+            Err(_) => self.disk_input(machine, generation, Input::WriteFailed { ticket }),
         }
     }
 
-    /// The disk works on while its process is frozen; what it tells waits.
-    pub(super) fn disk_input(&mut self, machine: usize, life: u64, input: Input) {
+    /// The disk goes on while its process is frozen; the process is notified once it runs again.
+    pub(super) fn disk_input(&mut self, machine: usize, generation: u64, input: Input) {
         if self.machines[machine].frozen {
-            self.disk_waits
+            self.deferred_disk_inputs
                 .entry(machine)
                 .or_default()
-                .push((life, input));
+                .push((generation, input));
             return;
         }
         self.input(machine, input);
     }
 
     pub(super) fn link_order(&mut self, machine: usize, order: LinkOrder) {
-        let life = self.machines[machine].control_life;
+        let generation = self.machines[machine].control_generation;
         match order {
             LinkOrder::Dial { link, address } => {
                 let Some(to) = machine_of(&address) else {
                     return;
                 };
-                let connection =
-                    self.network
-                        .dial((machine, Process::Control, life, link), to, Port::Peer);
+                let connection = self.network.dial(
+                    (machine, Process::Control, generation, link),
+                    to,
+                    Port::Peer,
+                );
                 if let Some(control) = self.machines[machine].control.as_mut() {
                     control.links.insert(link, (connection, 0));
                 }
--- a/crates/sandtrack-simulation/src/world/operator_calls.rs
+++ b/crates/sandtrack-simulation/src/simulation/operator_calls.rs
@@ -1,9 +1,11 @@
-//! Operators' calls on their way to control nodes, and the answers back.
+//! Calls of operators: delivery to control nodes, and the responses.
 use super::event_loop::Event;
-use super::proxies::ALONE_MOST_MS;
-use super::{World, CONFIGURATION_APPLY_MS, EVACUATION_MS};
+use super::timing::{
+    CLIENT_LATENCY_MS, CONFIGURATION_APPLY_LIMIT_MS, EVACUATION_LIMIT_MS, MAX_ISOLATION_MS,
+};
+use super::Simulation;
 use crate::machine::ip;
-use crate::plan::{Acknowledged, Millis};
+use crate::plan::{Millis, RequestKind};
 use rand::Rng;
 use sandtrack_control::arrivals::Arrival as CallArrival;
 use sandtrack_control::control::Reply;
@@ -11,26 +13,23 @@
 use sandtrack_sidecar_core::message::Message;
 use std::collections::BTreeMap;
 
-/// One way between an operator and a machine, in ms.
-pub(super) const CLIENT_MS: Millis = 3.0;
-
-impl World {
+impl Simulation {
     pub(super) fn operator_call(
         &mut self,
         machine: usize,
         call: u64,
         message: Message,
-        came: Millis,
+        queued_at: Millis,
     ) {
-        if self.network.is_dark(machine) {
+        if self.network.is_powered_off(machine) {
             return;
         }
         let arrival = CallArrival {
-            queued_since: came + self.machines[machine].clock_ahead,
+            queued_since: queued_at + self.machines[machine].clock_offset_ms,
             accepted: self.clock(machine),
         };
         let Some(control) = self.machines[machine].control.as_mut() else {
-            return self.later(CLIENT_MS, Event::CallFailed { call });
+            return self.schedule(CLIENT_LATENCY_MS, Event::CallFailed { call });
         };
         let number = control.node.call_begun(arrival);
         control.calls.insert(number, call);
@@ -57,67 +56,69 @@
             self.status = Some(body);
             return;
         };
-        let alone_ms = self.machines[machine]
-            .alone_since
+        let isolated_ms = self.machines[machine]
+            .isolated_since
             .map_or(0.0, |since| self.now - since);
-        self.checks
-            .definite_answer(machine, status, alone_ms, ALONE_MOST_MS);
+        self.oracle
+            .definite_response(machine, status, isolated_ms, MAX_ISOLATION_MS);
         let is_zone_order = matches!(
-            self.operators.asked_by(call),
-            Some(Acknowledged::Evacuation)
+            self.operators.requested_by(call),
+            Some(RequestKind::Evacuation)
         );
         let own = format!("http://{}:", ip(machine));
         let names_another = location.is_some_and(|location| !location.starts_with(&own));
-        self.checks
+        self.oracle
             .redirect(machine, status, is_zone_order, names_another);
         if status == 200 {
             self.last_acknowledged = Some(machine);
-            if let Some(what) = self.operators.asked_by(call) {
-                self.acknowledgement_leaves(what);
+            if let Some(what) = self.operators.requested_by(call) {
+                self.on_acknowledgement(what);
             }
         }
-        if self.answers_lost > 0 && self.random.gen_bool(0.7) {
+        if self.response_loss_faults > 0 && self.random.gen_bool(0.7) {
             return;
         }
-        self.later(CLIENT_MS, Event::Answer { call, status, body });
+        self.schedule(CLIENT_LATENCY_MS, Event::Response { call, status, body });
     }
 
-    pub(super) fn answer(&mut self, call: u64, status: u16, body: &str) {
-        if let Some((direct, answer)) = &mut self.direct {
-            if *direct == call {
+    pub(super) fn handle_response(&mut self, call: u64, status: u16, body: &str) {
+        if let Some((direct_call, answer)) = &mut self.direct_call {
+            if *direct_call == call {
                 *answer = Some((status, body.to_owned()));
                 return;
             }
         }
-        self.say(|| {
+        self.record(|| {
             let text: String = body.chars().take(80).collect();
             format!("operators: call {call} answered {status} {text}")
         });
         self.operators
-            .answer(self.now, call, status, body, &mut self.checks);
-        self.plan_applied();
+            .handle_response(self.now, call, status, body, &mut self.oracle);
+        self.schedule_propagation_checks();
     }
 
-    pub(super) fn direct_answer(&self) -> Option<(u16, String)> {
-        self.direct.as_ref().and_then(|(_, answer)| answer.clone())
+    pub(super) fn direct_response(&self) -> Option<(u16, String)> {
+        self.direct_call
+            .as_ref()
+            .and_then(|(_, answer)| answer.clone())
     }
 
-    /// What was acknowledged just now is looked for at the proxies when their time is over.
-    pub(super) fn plan_applied(&mut self) {
-        let version = self.checks.newest_acknowledged();
-        if version > std::mem::replace(&mut self.acknowledged_seen, version) {
+    /// Schedules the check that proxies have applied what was acknowledged last.
+    pub(super) fn schedule_propagation_checks(&mut self) {
+        let version = self.oracle.newest_acknowledged();
+        if version > std::mem::replace(&mut self.last_acknowledged_version, version) {
             let event = Event::Applied {
                 version,
                 since: self.now,
             };
-            self.later(CONFIGURATION_APPLY_MS, event);
+            self.schedule(CONFIGURATION_APPLY_LIMIT_MS, event);
         }
-        let settled = self.checks.settled_evacuations();
+        let settled = self.oracle.settled_evacuations();
         let settled: BTreeMap<String, (bool, u64)> = settled
             .map(|(zone, begun, number)| (zone.to_owned(), (begun, number)))
             .collect();
         for (zone, (begun, number)) in &settled {
-            if self.settled_seen.get(zone) != Some(&(*begun, *number)) {
+            if self.last_settled_evacuations.get(zone) != Some(&(*begun, *number)) {
                 let (begun, number) = (*begun, *number);
                 let event = Event::Evacuated {
                     zone: zone.clone(),
@@ -125,9 +126,9 @@
                     number,
                     since: self.now,
                 };
-                self.later(EVACUATION_MS, event);
+                self.schedule(EVACUATION_LIMIT_MS, event);
             }
         }
-        self.settled_seen = settled;
+        self.last_settled_evacuations = settled;
     }
 }
--- a/crates/sandtrack-simulation/src/world/proxies.rs
+++ b/crates/sandtrack-simulation/src/simulation/proxies.rs
@@ -1,16 +1,13 @@
-//! What proxies ask of the network, and what is looked for at them.
+//! Effects and ticks of proxies, and the checks of their configuration.
 use super::event_loop::Event;
-use super::watch::LOOK_MS;
-use super::{World, IN_TOUCH_MS};
-use crate::front::{Front, Wish};
+use super::timing::{CONNECTED_AFTER_MS, MAX_ISOLATION_MS, OBSERVE_INTERVAL_MS};
+use super::Simulation;
 use crate::machine::machine_of;
 use crate::network::{Item, Port, Process};
 use crate::plan::Millis;
+use crate::simulated_proxy::{ProxyEffect, SimulatedProxy};
 
-/// A definite answer may rest on contact that is so old, in ms: silence is noticed, and the call waits, for as long.
-pub(super) const ALONE_MOST_MS: Millis = 1200.0;
-
-impl World {
+impl Simulation {
     pub(super) fn proxy_changed(&mut self, machine: usize, before: u64) {
         let Some(proxy) = self.machines[machine].proxy.as_ref() else {
             return;
@@ -20,33 +17,36 @@
             return;
         }
         let giver = proxy.control_node().and_then(machine_of);
-        self.say(|| format!("proxy {machine}: version {version}"));
-        self.checks.proxy_serves(incarnation, version);
+        self.record(|| format!("proxy {machine}: version {version}"));
+        self.oracle.proxy_serves(incarnation, version);
         if let Some(giver) = giver.filter(|_| before == 0) {
-            let alone_ms = self.machines[giver]
-                .alone_since
+            let isolated_ms = self.machines[giver]
+                .isolated_since
                 .map_or(0.0, |since| self.now - since);
-            self.checks
-                .first_configuration(&format!("proxy {machine}"), alone_ms, ALONE_MOST_MS);
+            self.oracle.first_configuration(
+                &format!("proxy {machine}"),
+                isolated_ms,
+                MAX_ISOLATION_MS,
+            );
         }
     }
 
-    pub(super) fn wishes(&mut self, machine: usize, wishes: Vec<Wish>) {
-        let life = self.machines[machine].proxy_life;
-        for wish in wishes {
+    pub(super) fn perform_proxy_effects(&mut self, machine: usize, effects: Vec<ProxyEffect>) {
+        let generation = self.machines[machine].proxy_generation;
+        for wish in effects {
             match wish {
-                Wish::Dial { number, address } => {
+                ProxyEffect::Dial { number, address } => {
                     let Some(to) = machine_of(&address) else {
                         continue;
                     };
-                    let dialer = (machine, Process::Proxy, life, number);
+                    let dialer = (machine, Process::Proxy, generation, number);
                     let connection = self.network.dial(dialer, to, Port::Session);
                     self.machines[machine]
                         .proxy_connections
                         .insert(number, (connection, 0));
                     self.dial(connection, machine, to);
                 }
-                Wish::Send { number, bytes } => {
+                ProxyEffect::Send { number, bytes } => {
                     let known = self.machines[machine]
                         .proxy_connections
                         .get(&number)
@@ -56,7 +56,7 @@
                             .send(self.now, connection, side, Item::Frame(bytes));
                     }
                 }
-                Wish::Close { number } => {
+                ProxyEffect::Close { number } => {
                     let known = self.machines[machine].proxy_connections.remove(&number);
                     if let Some((connection, side)) = known {
                         self.network.close(self.now, connection, side, false);
@@ -64,53 +64,63 @@
                 }
             }
         }
-        self.plan_arrivals();
+        self.schedule_arrivals();
     }
 
-    pub(super) fn proxy_tick(&mut self, machine: usize, life: u64) {
+    pub(super) fn proxy_tick(&mut self, machine: usize, generation: u64) {
         let now = self.clock(machine);
         let mine = &mut self.machines[machine];
-        if mine.proxy_life != life || mine.frozen {
+        if mine.proxy_generation != generation || mine.frozen {
             return;
         }
         let Some(proxy) = mine.proxy.as_mut() else {
             return;
         };
-        let mut wishes = Vec::new();
-        proxy.tick(now, &mut wishes);
-        self.wishes(machine, wishes);
-        self.later(LOOK_MS, Event::ProxyTick { machine, life });
+        let mut effects = Vec::new();
+        proxy.tick(now, &mut effects);
+        self.perform_proxy_effects(machine, effects);
+        self.schedule(
+            OBSERVE_INTERVAL_MS,
+            Event::ProxyTick {
+                machine,
+                generation,
+            },
+        );
     }
 
-    /// The proxies that have run for long enough to be in touch.
-    pub(super) fn proxies_in_touch(&self) -> Vec<usize> {
+    /// The proxies that have run long enough to be connected to a control node.
+    pub(super) fn connected_proxies(&self) -> Vec<usize> {
         let in_touch = |machine: &usize| {
             let mine = &self.machines[*machine];
             mine.proxy.is_some()
                 && !mine.frozen
                 && !mine.removed
-                && self.now - mine.runs_since > IN_TOUCH_MS
+                && self.now - mine.running_since > CONNECTED_AFTER_MS
         };
         (0..self.machines.len()).filter(in_touch).collect()
     }
 
-    pub(super) fn proxies_have(&mut self, version: u64, bound_ms: Millis) {
-        for machine in self.proxies_in_touch() {
+    pub(super) fn check_proxy_versions(&mut self, version: u64, bound_ms: Millis) {
+        for machine in self.connected_proxies() {
             let has = self.machines[machine]
                 .proxy
                 .as_ref()
-                .map_or(0, Front::version);
-            self.checks
-                .proxy_in_touch(&format!("proxy {machine}"), has, version, bound_ms);
+                .map_or(0, SimulatedProxy::version);
+            self.oracle.connected_proxy_version(
+                &format!("proxy {machine}"),
+                has,
+                version,
+                bound_ms,
+            );
         }
     }
 
-    pub(super) fn proxies_evacuated(&mut self, zone: &str, begun: bool) {
-        for machine in self.proxies_in_touch() {
+    pub(super) fn check_proxy_evacuations(&mut self, zone: &str, begun: bool) {
+        for machine in self.connected_proxies() {
             let proxy = self.machines[machine].proxy.as_ref();
             let has = proxy.is_some_and(|proxy| proxy.balancer.evacuated.contains(zone));
-            self.checks
-                .proxy_in_touch_evacuates(&format!("proxy {machine}"), zone, has, begun);
+            self.oracle
+                .connected_proxy_evacuations(&format!("proxy {machine}"), zone, has, begun);
         }
     }
 }
--- a/crates/sandtrack-simulation/tests/same_worlds.rs
+++ b/crates/sandtrack-simulation/tests/same_worlds.rs
@@ -1,6 +1,6 @@
 //! Worlds from seeds play as they did: a change of names or of structure must not show in what happens in them.
 use sandtrack_simulation::plan::Plan;
-use sandtrack_simulation::search::{digest, play, THREADS};
+use sandtrack_simulation::runner::{digest, run, DEFAULT_THREADS};
 
 /// Worlds that are compared.
 const WORLDS: u64 = 50;
@@ -9,16 +9,20 @@
 
 /// What one world came to, in figures: names of fields and rules may change.
 fn figures(seed: u64) -> String {
-    let outcome = play(&Plan::drawn(seed));
+    let outcome = run(&Plan::mixed(seed));
     let (calls, changes, views) = (outcome.calls, outcome.changes, outcome.views);
-    let (frames, closing_faults, broken) = (outcome.frames, outcome.blows, outcome.broken.len());
+    let (frames, closing_faults, broken) = (
+        outcome.frames,
+        outcome.triggered_faults,
+        outcome.violations.len(),
+    );
     format!("{seed}: {calls} {changes} {views} {frames} {closing_faults} {broken}")
 }
 
 /// The figures of all worlds in the order of their seeds, played on several threads.
 fn all_figures() -> Vec<String> {
     let seeds: Vec<u64> = (1..=WORLDS).collect();
-    let share = seeds.len().div_ceil(THREADS);
+    let share = seeds.len().div_ceil(DEFAULT_THREADS);
     std::thread::scope(|scope| {
         let play_share =
             |seeds: &[u64]| seeds.iter().map(|seed| figures(*seed)).collect::<Vec<_>>();
