--- a/crates/sandtrack-model-checker/src/world/event.rs
+++ b/crates/sandtrack-model-checker/src/cluster/event.rs
@@ -1,43 +1,54 @@
-//! What is under way: messages, writes and calls.
+//! Events in flight: messages, writes and calls.
 use std::sync::Arc;
 
 use sandtrack_control::arrivals::Arrival;
 use sandtrack_replication::Message;
 
-use super::callers::order_of;
+use super::call_id::operation_index;
 use crate::hashing::{hash_of, hash_of_bytes};
 use crate::node::address;
 
-/// Something that is under way.
+/// An event in flight.
 #[derive(Clone, PartialEq)]
 pub enum Event {
+    /// A message of one replica to another.
     Message {
+        /// The index of the sender.
         from: usize,
+        /// The index of the receiver.
         to: usize,
+        /// The message.
         message: Message,
     },
     /// The disk confirms a write.
-    Written { node: usize, ticket: u64 },
+    Written {
+        /// The index of the machine.
+        node: usize,
+        /// The identifier of the write.
+        ticket: u64,
+    },
     /// A call in a machine's socket.
     Call {
+        /// The index of the machine.
         node: usize,
+        /// The identifier of the call.
         call: u64,
-        /// As far as it was accepted.
+        /// When it arrived, and was accepted.
         arrival: ArrivalTime,
     },
 }
 
-/// When a call came, on the clock of the machine that it lies at.
+/// When a call arrived, on the clock of the machine that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ArrivalTime {
-    /// A machine that runs accepts a connection as it comes, one that wakes all that waits.
+    /// A machine that runs accepts a connection at its arrival, one that is resumed all that are queued.
     Accepted { queued_since: f64, at: f64 },
-    /// The machine is frozen; the time is when it ran last.
+    /// The machine is frozen; `since` is when it ran last.
     Queued { since: f64 },
 }
 
 impl ArrivalTime {
-    /// For a machine that reads the call at `now`.
+    /// The arrival, for a machine that reads the call at `now`.
     pub fn read(self, now: f64) -> Arrival {
         match self {
             Self::Accepted { queued_since, at } => Arrival {
@@ -51,7 +62,7 @@
         }
     }
 
-    /// The machine woke at `now`.
+    /// The time after the machine was resumed at `now`.
     fn accepted(self, now: f64) -> Self {
         match self {
             Self::Queued { since } => Self::Accepted {
@@ -70,9 +81,10 @@
     }
 }
 
-/// An event, and its hash.
+/// An event with its hash.
 #[derive(Clone)]
 pub struct Queued {
+    /// The event.
     pub event: Event,
     pub(super) hash: u64,
 }
@@ -91,7 +103,7 @@
         Arc::new(Self { event, hash })
     }
 
-    /// The same once its machine woke at `now`; `None` where that changes nothing.
+    /// The event after its machine was resumed at `now`; `None` if that changes nothing.
     pub(super) fn after_wake(&self, index: usize, now: f64) -> Option<Arc<Self>> {
         match self.event {
             Event::Call {
@@ -107,7 +119,7 @@
         }
     }
 
-    /// Where it happens.
+    /// The index of the machine at which it happens.
     pub(super) fn node(&self) -> usize {
         match self.event {
             Event::Message { to, .. } => to,
@@ -115,7 +127,7 @@
         }
     }
 
-    /// In one line, for a replay.
+    /// A description in one line, for a replay.
     pub fn describe(&self) -> String {
         match &self.event {
             Event::Message { from, to, message } => {
@@ -123,7 +135,7 @@
             }
             Event::Written { node, .. } => format!("disk of {} is done", address(*node)),
             Event::Call { node, call, .. } => {
-                format!("call {} at {}", order_of(*call), address(*node))
+                format!("call {} at {}", operation_index(*call), address(*node))
             }
         }
     }
--- a/crates/sandtrack-model-checker/src/world/machines.rs
+++ b/crates/sandtrack-model-checker/src/cluster/nodes.rs
@@ -1,14 +1,14 @@
-//! Machines, their clocks and their disks.
+//! The machines, their clocks and their disks.
 use std::sync::Arc;
 
 use sandtrack_replication::{Effect, Input};
 
-use super::{Event, Queued, World};
+use super::{Cluster, Event, Queued};
 use crate::history::History;
 use crate::machine::Machine;
-use crate::node::{address, Node, Output, PendingWrite, Place, TICK};
+use crate::node::{address, Membership, Node, Output, PendingWrite, TICK_MS};
 
-impl<M: Machine> World<M> {
+impl<M: Machine> Cluster<M> {
     pub(super) fn history_mut(&mut self) -> &mut History {
         Arc::make_mut(&mut self.history)
     }
@@ -27,13 +27,13 @@
 
     pub(super) fn tick_all(&mut self) {
         self.now += 1;
-        self.calm = if self.troubled() {
+        self.steady_ticks = if self.has_active_fault() {
             0
         } else {
-            self.calm.saturating_add(1).min(32)
+            self.steady_ticks.saturating_add(1).min(32)
         };
-        self.give_up();
-        let now = f64::from(self.now) * TICK;
+        self.time_out_call();
+        let now = f64::from(self.now) * TICK_MS;
         for index in 0..self.nodes.len() {
             if self.nodes[index].frozen {
                 continue;
@@ -44,7 +44,7 @@
     }
 
     pub(super) fn tick_one(&mut self, index: usize) {
-        self.change(index, |node| node.clock += TICK);
+        self.change(index, |node| node.clock += TICK_MS);
         self.input(index, Input::Tick);
     }
 
@@ -52,9 +52,9 @@
         let present = self
             .nodes
             .iter()
-            .filter(|node| node.place == Place::Present);
+            .filter(|node| node.membership == Membership::Present);
         let seeds: Vec<String> = present.take(3).map(|node| address(node.index)).collect();
-        let now = f64::from(self.now) * TICK;
+        let now = f64::from(self.now) * TICK_MS;
         let effects = self.change(index, |node| {
             node.clock = node.clock.max(now);
             node.start(&seeds, first_start)
@@ -62,46 +62,46 @@
         self.carry_out(index, effects);
     }
 
-    /// What is under way at the process goes with it; what it sent goes on.
-    pub(super) fn crash(&mut self, index: usize, kept: bool) {
-        self.change(index, |node| node.crash(kept));
+    /// Crashes a process: its pending events are lost, the messages that it sent are not.
+    pub(super) fn crash(&mut self, index: usize, write_completed: bool) {
+        self.change(index, |node| node.crash(write_completed));
         let gone = |event: &Arc<Queued>| match event.event {
             Event::Message { .. } => false,
             Event::Written { node, .. } | Event::Call { node, .. } => node == index,
         };
         self.queue.retain(|event| !gone(event));
-        self.held.retain(|event| !gone(event));
+        self.delayed.retain(|event| !gone(event));
     }
 
     pub(super) fn wipe(&mut self, index: usize) {
         self.crash(index, false);
         let member = self.change(index, Node::wipe);
-        self.history_mut().dead.extend(member);
+        self.history_mut().lost_members.extend(member);
     }
 
     pub(super) fn replace(&mut self, index: usize) {
         self.wipe(index);
-        self.change(index, |node| node.place = Place::Removed);
+        self.change(index, |node| node.membership = Membership::Removed);
         let spare = self
             .nodes
             .iter()
-            .position(|node| node.place == Place::Spare);
+            .position(|node| node.membership == Membership::Spare);
         if let Some(spare) = spare {
-            self.change(spare, |node| node.place = Place::Present);
+            self.change(spare, |node| node.membership = Membership::Present);
             self.start(spare, false);
         }
     }
 
     pub(super) fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
         // A view may be agreed upon in the same step that made this process accept it.
-        if self.history.accepts_anew(&self.nodes[index]) {
-            Arc::make_mut(&mut self.history).note_accepted(&self.nodes[index]);
+        if self.history.has_new_acceptance(&self.nodes[index]) {
+            Arc::make_mut(&mut self.history).record_accepted(&self.nodes[index]);
         }
         for output in outputs {
             let effect = match output {
                 Output::Effect(effect) => effect,
-                Output::Told { call, told } => {
-                    self.told(index, call, told);
+                Output::Response { call, outcome } => {
+                    self.respond(index, call, outcome);
                     continue;
                 }
             };
@@ -124,7 +124,7 @@
         }
         let issued = self.issued();
         let (node, script) = (&self.nodes[index], &self.setup.script);
-        if self.history.is_news(node, script, issued) {
+        if self.history.has_changed(node, script, issued) {
             Arc::make_mut(&mut self.history).observe(node, script, issued);
         }
     }
@@ -154,9 +154,9 @@
         let last = replica.filter(|replica| replica.applied_number() == number);
         let epoch = last.map(|replica| replica.applied_epoch());
         let script = &self.setup.script;
-        let place = M::place_of(script, command);
-        let won = M::is_taken(outcome);
+        let membership = M::script_index(script, command);
+        let won = M::is_accepted(outcome);
         self.history_mut()
-            .applied(number, epoch, command, place, won);
+            .applied(number, epoch, command, membership, won);
     }
 }
--- a/crates/sandtrack-model-checker/src/hashing.rs
+++ b/crates/sandtrack-model-checker/src/hashing.rs
@@ -2,11 +2,12 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{Result, Write};
 
-/// Takes what is written to it into a hash.
+/// A writer that hashes what is written to it.
 #[derive(Default)]
 pub struct HashWriter(DefaultHasher);
 
 impl HashWriter {
+    /// The hash of all that was written.
     pub fn finish(&self) -> u64 {
         self.0.finish()
     }
--- a/crates/sandtrack-model-checker/src/lib.rs
+++ b/crates/sandtrack-model-checker/src/lib.rs
@@ -1,18 +1,20 @@
-//! Model checking of the replication code: the real replicas over a modelled network, modelled disks, clocks and callers,
-//! every order of events within the bounds of a set-up. Not part of the system; `docs/system/model.md` tells what is
-//! modelled and what can't be seen.
+//! Model checking of the replication code: the real replicas on a modelled network, modelled disks, clocks and callers, in
+//! every order of events within the bounds of a set-up; and of the election of the poller of the platform's endpoint list.
+//! Not part of the system; `docs/system/model.md` describes what is modelled and what can't be seen.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 pub mod action;
+pub mod call_frontend;
 pub mod checker;
-pub mod duty;
+pub mod cluster;
+pub mod control_frontend;
 pub mod hashing;
 pub mod history;
-pub mod interface;
 pub mod machine;
 pub mod node;
-pub mod operators;
-pub mod order;
+pub mod operation;
+pub mod partitions;
+pub mod poller_election;
 pub mod properties;
 pub mod setup;
 pub mod trace;
-pub mod world;
--- a/crates/sandtrack-model-checker/src/order.rs
+++ b/crates/sandtrack-model-checker/src/operation.rs
@@ -1,46 +1,53 @@
-//! What operators order in the model, what they are told, and configurations as texts.
+//! The operations of operators in the model, their outcomes, and the documents of configurations.
 use sandtrack_protocol::document::Document;
 
-/// The zone that the orders of the model evacuate.
+/// The zone that the operations of the model evacuate.
 pub const ZONE: &str = "z";
 
-/// What an operator orders.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
-    /// A configuration that builds on `based_on`; `mark` tells the bytes of two of one version apart.
+pub enum Operation {
+    /// A configuration based on version `based_on`; `mark` distinguishes documents of the same version.
     Change {
+        /// The version that it replaces.
         based_on: u64,
+        /// Its own version.
         version: u64,
+        /// Distinguishes its document from others of the same version.
         mark: char,
     },
-    /// The zone is evacuated, or is so no longer. Not conditional.
-    Evacuate { begin: bool },
+    /// The evacuation of [`ZONE`] begins or ends, unconditionally.
+    Evacuate {
+        /// Whether it begins.
+        begin: bool,
+    },
     /// The configuration is read back.
     Read,
 }
 
-/// What came of an order, as its caller is told.
+/// The definite outcome of a call, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum CallOutcome {
     /// 200.
-    Taken,
+    Accepted,
     /// 412.
-    OtherVersion,
+    VersionMismatch,
     /// 400.
     Invalid,
     /// What was read.
-    Read(Shown),
+    Read(VisibleConfiguration),
 }
 
-/// What a configuration looks like from outside.
+/// A configuration as it is visible from outside.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Shown {
+pub struct VisibleConfiguration {
+    /// The version; 0 before the first configuration.
     pub version: u64,
-    /// Of the configuration's bytes; a blank where there is none.
+    /// The mark of the document; a NUL character before the first configuration.
     pub mark: char,
 }
 
-/// A configuration's text.
+/// The document of a configuration.
 pub(crate) fn body(version: u64, mark: char) -> Vec<u8> {
     let limits =
         r#"{"header_size_bytes":1,"body_size_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1}"#;
@@ -52,10 +59,10 @@
         .into_bytes()
 }
 
-/// The version and the mark of a configuration's text; a foreign text has the mark `?`.
-pub(crate) fn shown_in(text: &str) -> Shown {
+/// The version and the mark of a document; the mark of an unknown one is `?`.
+pub(crate) fn visible_configuration_in(text: &str) -> VisibleConfiguration {
     let Ok(document) = Document::parse(text.as_bytes()) else {
-        return Shown {
+        return VisibleConfiguration {
             version: 0,
             mark: '?',
         };
@@ -65,7 +72,7 @@
         .and_then(|routes| routes.first())
         .map(|route| route.name.clone());
     let mark = name.and_then(|name| name.chars().next()).unwrap_or('?');
-    Shown {
+    VisibleConfiguration {
         version: document.version,
         mark,
     }
--- a/crates/sandtrack-model-checker/src/setup.rs
+++ b/crates/sandtrack-model-checker/src/setup.rs
@@ -1,101 +1,118 @@
-//! What a run starts from: the machines, the script of the operators, how steps are scheduled, and how much of each
-//! trouble may happen.
-use crate::machine::Order;
+//! The set-ups of a search: the machines, the script of the operators, the scheduling, and how often each fault may happen.
+use crate::machine::Operation;
 
 /// Which steps may come next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Scheduling {
-    /// Events happen in the order of their causes, and time goes on when there are none; each departure from that costs one
-    /// deviation (delay-bounded scheduling). Goes deep.
+    /// Events happen in the order of their causes, and time advances when there are none; each deviation from that costs one
+    /// (delay-bounded scheduling). Reaches deep states.
     Ordered,
-    /// Any event may be the next. Complete up to its depth, which is small.
+    /// Any event may be the next. Complete up to its small depth.
     Free,
 }
 
-/// How often each thing may happen still.
+/// How often each kind of action may still happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// All that follows together, but for ticks.
+    /// All faults and deviations together.
     pub deviations: u8,
+    /// Delays of an event.
     pub holds: u8,
+    /// Duplicates of a message or a call.
     pub duplicates: u8,
+    /// Crashes of one process.
     pub crashes: u8,
+    /// Losses of power of all machines.
     pub power_losses: u8,
+    /// Losses of a disk.
     pub wipes: u8,
+    /// Replacements of a machine by a spare one.
     pub replacements: u8,
+    /// Freezes of a process.
     pub freezes: u8,
-    /// One way, between two machines.
-    pub cuts: u8,
-    /// All ways of one machine.
+    /// One-way partitions between two machines.
+    pub partitions: u8,
+    /// Partitions between one machine and all others.
     pub isolations: u8,
+    /// Ticks of all machines.
     pub ticks: u8,
     /// Early ticks of one machine; all ticks in free scheduling.
     pub single_ticks: u8,
-    /// Times that an order is sent, for all orders together.
+    /// Times that operations are sent, all operations together.
     pub sends: u8,
 }
 
+/// What a search starts from, and its bounds.
 #[derive(Clone, Debug)]
 pub struct Setup {
+    /// Its name on the command line and in traces.
     pub name: &'static str,
+    /// Which steps may come next.
     pub scheduling: Scheduling,
-    /// Machines from the start; the first three are the seeds.
+    /// Initial machines; the first three are the seeds.
     pub machines: usize,
-    /// Machines that may take a removed one's place.
+    /// Machines that may replace a removed one.
     pub spares: usize,
-    pub script: Vec<Order>,
-    /// Before the run starts, this many of the script's orders are sent and acknowledged.
-    pub prepared: usize,
+    /// The operations of the operators, in their order.
+    pub script: Vec<Operation>,
+    /// This many operations of the script are sent and acknowledged before the search begins.
+    pub prepared_operations: usize,
+    /// How often each kind of action may happen.
     pub budget: Budget,
-    /// A machine is lost only while no other is, and this many calm ticks after the last one came back. `None`: at any time.
-    pub calm_between_losses: Option<u8>,
-    /// Whether heartbeats may be held or doubled as well.
-    pub statuses_too: bool,
-    /// No more events than these are under way in free scheduling; a state with more is not followed.
-    pub most_events: usize,
-    /// Two machines that hear nothing of each other: when the run starts, each is about to propose a view without the other.
-    pub apart: Option<(usize, usize)>,
-    /// Ticks after which an operator gives up the call of an evacuation; only then, or once it is answered, it sends the
-    /// next. `None`: several operators order at once.
-    pub patience: Option<u8>,
+    /// A machine is lost only while no other is, and this many ticks after the last fault. `None`: at any time.
+    pub steady_ticks_between_losses: Option<u8>,
+    /// Whether heartbeats may be delayed or duplicated as well.
+    pub delays_heartbeats: bool,
+    /// In free scheduling, a state with more events in flight is not followed.
+    pub max_events_in_flight: usize,
+    /// Two machines that are partitioned from each other: initially, each is about to propose a view without the other.
+    pub partitioned_pair: Option<(usize, usize)>,
+    /// Ticks after which an operator gives up the call of an evacuation; it sends the next one only then, or after a response.
+    /// `None`: several operators send evacuations at once.
+    pub call_timeout_ticks: Option<u8>,
 }
 
-/// A caller goes elsewhere after a second; in whole ticks.
-const PATIENCE_TICKS: u8 = 4;
+/// A caller goes elsewhere after a second, rounded to ticks.
+const CALL_TIMEOUT_TICKS: u8 = 4;
 
-fn change(based_on: u64, mark: char) -> Order {
-    Order::Change {
+fn change(based_on: u64, mark: char) -> Operation {
+    Operation::Change {
         based_on,
         version: based_on + 1,
         mark,
     }
 }
 
-/// Two operators pick the same number for different changes; then one reads.
-fn rivals() -> Vec<Order> {
-    vec![change(0, 'a'), change(1, 'b'), change(1, 'c'), Order::Read]
+/// Two operators pick the same version for different changes; then one reads.
+fn rivals() -> Vec<Operation> {
+    vec![
+        change(0, 'a'),
+        change(1, 'b'),
+        change(1, 'c'),
+        Operation::Read,
+    ]
 }
 
-fn evacuation() -> Vec<Order> {
+fn evacuation() -> Vec<Operation> {
     vec![
         change(0, 'a'),
-        Order::Evacuate { begin: true },
-        Order::Evacuate { begin: false },
+        Operation::Evacuate { begin: true },
+        Operation::Evacuate { begin: false },
     ]
 }
 
-/// The zone is evacuated; the finish may be late, and is overtaken by a begin that finds the zone evacuated still.
-fn overtaking() -> Vec<Order> {
+/// A begin and a finish, which may be late and overtaken by another begin.
+fn overtaking() -> Vec<Operation> {
     vec![
         change(0, 'a'),
-        Order::Evacuate { begin: true },
-        Order::Evacuate { begin: false },
-        Order::Evacuate { begin: true },
+        Operation::Evacuate { begin: true },
+        Operation::Evacuate { begin: false },
+        Operation::Evacuate { begin: true },
     ]
 }
 
 impl Setup {
-    /// Three machines in line with one change committed; rival changes while a view changes.
+    /// Three machines with one committed change; rival changes while a view changes.
     fn base(name: &'static str, budget: Budget) -> Self {
         Self {
             name,
@@ -103,13 +120,13 @@
             machines: 3,
             spares: 0,
             script: rivals(),
-            prepared: 1,
+            prepared_operations: 1,
             budget,
-            calm_between_losses: None,
-            statuses_too: false,
-            most_events: 24,
-            apart: None,
-            patience: None,
+            steady_ticks_between_losses: None,
+            delays_heartbeats: false,
+            max_events_in_flight: 24,
+            partitioned_pair: None,
+            call_timeout_ticks: None,
         }
     }
 
@@ -160,7 +177,7 @@
             Self::base(
                 "cuts",
                 Budget {
-                    cuts: 2,
+                    partitions: 2,
                     isolations: 1,
                     ticks: 16,
                     ..calls
@@ -199,7 +216,7 @@
                     power_losses: 1,
                     wipes: 1,
                     freezes: 1,
-                    cuts: 1,
+                    partitions: 1,
                     isolations: 1,
                     single_ticks: 1,
                     ticks: 40,
@@ -209,7 +226,7 @@
             ),
             Self {
                 spares: 1,
-                calm_between_losses: Some(6),
+                steady_ticks_between_losses: Some(6),
                 ..Self::base(
                     "spaced",
                     Budget {
@@ -241,8 +258,8 @@
             },
             Self {
                 script: overtaking(),
-                prepared: 2,
-                patience: Some(PATIENCE_TICKS),
+                prepared_operations: 2,
+                call_timeout_ticks: Some(CALL_TIMEOUT_TICKS),
                 ..Self::base(
                     "overtaken-order",
                     Budget {
@@ -257,21 +274,21 @@
                 )
             },
             Self {
-                apart: Some((1, 2)),
+                partitioned_pair: Some((1, 2)),
                 ..Self::base(
                     "rival-views",
                     Budget {
                         deviations: 2,
                         crashes: 1,
                         holds: 2,
-                        cuts: 1,
+                        partitions: 1,
                         ticks: 6,
                         ..none
                     },
                 )
             },
             Self {
-                apart: Some((1, 2)),
+                partitioned_pair: Some((1, 2)),
                 ..Self::base(
                     "rival-views-wipe",
                     Budget {
@@ -300,7 +317,8 @@
         ]
     }
 
-    pub fn named(name: &str) -> Option<Self> {
+    /// The set-up with this name.
+    pub fn by_name(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|setup| setup.name == name)
     }
 }
