--- a/crates/sandtrack-model-checker/src/checker.rs
+++ b/crates/sandtrack-model-checker/src/checker.rs
@@ -96,12 +96,12 @@
     }
 
     /// The names of the properties that a state violates.
-    pub fn broken(&self, cluster: &Cluster<M>) -> Vec<&'static str> {
-        let broken = self
+    pub fn violations(&self, cluster: &Cluster<M>) -> Vec<&'static str> {
+        let violations = self
             .properties()
             .into_iter()
             .filter(|property| !(property.condition)(self, cluster));
-        broken.map(|property| property.name).collect()
+        violations.map(|property| property.name).collect()
     }
 }
 
--- a/crates/sandtrack-model-checker/src/cluster/enabled_actions.rs
+++ b/crates/sandtrack-model-checker/src/cluster/enabled_actions.rs
@@ -8,7 +8,7 @@
 impl<M: Machine> Cluster<M> {
     /// Adds all enabled actions.
     pub fn actions(&self, actions: &mut Vec<Action>) {
-        if !self.history.broken.is_empty() {
+        if !self.history.violations.is_empty() {
             return;
         }
         match self.setup.scheduling {
--- a/crates/sandtrack-model-checker/src/history.rs
+++ b/crates/sandtrack-model-checker/src/history.rs
@@ -16,19 +16,19 @@
     /// At most one change on a version is acknowledged.
     OneChangeOnAVersion,
     /// No accepted change is rejected when it is submitted again.
-    RepeatRefused,
+    ResubmissionRejected,
     /// What a process shows never gets older.
     VersionWentBack,
     /// No older view commits after a newer one.
-    OldViewConfirmed,
+    OldViewCommitted,
     /// A definite response requires a majority of the voters.
-    AnswerWithoutMajority,
+    ResponseWithoutMajority,
     /// A view requires the accepted votes of a majority of the voters before it.
     ViewWithoutMajority,
     /// No excluded member whose disk is lost returns.
-    ReplacedReturned,
+    LostMemberReturned,
     /// No overtaken evacuation operation takes effect.
-    OvertakenOrderTookEffect,
+    OvertakenOperationTookEffect,
     /// All processes apply the same commands in the same order.
     HistoriesDiffer,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct History {
     /// The violated rules.
-    pub broken: BTreeSet<Rule>,
+    pub violations: BTreeSet<Rule>,
     /// Acknowledged operations by their index in the script, in the order of their first acknowledgement.
     pub acknowledged: Vec<usize>,
     /// The newest configuration that was acknowledged.
@@ -71,7 +71,7 @@
 impl History {
     fn check(&mut self, holds: bool, rule: Rule) {
         if !holds {
-            self.broken.insert(rule);
+            self.violations.insert(rule);
         }
     }
 
@@ -145,9 +145,9 @@
             (Operation::Evacuate { .. }, CallOutcome::Accepted) => self.acknowledge(script_index),
             (Operation::Change { .. }, _) => self.check(
                 !self.accepted_changes.contains(&script_index),
-                Rule::RepeatRefused,
+                Rule::ResubmissionRejected,
             ),
-            _ => self.check(false, Rule::RepeatRefused),
+            _ => self.check(false, Rule::ResubmissionRejected),
         }
     }
 
@@ -171,7 +171,7 @@
             open.heard_from & (1 << index) != 0
         });
         let majority = 2 * heard_from.count() > view.voters.len();
-        self.check(majority, Rule::AnswerWithoutMajority);
+        self.check(majority, Rule::ResponseWithoutMajority);
     }
 
     /// A process applied a command; `epoch` of the entry where it is known.
@@ -192,7 +192,7 @@
         }
         self.check(at == self.commits.len(), Rule::HistoriesDiffer);
         if let Some(epoch) = epoch {
-            self.check(epoch >= self.newest_epoch, Rule::OldViewConfirmed);
+            self.check(epoch >= self.newest_epoch, Rule::OldViewCommitted);
             self.newest_epoch = self.newest_epoch.max(epoch);
         }
         self.commits.push(hash);
@@ -221,7 +221,7 @@
             .lost_members
             .iter()
             .any(|member| self.returns(member, view));
-        self.check(!returned, Rule::ReplacedReturned);
+        self.check(!returned, Rule::LostMemberReturned);
         self.views.insert(view.epoch, view.clone());
     }
 
@@ -287,8 +287,8 @@
                 Rule::VersionWentBack,
             );
         }
-        let broken = self.rules_of_state(node, script, issued);
-        self.broken.extend(broken);
+        let violations = self.rules_of_state(node, script, issued);
+        self.violations.extend(violations);
     }
 
     /// The rules that the state of a process violates by itself, where it has applied all that is committed.
@@ -304,17 +304,17 @@
         let Some(machine) = current.map(|replica| replica.machine()) else {
             return Vec::new();
         };
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let shown = machine.visible_configuration();
         if shown.version < self.newest.version
             || shown.version == self.newest.version && shown != self.newest
         {
-            broken.push(Rule::ReadBack);
+            violations.push(Rule::ReadBack);
         }
         if self.is_overtaken(machine.is_evacuated(), script, issued) {
-            broken.push(Rule::OvertakenOrderTookEffect);
+            violations.push(Rule::OvertakenOperationTookEffect);
         }
-        broken
+        violations
     }
 
     /// Whether the last evacuation operation is acknowledged, and the state differs from what it asked for.
--- a/crates/sandtrack-model-checker/src/main.rs
+++ b/crates/sandtrack-model-checker/src/main.rs
@@ -219,8 +219,11 @@
         println!("{:<14} {describe_action}", action.to_string());
     });
     let outcome = outcome.map_err(|error| error.to_string())?;
-    println!("{} actions, broken: {:?}", outcome.steps, outcome.broken);
-    Ok(outcome.broken.is_empty())
+    println!(
+        "{} actions, broken: {:?}",
+        outcome.steps, outcome.violations
+    );
+    Ok(outcome.violations.is_empty())
 }
 
 fn run(command: &Command) -> Result<bool, String> {
--- a/crates/sandtrack-model-checker/src/poller_election.rs
+++ b/crates/sandtrack-model-checker/src/poller_election.rs
@@ -165,7 +165,7 @@
     leaders: BTreeSet<(u64, usize)>,
     list_senders: BTreeSet<(u64, usize)>,
     /// The violated rules.
-    pub broken: BTreeSet<ElectionRule>,
+    pub violations: BTreeSet<ElectionRule>,
 }
 
 impl Hash for ElectionCluster {
@@ -179,7 +179,7 @@
             &self.budget,
             &self.leaders,
             &self.list_senders,
-            &self.broken,
+            &self.violations,
         )
             .hash(state);
     }
@@ -222,7 +222,7 @@
             },
             leaders: BTreeSet::new(),
             list_senders: BTreeSet::new(),
-            broken: BTreeSet::new(),
+            violations: BTreeSet::new(),
         };
         for _ in 0..=LIST_READ_TICKS + 1 {
             cluster.take(ElectionAction::Tick);
@@ -256,7 +256,7 @@
 
     /// Adds all enabled actions. Time advances when all that can arrive has arrived.
     pub fn actions(&self, actions: &mut Vec<ElectionAction>) {
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             return;
         }
         match self.next_due() {
@@ -459,7 +459,7 @@
 
     fn check(&mut self, holds: bool, rule: ElectionRule) {
         if !holds {
-            self.broken.insert(rule);
+            self.violations.insert(rule);
         }
     }
 }
--- a/crates/sandtrack-model-checker/src/poller_election/search.rs
+++ b/crates/sandtrack-model-checker/src/poller_election/search.rs
@@ -42,7 +42,7 @@
         next.take(action);
         // A rule that is not asked for must not end the run.
         if let Some(only) = self.only {
-            next.broken.retain(|rule| *rule == only);
+            next.violations.retain(|rule| *rule == only);
         }
         Some(next)
     }
@@ -51,13 +51,17 @@
         let [one, other, third] = PROPERTIES;
         let mut all: Vec<Property<Self>> = vec![
             Property::always(one.0, |_, cluster: &ElectionCluster| {
-                !cluster.broken.contains(&ElectionRule::OneLeaderPerTerm)
+                !cluster.violations.contains(&ElectionRule::OneLeaderPerTerm)
             }),
             Property::always(other.0, |_, cluster: &ElectionCluster| {
-                !cluster.broken.contains(&ElectionRule::OneListSenderPerTerm)
+                !cluster
+                    .violations
+                    .contains(&ElectionRule::OneListSenderPerTerm)
             }),
             Property::always(third.0, |_, cluster: &ElectionCluster| {
-                !cluster.broken.contains(&ElectionRule::ListFromOlderTerm)
+                !cluster
+                    .violations
+                    .contains(&ElectionRule::ListFromOlderTerm)
             }),
         ];
         let rule = |name: &str| {
--- a/crates/sandtrack-model-checker/src/properties.rs
+++ b/crates/sandtrack-model-checker/src/properties.rs
@@ -10,51 +10,63 @@
 
 /// CONFIG and DEPLOY (all machines struck at once): an acknowledged change is read back byte for byte, whatever was lost since.
 pub fn acknowledged_change_is_read_back<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::ReadBack)
+    !cluster.history.violations.contains(&Rule::ReadBack)
 }
 
 /// CONFIG: of two changes that build on one version, one at most is acknowledged.
 pub fn one_change_on_a_version<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::OneChangeOnAVersion)
+    !cluster
+        .history
+        .violations
+        .contains(&Rule::OneChangeOnAVersion)
 }
 
 /// LATER and CONFIG: an accepted change that is submitted again is acknowledged again or gets no definite response.
 pub fn repeat_is_never_refused<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::RepeatRefused)
+    !cluster
+        .history
+        .violations
+        .contains(&Rule::ResubmissionRejected)
 }
 
 /// CONFIG: what one run of a process shows never gets older.
 pub fn versions_never_go_back<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::VersionWentBack)
+    !cluster.history.violations.contains(&Rule::VersionWentBack)
 }
 
 /// 50: once a view has committed an entry, no older one commits another.
 pub fn old_view_confirms_nothing<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::OldViewConfirmed)
+    !cluster.history.violations.contains(&Rule::OldViewCommitted)
 }
 
 /// All processes apply the same commands in the same order: what the properties above rest on.
 pub fn one_history<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::HistoriesDiffer)
+    !cluster.history.violations.contains(&Rule::HistoriesDiffer)
 }
 
 /// 50: a definite response requires that a majority of the voters took a step since the call began.
 pub fn no_answer_without_majority<M: Machine>(cluster: &Cluster<M>) -> bool {
     !cluster
         .history
-        .broken
-        .contains(&Rule::AnswerWithoutMajority)
+        .violations
+        .contains(&Rule::ResponseWithoutMajority)
 }
 
 /// 50: there is one view for each epoch, accepted on the disks of a majority of the voters of the view before it; what a
 /// voter accepted on a disk that is lost since does not count.
 pub fn view_has_a_majority_of_disks<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::ViewWithoutMajority)
+    !cluster
+        .history
+        .violations
+        .contains(&Rule::ViewWithoutMajority)
 }
 
 /// 50: a member whose disk is lost, and that a view has excluded, is in no later view.
 pub fn replaced_member_never_returns<M: Machine>(cluster: &Cluster<M>) -> bool {
-    !cluster.history.broken.contains(&Rule::ReplacedReturned)
+    !cluster
+        .history
+        .violations
+        .contains(&Rule::LostMemberReturned)
 }
 
 /// LATER: once the last evacuation operation is acknowledged, no older one takes effect. Doesn't hold for
@@ -62,8 +74,8 @@
 pub fn overtaken_order_has_no_effect<M: Machine>(cluster: &Cluster<M>) -> bool {
     !cluster
         .history
-        .broken
-        .contains(&Rule::OvertakenOrderTookEffect)
+        .violations
+        .contains(&Rule::OvertakenOperationTookEffect)
 }
 
 /// DEPLOY, `tolerated_losses`: while losses keep their distance, a majority of the newest view's voters is alive, and a
--- a/crates/sandtrack-model-checker/src/setup.rs
+++ b/crates/sandtrack-model-checker/src/setup.rs
@@ -130,22 +130,38 @@
         }
     }
 
-    /// All set-ups, by name.
+    /// All set-ups.
     pub fn all() -> Vec<Self> {
-        let none = Budget::default();
-        let calls = Budget {
+        [
+            Self::single_fault_setups(),
+            Self::combined_fault_setups(),
+            Self::overtaking_setups(),
+            Self::rival_view_setups(),
+            Self::free_setups(),
+        ]
+        .concat()
+    }
+
+    /// The budget of most set-ups, before their faults.
+    fn usual_budget() -> Budget {
+        Budget {
             deviations: 2,
             ticks: 12,
             sends: 4,
-            ..none
-        };
+            ..Budget::default()
+        }
+    }
+
+    /// Few faults of one kind each.
+    fn single_fault_setups() -> Vec<Self> {
+        let usual = Self::usual_budget();
         vec![
             Self::base(
                 "calls",
                 Budget {
                     holds: 2,
                     duplicates: 1,
-                    ..calls
+                    ..usual
                 },
             ),
             Self::base(
@@ -153,7 +169,7 @@
                 Budget {
                     crashes: 2,
                     holds: 1,
-                    ..calls
+                    ..usual
                 },
             ),
             Self::base(
@@ -162,7 +178,7 @@
                     power_losses: 2,
                     crashes: 1,
                     holds: 1,
-                    ..calls
+                    ..usual
                 },
             ),
             Self::base(
@@ -171,7 +187,7 @@
                     freezes: 2,
                     holds: 1,
                     ticks: 16,
-                    ..calls
+                    ..usual
                 },
             ),
             Self::base(
@@ -180,7 +196,7 @@
                     partitions: 2,
                     isolations: 1,
                     ticks: 16,
-                    ..calls
+                    ..usual
                 },
             ),
             Self::base(
@@ -190,7 +206,7 @@
                     holds: 1,
                     crashes: 1,
                     ticks: 16,
-                    ..calls
+                    ..usual
                 },
             ),
             Self {
@@ -202,10 +218,17 @@
                         holds: 1,
                         freezes: 1,
                         ticks: 18,
-                        ..calls
+                        ..usual
                     },
                 )
             },
+        ]
+    }
+
+    /// Faults of many kinds together.
+    fn combined_fault_setups() -> Vec<Self> {
+        let none = Budget::default();
+        vec![
             Self::base(
                 "everything",
                 Budget {
@@ -242,6 +265,13 @@
                     },
                 )
             },
+        ]
+    }
+
+    /// Late operations, and operations that others overtake.
+    fn overtaking_setups() -> Vec<Self> {
+        let none = Budget::default();
+        vec![
             Self {
                 script: evacuation(),
                 ..Self::base(
@@ -273,6 +303,13 @@
                     },
                 )
             },
+        ]
+    }
+
+    /// Two partitioned machines propose rival views.
+    fn rival_view_setups() -> Vec<Self> {
+        let none = Budget::default();
+        vec![
             Self {
                 partitioned_pair: Some((1, 2)),
                 ..Self::base(
@@ -299,24 +336,29 @@
                     },
                 )
             },
-            Self {
-                scheduling: Scheduling::Free,
-                ..Self::base(
-                    "free",
-                    Budget {
-                        deviations: 2,
-                        crashes: 1,
-                        wipes: 1,
-                        duplicates: 1,
-                        single_ticks: 2,
-                        sends: 3,
-                        ..none
-                    },
-                )
-            },
         ]
     }
 
+    /// Any order of events.
+    fn free_setups() -> Vec<Self> {
+        let none = Budget::default();
+        vec![Self {
+            scheduling: Scheduling::Free,
+            ..Self::base(
+                "free",
+                Budget {
+                    deviations: 2,
+                    crashes: 1,
+                    wipes: 1,
+                    duplicates: 1,
+                    single_ticks: 2,
+                    sends: 3,
+                    ..none
+                },
+            )
+        }]
+    }
+
     /// The set-up with this name.
     pub fn by_name(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|setup| setup.name == name)
--- a/crates/sandtrack-model-checker/src/trace.rs
+++ b/crates/sandtrack-model-checker/src/trace.rs
@@ -72,7 +72,7 @@
     /// Actions taken until the first property was violated, or all.
     pub steps: usize,
     /// The names of the violated properties.
-    pub broken: Vec<&'static str>,
+    pub violations: Vec<&'static str>,
 }
 
 impl Trace {
@@ -128,17 +128,17 @@
                 step: at + 1,
                 action: *action,
             })?;
-            let broken = model.broken(&cluster);
-            if !broken.is_empty() {
+            let violations = model.violations(&cluster);
+            if !violations.is_empty() {
                 return Ok(Outcome {
                     steps: at + 1,
-                    broken,
+                    violations,
                 });
             }
         }
         Ok(Outcome {
             steps: self.actions.len(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         })
     }
 }
--- a/crates/sandtrack-model-checker/tests/bounded.rs
+++ b/crates/sandtrack-model-checker/tests/bounded.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn rival_changes_with_a_message_held() {
+fn rival_changes_with_a_delayed_message() {
     holds::<Register>(&small("calls", 1, 2, 1));
 }
 
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn two_voters_that_do_not_hear_each_other_propose_rival_views() {
+fn two_partitioned_voters_propose_rival_views() {
     holds::<Register>(&small("rival-views", 1, 0, 2));
 }
 
 /// The first states of the set-up in which a control state without the check of the stamp falls, and the register.
 #[test]
-fn an_overtaken_order_has_no_effect_on_the_real_control_state() {
+fn an_overtaken_operation_has_no_effect_on_the_real_control_state() {
     let setup = Setup::by_name("overtaken-order").expect("a set-up");
     let bounds = Bounds {
         depth: 0,
--- a/crates/sandtrack-model-checker/tests/poller_election.rs
+++ b/crates/sandtrack-model-checker/tests/poller_election.rs
@@ -1,4 +1,4 @@
-//! The duty to read the platform's list: all states with one fault.
+//! The election of the poller of the platform's endpoint list: all states with one fault.
 use sandtrack_model_checker::poller_election::search::{rule_of, search};
 use sandtrack_model_checker::poller_election::ElectionBudget;
 
@@ -13,7 +13,7 @@
     shutdowns: 1,
 };
 
-/// A machine that is cut off restarts: it knows of no holder.
+/// A partitioned machine restarts: it knows no leader.
 const RESTART_CUT_OFF: ElectionBudget = ElectionBudget {
     ticks: 10,
     deviations: 2,
@@ -33,22 +33,22 @@
 }
 
 #[test]
-fn one_machine_holds_under_one_term() {
+fn a_term_has_one_leader() {
     holds(3, ONE_FAULT, "one-holder-a-term");
 }
 
 #[test]
-fn lists_under_one_term_come_from_one_machine() {
+fn accepted_lists_of_a_term_come_from_one_machine() {
     holds(3, ONE_FAULT, "lists-of-one-holder-a-term");
 }
 
 #[test]
-fn no_list_of_an_older_term_is_taken() {
+fn no_list_of_an_older_term_is_accepted() {
     holds(3, ONE_FAULT, "no-list-of-an-older-term");
 }
 
 #[test]
-fn one_that_restarts_while_it_is_cut_off_holds_nothing() {
+fn a_partitioned_machine_that_restarts_does_not_lead() {
     holds(3, RESTART_CUT_OFF, "one-holder-a-term");
     holds(3, RESTART_CUT_OFF, "lists-of-one-holder-a-term");
 }
--- a/crates/sandtrack-simulation/src/machine.rs
+++ b/crates/sandtrack-simulation/src/machine.rs
@@ -50,10 +50,19 @@
     pub last_numbers: (u64, u64),
 }
 
+/// Which processes a machine runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// A control node on a disk, and a proxy.
+    ControlAndProxy,
+    /// Only a proxy.
+    ProxyOnly,
+}
+
+/// A machine.
 pub struct Machine {
     pub zone: usize,
-    /// Whether it has a disk and a control node beside its proxy.
-    pub runs_control: bool,
+    pub role: Role,
     pub removed: bool,
     pub frozen: bool,
     pub disk: Disk,
@@ -88,10 +97,10 @@
 }
 
 impl Machine {
-    pub fn new(zone: usize, runs_control: bool, first_start: bool) -> Machine {
+    pub fn new(zone: usize, role: Role, first_start: bool) -> Machine {
         Machine {
             zone,
-            runs_control,
+            role,
             removed: false,
             frozen: false,
             disk: Disk::default(),
@@ -109,6 +118,12 @@
         }
     }
 
+    /// Whether it has a disk and a control node.
+    pub fn runs_control(&self) -> bool {
+        self.role == Role::ControlAndProxy
+    }
+
+    /// Whether its control node runs and is not frozen.
     pub fn is_running(&self) -> bool {
         self.control.is_some() && !self.frozen && !self.removed
     }
--- a/crates/sandtrack-simulation/src/main.rs
+++ b/crates/sandtrack-simulation/src/main.rs
@@ -12,31 +12,31 @@
 
 /// Which seeds are run, and how.
 #[derive(Clone, Debug)]
-struct Range {
+struct RunOptions {
     first: u64,
     folder: PathBuf,
     threads: usize,
     count: u64,
 }
 
-impl Range {
+impl RunOptions {
     fn plans(&self, plan: fn(u64) -> Plan) -> Vec<Plan> {
         (self.first..self.first + self.count).map(plan).collect()
     }
 }
 
 #[derive(Clone, Debug)]
-enum Verb {
-    Seeds(Range),
-    Long(Range),
-    Closing(Range),
-    Turnover(Range),
-    Harsh(Range),
-    Digests(Range),
+enum Command {
+    Seeds(RunOptions),
+    Long(RunOptions),
+    Closing(RunOptions),
+    Turnover(RunOptions),
+    Harsh(RunOptions),
+    Digests(RunOptions),
     Replay { file: PathBuf },
 }
 
-fn range() -> impl Parser<Range> {
+fn run_options() -> impl Parser<RunOptions> {
     let first = long("first")
         .help("The first seed")
         .argument("SEED")
@@ -44,11 +44,11 @@
     let folder = long("folder").help("Where replay files go").argument("DIR");
     let folder = folder.fallback(PathBuf::from("target/worlds"));
     let threads = long("threads")
-        .help("Worlds side by side")
+        .help("Simulations in parallel")
         .argument("COUNT")
         .fallback(DEFAULT_THREADS);
     let count = positional::<u64>("COUNT");
-    construct!(Range {
+    construct!(RunOptions {
         first,
         folder,
         threads,
@@ -56,51 +56,51 @@
     })
 }
 
-fn verbs() -> OptionParser<Verb> {
-    let seeds = range()
-        .map(Verb::Seeds)
+fn commands() -> OptionParser<Command> {
+    let seeds = run_options()
+        .map(Command::Seeds)
         .to_options()
-        .descr("Plays the worlds of so many seeds")
+        .descr("Runs the mixed plans of this many seeds")
         .command("seeds");
-    let long = range().map(Verb::Long).to_options();
+    let long = run_options().map(Command::Long).to_options();
     let long = long
         .descr("Plays long worlds of description a thousand changes")
         .command("long");
-    let digests = range().map(Verb::Digests).to_options();
+    let digests = run_options().map(Command::Digests).to_options();
     let digests = digests
-        .descr("Prints what each world came to, with a digest of its log")
+        .descr("Prints the outcome of each simulation, with a digest of its log")
         .command("digests");
     let file = positional::<PathBuf>("FILE");
-    let replay = construct!(Verb::Replay { file })
+    let replay = construct!(Command::Replay { file })
         .to_options()
-        .descr("Plays the world of a replay file, with its log")
+        .descr("Runs the plan of a replay file, and prints its log")
         .command("replay");
-    let closing = range().map(Verb::Closing).to_options();
+    let closing = run_options().map(Command::Closing).to_options();
     let closing = closing
-        .descr("Plays worlds in which all machines are struck at once")
+        .descr("Runs plans in which all machines are struck at once")
         .command("closing");
-    let turnover = range().map(Verb::Turnover).to_options();
+    let turnover = run_options().map(Command::Turnover).to_options();
     let turnover = turnover
-        .descr("Plays worlds whose machines are all replaced")
+        .descr("Runs plans in which all machines are replaced")
         .command("turnover");
-    let harsh = range().map(Verb::Harsh).to_options();
+    let harsh = run_options().map(Command::Harsh).to_options();
     let harsh = harsh
-        .descr("Plays worlds of slow nodes, lost zones and full disks")
+        .descr("Runs plans of slow nodes, lost zones and full disks")
         .command("harsh");
     construct!([seeds, long, closing, turnover, harsh, digests, replay])
         .to_options()
-        .descr("Seeded worlds of control plane and proxies")
+        .descr("Deterministic simulation of control plane and proxies")
 }
 
 fn main() -> ExitCode {
-    match verbs().run() {
-        Verb::Seeds(range) => report(&range.plans(Plan::mixed), &range),
-        Verb::Long(range) => report(&range.plans(Plan::long), &range),
-        Verb::Closing(range) => report(&range.plans(Plan::triggered), &range),
-        Verb::Turnover(range) => report(&range.plans(Plan::turnover), &range),
-        Verb::Harsh(range) => report(&range.plans(Plan::harsh), &range),
-        Verb::Digests(range) => digests(&range.plans(Plan::mixed)),
-        Verb::Replay { file } => replay(&file),
+    match commands().run() {
+        Command::Seeds(run_options) => report(&run_options.plans(Plan::mixed), &run_options),
+        Command::Long(run_options) => report(&run_options.plans(Plan::long), &run_options),
+        Command::Closing(run_options) => report(&run_options.plans(Plan::triggered), &run_options),
+        Command::Turnover(run_options) => report(&run_options.plans(Plan::turnover), &run_options),
+        Command::Harsh(run_options) => report(&run_options.plans(Plan::harsh), &run_options),
+        Command::Digests(run_options) => digests(&run_options.plans(Plan::mixed)),
+        Command::Replay { file } => replay(&file),
     }
 }
 
@@ -113,9 +113,9 @@
     ExitCode::SUCCESS
 }
 
-fn report(plans: &[Plan], range: &Range) -> ExitCode {
+fn report(plans: &[Plan], run_options: &RunOptions) -> ExitCode {
     let began = Instant::now();
-    let totals = run_all_on(plans, range.threads);
+    let totals = run_all_on(plans, run_options.threads);
     let Totals {
         simulations,
         calls,
@@ -126,8 +126,8 @@
         failures,
     } = &totals;
     println!(
-        "{simulations} worlds, {calls} calls answered, {changes} changes acknowledged, {views} views, {frames} frames, \
-         {triggered_faults} closing faults, {} rules broken, {:.1} s",
+        "{simulations} simulations, {calls} calls answered, {changes} changes acknowledged, {views} views, {frames} frames, \
+         {triggered_faults} triggered faults, {} rules violated, {:.1} s",
         failures.len(),
         began.elapsed().as_secs_f64()
     );
@@ -139,12 +139,12 @@
     }
     for failure in failures.iter().take(MAX_REPLAY_FILES) {
         let small = shrink(failure);
-        let path = range
+        let path = run_options
             .folder
             .join(format!("{}-{}.json", small.violation.rule, small.plan.seed));
         let text = serde_json::to_string_pretty(&small.plan).unwrap_or_default();
         let written =
-            std::fs::create_dir_all(&range.folder).and_then(|()| std::fs::write(&path, text));
+            std::fs::create_dir_all(&run_options.folder).and_then(|()| std::fs::write(&path, text));
         match written {
             Ok(()) => println!(
                 "{} faults left: {}",
@@ -175,7 +175,7 @@
     let (outcome, lines) = run_with_log(&plan);
     lines.iter().for_each(|line| println!("{line}"));
     if outcome.violations.is_empty() {
-        println!("no rule was broken");
+        println!("no rule was violated");
         return ExitCode::SUCCESS;
     }
     outcome
--- a/crates/sandtrack-simulation/src/operators.rs
+++ b/crates/sandtrack-simulation/src/operators.rs
@@ -1,9 +1,13 @@
 //! Operators: they send changes, evacuations and reads, and retry each unchanged at another machine until the response is
 //! definite. Two of them change the configuration and race now and then, one for each zone evacuates it, one reads; of busy
 //! operators three read, so that eight operations are in flight.
-use crate::documents;
+mod changes;
+mod operation;
+mod responses;
+
 use crate::oracle::Oracle;
 use crate::plan::{Millis, RequestKind, ZONES};
+use operation::{message, Operation, OperationKind};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sandtrack_protocol::document::Document;
@@ -22,46 +26,6 @@
 /// A change without a definite response is given up after this, in ms.
 const CHANGE_TIMEOUT_MS: Millis = 20_000.0;
 
-#[derive(Clone, Debug)]
-enum OperationKind {
-    Change {
-        based_on: u64,
-        document: Option<Document>,
-        replaces: bool,
-        body: String,
-    },
-    Evacuate {
-        zone: usize,
-        begin: bool,
-    },
-    Read {
-        at_least: u64,
-    },
-}
-
-impl OperationKind {
-    fn request_kind(&self) -> RequestKind {
-        match self {
-            OperationKind::Change { .. } => RequestKind::Change,
-            OperationKind::Evacuate { .. } => RequestKind::Evacuation,
-            OperationKind::Read { .. } => RequestKind::Read,
-        }
-    }
-}
-
-/// What an operator asks for, until the response is definite.
-#[derive(Clone, Debug)]
-struct Operation {
-    kind: OperationKind,
-    /// The acknowledged operation that this one submits once more.
-    resubmits: Option<usize>,
-    began_at: Millis,
-    attempts: u32,
-    /// The call in flight, and when it was sent.
-    call: Option<(u64, Millis)>,
-    retry_at: Millis,
-}
-
 /// An operator with at most one operation in flight.
 #[derive(Debug, Default)]
 struct Operator {
@@ -186,7 +150,7 @@
                     at_least: oracle.newest_acknowledged(),
                 }
             }
-            0 | 1 => match self.begin_change(now, operator, oracle) {
+            0 | 1 => match self.begin_change(now, operator) {
                 Some(kind) => kind,
                 None => return,
             },
@@ -229,93 +193,6 @@
         self.operations.len() - 1
     }
 
-    /// A change of the newest known configuration; or the resubmission of an acknowledged one is begun, and `None` returned.
-    fn begin_change(
-        &mut self,
-        now: Millis,
-        operator: usize,
-        oracle: &mut Oracle,
-    ) -> Option<OperationKind> {
-        if let Some(before) = self.operators[operator].resubmission {
-            if self.pending_changes() > 0 {
-                return None;
-            }
-            self.operators[operator].resubmission = None;
-            let operation = self.add(now, self.operations[before].kind.clone(), Some(before));
-            self.operators[operator].operation = Some(operation);
-            return None;
-        }
-        // While another operator resubmits a change, nothing else may change.
-        let repeating = self.operators.iter().any(|other| {
-            other.resubmission.is_some()
-                || other
-                    .operation
-                    .is_some_and(|operation| self.operations[operation].resubmits.is_some())
-        });
-        if repeating || operator == 1 && self.known_configuration.version == 0 {
-            return None;
-        }
-        let other = self.operators[1 - operator]
-            .operation
-            .map(|operation| self.operations[operation].kind.clone());
-        let races = matches!(&other, Some(OperationKind::Change { based_on, .. }) if *based_on == self.known_configuration.version);
-        let other_version = match &other {
-            Some(OperationKind::Change {
-                document: Some(document),
-                ..
-            }) => Some(document.version),
-            _ => None,
-        };
-        // Half of the changes that race pick the version of their rival.
-        let same = races && self.random.gen();
-        self.next_version =
-            self.next_version.max(self.known_configuration.version) + self.random.gen_range(1..4);
-        let version = other_version.filter(|_| same).unwrap_or(self.next_version);
-        let _ = oracle;
-        // Rivals differ: the same content would be the same change, submitted twice.
-        let body_of = |kind: &OperationKind| match kind {
-            OperationKind::Change { body, .. } => Some(body.clone()),
-            _ => None,
-        };
-        let others = other.as_ref().and_then(body_of);
-        let mut kind = self.change(version);
-        while others.is_some() && body_of(&kind) == others {
-            kind = self.change(version);
-        }
-        Some(kind)
-    }
-
-    fn change(&mut self, version: u64) -> OperationKind {
-        let based_on = self.known_configuration.version;
-        if based_on > 0 && self.random.gen_bool(0.3) {
-            let body = documents::update(&mut self.random, version);
-            let document = documents::apply_update(&self.known_configuration, &body);
-            return OperationKind::Change {
-                based_on,
-                document,
-                replaces: false,
-                body,
-            };
-        }
-        let valid = !self.random.gen_bool(0.08);
-        let mut body = documents::configuration(
-            &mut self.random,
-            version,
-            self.filler_routes,
-            valid || based_on == 0,
-        );
-        if !valid && based_on > 0 && self.random.gen() {
-            body.truncate(body.len() / 2);
-        }
-        let document = documents::parse_configuration(&body);
-        OperationKind::Change {
-            based_on,
-            document,
-            replaces: true,
-            body,
-        }
-    }
-
     /// Sends an operation if its first attempt or a retry is due.
     fn send_due(
         &mut self,
@@ -395,176 +272,7 @@
             .collect()
     }
 
-    /// A connection broke before the response.
-    pub fn connection_failed(&mut self, call: u64) {
-        for operation in &mut self.operations {
-            operation.call = operation.call.filter(|(known, _)| *known != call);
-        }
-    }
-
-    /// Handles a response; one that is late or not definite changes nothing.
-    pub fn handle_response(
-        &mut self,
-        now: Millis,
-        call: u64,
-        status: u16,
-        body: &str,
-        oracle: &mut Oracle,
-    ) {
-        let waits = |operator: &Operator| {
-            operator.operation.filter(|operation| {
-                self.operations[*operation]
-                    .call
-                    .is_some_and(|(known, _)| known == call)
-            })
-        };
-        let found = self
-            .operators
-            .iter()
-            .enumerate()
-            .find_map(|(at, one)| Some((at, waits(one)?)));
-        let Some((operator, number)) = found else {
-            return;
-        };
-        self.operations[number].call = None;
-        if status == TEMPORARY_REDIRECT {
-            // The call is retried elsewhere without backoff.
-            self.operations[number].retry_at = now;
-            return;
-        }
-        if status >= 500 || status == 408 || status == 429 {
-            return;
-        }
-        self.definite_responses += 1;
-        let operation = self.operations[number].clone();
-        let lost = match operation.kind {
-            OperationKind::Change {
-                based_on, document, ..
-            } => {
-                let resubmits = operation.resubmits;
-                self.handle_change_response(
-                    operator, number, resubmits, based_on, document, status, oracle,
-                )
-            }
-            OperationKind::Evacuate { zone, begin } => {
-                if status == 200 {
-                    oracle.evacuation_acknowledged(&zone_name(zone), begin);
-                }
-                false
-            }
-            OperationKind::Read { at_least } => {
-                self.handle_read_response(status, body, at_least, oracle)
-            }
-        };
-        self.finish(now, operator, lost);
-    }
-
-    #[allow(clippy::too_many_arguments)] // what is known of one answer
-    fn handle_change_response(
-        &mut self,
-        operator: usize,
-        number: usize,
-        resubmits: Option<usize>,
-        based_on: u64,
-        document: Option<Document>,
-        status: u16,
-        oracle: &mut Oracle,
-    ) -> bool {
-        if let Some(first) = resubmits {
-            oracle.resubmission_answered(first, status);
-            return false;
-        }
-        if status != 200 {
-            oracle.rejected(number, status);
-            return true;
-        }
-        oracle.acknowledged(number, based_on);
-        self.changes_acknowledged += 1;
-        if let Some(document) =
-            document.filter(|document| document.version > self.known_configuration.version)
-        {
-            self.known_configuration = document;
-        }
-        if self.random.gen_bool(0.1) {
-            self.operators[operator].resubmission = Some(number);
-        }
-        false
-    }
-
-    fn handle_read_response(
-        &mut self,
-        status: u16,
-        body: &str,
-        at_least: u64,
-        oracle: &mut Oracle,
-    ) -> bool {
-        let document = match status {
-            200 => documents::parse_configuration(body).unwrap_or_default(),
-            _ => Document::default(),
-        };
-        oracle.read_is_fresh(document.version, at_least);
-        if status == 200 {
-            oracle.read_is_what_was_sent(document.version, body);
-        }
-        if document.version > self.known_configuration.version {
-            self.known_configuration = document;
-        }
-        false
-    }
-
-    /// Submits a change in the steady state at the end: the operation, the version that it is based on, and the request.
-    pub fn final_change(&mut self, oracle: &mut Oracle) -> (usize, u64, Message) {
-        self.next_version = self.next_version.max(self.known_configuration.version) + 1;
-        let based_on = self.known_configuration.version;
-        let body = documents::configuration(
-            &mut self.random,
-            self.next_version,
-            self.filler_routes,
-            true,
-        );
-        let document = documents::parse_configuration(&body);
-        let number = self.add(0.0, OperationKind::Read { at_least: 0 }, None);
-        oracle.configuration_submitted(
-            number,
-            self.next_version,
-            document.as_ref().map(Document::to_json),
-        );
-        (
-            number,
-            based_on,
-            documents::request("POST", "/v1/configuration/replace", based_on, &body),
-        )
-    }
-
     pub fn set_known_configuration(&mut self, document: Document) {
         self.known_configuration = document;
     }
 }
-
-fn message(kind: &OperationKind) -> (Message, String) {
-    match kind {
-        OperationKind::Change {
-            based_on,
-            replaces,
-            body,
-            document,
-        } => {
-            let verb = if *replaces { "replace" } else { "update" };
-            let target = format!("/v1/configuration/{verb}");
-            let version = document.as_ref().map(|document| document.version);
-            (
-                documents::request("POST", &target, *based_on, body),
-                format!("{verb} {based_on} by {version:?}"),
-            )
-        }
-        OperationKind::Evacuate { zone, begin } => {
-            let verb = if *begin { "begin" } else { "finish" };
-            let target = format!("/v1/evacuation/{}/{verb}", zone_name(*zone));
-            (documents::request("POST", &target, 0, ""), target)
-        }
-        OperationKind::Read { .. } => (
-            documents::request("GET", "/v1/configuration/read", 0, ""),
-            "read".to_owned(),
-        ),
-    }
-}
--- a/crates/sandtrack-simulation/src/plan.rs
+++ b/crates/sandtrack-simulation/src/plan.rs
@@ -24,6 +24,8 @@
 const FAULT_FREE_START_MS: Millis = 3000.0;
 
 /// The complete input of one simulation.
+// Each switch is a field of the replay files.
+#[allow(clippy::struct_excessive_bools)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// The seed of every random draw.
--- a/crates/sandtrack-simulation/src/simulation.rs
+++ b/crates/sandtrack-simulation/src/simulation.rs
@@ -5,10 +5,14 @@
 //! [`timing`] holds the durations and limits that several of these modules share.
 mod connections;
 mod control_effects;
+mod deferral;
 mod event_loop;
+mod fault_recovery;
+mod fault_targets;
 mod faults;
 mod observer;
 mod operator_calls;
+mod power;
 mod processes;
 mod proxies;
 mod setup;
--- a/crates/sandtrack-simulation/src/simulation/connections.rs
+++ b/crates/sandtrack-simulation/src/simulation/connections.rs
@@ -21,7 +21,7 @@
             let delay = self.network.delay(from, to);
             self.schedule(delay, Event::Dialed { connection });
         }
-        self.schedule(DIAL_TIMEOUT_MS, Event::DialLate { connection });
+        self.schedule(DIAL_TIMEOUT_MS, Event::DialTimeout { connection });
     }
 
     pub(super) fn dialed(&mut self, connection: u64) {
@@ -55,6 +55,18 @@
         );
     }
 
+    /// A connection that nobody accepted in time has failed.
+    pub(super) fn dial_timed_out(&mut self, connection: u64) {
+        let is_pending = self
+            .network
+            .connections
+            .get(&connection)
+            .is_some_and(|one| one.ends[1].generation == 0);
+        if is_pending {
+            self.opened(connection, false);
+        }
+    }
+
     /// The dialing process is notified that its connection is established (`accepted`) or failed.
     pub(super) fn opened(&mut self, connection: u64, accepted: bool) {
         let Some(known) = self.network.connections.get(&connection) else {
--- a/crates/sandtrack-simulation/src/simulation/control_effects.rs
+++ b/crates/sandtrack-simulation/src/simulation/control_effects.rs
@@ -52,11 +52,11 @@
         }) = configuration
         {
             self.oracle
-                .configuration_applied(machine, number, version, document);
+                .configuration_applied(machine, number, version, &document);
         }
         if let Some(zones) = evacuated {
             self.record(|| format!("machine {machine}: evacuations {} are {zones:?}", seen.1));
-            self.oracle.evacuations_applied(machine, seen.1, zones);
+            self.oracle.evacuations_applied(machine, seen.1, &zones);
         }
         if plan {
             let generation = self.machines[machine].control_generation;
--- a/crates/sandtrack-simulation/src/simulation/event_loop.rs
+++ b/crates/sandtrack-simulation/src/simulation/event_loop.rs
@@ -1,5 +1,4 @@
 //! The event queue on the simulated clock, and the dispatch of events. Events for frozen machines are deferred.
-use super::timing::{CONFIGURATION_APPLY_LIMIT_MS, CONNECTED_AFTER_MS};
 use super::Simulation;
 use crate::event_log;
 use crate::network::{Arrival, Item, Process};
@@ -7,7 +6,6 @@
 use sandtrack_control::node::Input;
 use sandtrack_control::reader::Call;
 use sandtrack_sidecar_core::message::Message;
-use std::collections::VecDeque;
 
 #[derive(Debug)]
 pub(super) enum Event {
@@ -29,7 +27,7 @@
         connection: u64,
         accepted: bool,
     },
-    DialLate {
+    DialTimeout {
         connection: u64,
     },
     /// The listening process accepts the connection.
@@ -135,114 +133,7 @@
         );
     }
 
-    /// Defers the event if the machine is frozen or busy; gives it back if it can be handled now.
-    pub(super) fn defer(&mut self, machine: usize, event: Event) -> Option<Event> {
-        if self.machines[machine].frozen {
-            self.deferred_events
-                .entry(machine)
-                .or_default()
-                .push_back(event);
-            return None;
-        }
-        if self.machines[machine].step_delay.step_ms == 0.0 {
-            return Some(event);
-        }
-        self.defer_while_busy(machine, event)
-    }
-
-    fn defer_while_busy(&mut self, machine: usize, event: Event) -> Option<Event> {
-        let inbox = self.deferred_events.entry(machine).or_default();
-        let step_delay = &mut self.machines[machine].step_delay;
-        let is_next = std::mem::take(&mut step_delay.is_current)
-            || inbox.is_empty() && step_delay.busy_until <= self.now;
-        if is_next {
-            step_delay.busy_until = self.now + step_delay.step_ms;
-            return Some(event);
-        }
-        // One pending tick is enough.
-        let is_tick = |event: &Event| matches!(event, Event::Tick { .. });
-        if !is_tick(&event) || !inbox.iter().any(is_tick) {
-            inbox.push_back(event);
-        }
-        self.schedule_step(machine);
-        None
-    }
-
-    fn schedule_step(&mut self, machine: usize) {
-        let step_delay = &mut self.machines[machine].step_delay;
-        if !std::mem::replace(&mut step_delay.is_scheduled, true) {
-            let after = step_delay.busy_until - self.now;
-            self.schedule(after, Event::Step { machine });
-        }
-    }
-
-    /// Handles the next deferred event of a slow machine.
-    fn step(&mut self, machine: usize) {
-        let mine = &mut self.machines[machine];
-        mine.step_delay.is_scheduled = false;
-        if mine.frozen || mine.step_delay.step_ms == 0.0 {
-            return;
-        }
-        let Some(event) = self
-            .deferred_events
-            .get_mut(&machine)
-            .and_then(VecDeque::pop_front)
-        else {
-            return;
-        };
-        mine.step_delay.is_current = true;
-        self.handle_event(event);
-        let mine = &mut self.machines[machine];
-        mine.step_delay.is_current = false;
-        if self
-            .deferred_events
-            .get(&machine)
-            .is_some_and(|inbox| !inbox.is_empty())
-        {
-            self.schedule_step(machine);
-        }
-    }
-
-    /// Handles all deferred events of a machine in their order.
-    pub(super) fn handle_deferred_events(&mut self, machine: usize) {
-        for event in self.deferred_events.remove(&machine).unwrap_or_default() {
-            self.handle_event(event);
-        }
-    }
-
-    pub(super) fn thaw(&mut self, machine: usize) {
-        self.machines[machine].frozen = false;
-        self.machines[machine].running_since = self.now;
-        self.handle_deferred_events(machine);
-        let (control, proxy) = (
-            self.machines[machine].control_generation,
-            self.machines[machine].proxy_generation,
-        );
-        for (generation, input) in self
-            .deferred_disk_inputs
-            .remove(&machine)
-            .unwrap_or_default()
-        {
-            if generation == control {
-                self.input(machine, input);
-            }
-        }
-        self.schedule(
-            0.0,
-            Event::Tick {
-                machine,
-                generation: control,
-            },
-        );
-        self.schedule(
-            0.0,
-            Event::ProxyTick {
-                machine,
-                generation: proxy,
-            },
-        );
-    }
-
+    /// Handles an event now.
     pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick {
@@ -250,13 +141,14 @@
                 generation,
             } => {
                 let mine = &self.machines[machine];
-                if mine.control_generation == generation
-                    && mine.is_running()
-                    && self.defer(machine, event).is_some()
-                {
-                    self.input(machine, Input::Tick);
+                if mine.control_generation == generation && mine.is_running() {
+                    self.handle_at_machine(machine, event);
                 }
             }
+            Event::Accept { machine, .. }
+            | Event::Deliver { machine, .. }
+            | Event::Called { machine, .. }
+            | Event::OperatorCall { machine, .. } => self.handle_at_machine(machine, event),
             Event::ProxyTick {
                 machine,
                 generation,
@@ -267,92 +159,12 @@
                 connection,
                 accepted,
             } => self.opened(connection, accepted),
-            Event::DialLate { connection } => {
-                let waits = self
-                    .network
-                    .connections
-                    .get(&connection)
-                    .is_some_and(|one| one.ends[1].generation == 0);
-                if waits {
-                    self.opened(connection, false);
-                }
-            }
-            Event::Accept {
-                connection,
-                machine,
-                generation,
-            } => {
-                if let Some(Event::Accept { .. }) = self.defer(
-                    machine,
-                    Event::Accept {
-                        connection,
-                        machine,
-                        generation,
-                    },
-                ) {
-                    self.accept(connection, machine, generation);
-                }
-            }
+            Event::DialTimeout { connection } => self.dial_timed_out(connection),
             Event::Arrive(arrival) => self.arrive(arrival),
-            Event::Deliver {
-                machine,
-                process,
-                generation,
-                connection,
-                side,
-                item,
-            } => {
-                let event = Event::Deliver {
-                    machine,
-                    process,
-                    generation,
-                    connection,
-                    side,
-                    item,
-                };
-                if let Some(Event::Deliver { item, .. }) = self.defer(machine, event) {
-                    self.deliver(machine, process, generation, connection, side, item);
-                }
-            }
             Event::DiskDone {
                 machine,
                 generation,
             } => self.disk_done(machine, generation),
-            Event::Called {
-                machine,
-                generation,
-                call,
-            } => {
-                if let Some(Event::Called { call, .. }) = self.defer(
-                    machine,
-                    Event::Called {
-                        machine,
-                        generation,
-                        call,
-                    },
-                ) {
-                    if self.machines[machine].control_generation == generation {
-                        self.input(machine, Input::Called(call));
-                    }
-                }
-            }
-            Event::OperatorCall {
-                machine,
-                call,
-                message,
-                queued_at,
-            } => {
-                let queued_at = queued_at.unwrap_or(self.now);
-                let event = Event::OperatorCall {
-                    machine,
-                    call,
-                    message,
-                    queued_at: Some(queued_at),
-                };
-                if let Some(Event::OperatorCall { message, .. }) = self.defer(machine, event) {
-                    self.operator_call(machine, call, message, queued_at);
-                }
-            }
             Event::Response { call, status, body } => self.handle_response(call, status, &body),
             Event::CallFailed { call } => self.operators.connection_failed(call),
             Event::StartControl { machine } => self.start_control(machine),
@@ -363,25 +175,51 @@
             Event::Step { machine } => self.step(machine),
             Event::FaultBegins(fault) => self.begin_fault(fault),
             Event::FaultEnds(fault) => self.end_fault(fault),
-            Event::Applied { version, since } => {
-                if self.last_fault_at < since - CONNECTED_AFTER_MS {
-                    self.check_proxy_versions(version, CONFIGURATION_APPLY_LIMIT_MS);
-                }
-            }
+            Event::Applied { version, since } => self.check_applied(version, since),
             Event::Evacuated {
                 zone,
                 begun,
                 number,
                 since,
-            } => {
-                let settled = self
-                    .oracle
-                    .settled_evacuations()
-                    .any(|one| one == (zone.as_str(), begun, number));
-                if settled && self.last_fault_at < since - CONNECTED_AFTER_MS {
-                    self.check_proxy_evacuations(&zone, begun);
-                }
+            } => self.check_evacuated(&zone, begun, number, since),
+        }
+    }
+
+    /// Handles an event of a machine's process, unless the machine is frozen or busy.
+    fn handle_at_machine(&mut self, machine: usize, mut event: Event) {
+        if let Event::OperatorCall { queued_at, .. } = &mut event {
+            queued_at.get_or_insert(self.now);
+        }
+        match self.defer(machine, event) {
+            Some(Event::Tick { .. }) => self.input(machine, Input::Tick),
+            Some(Event::Accept {
+                connection,
+                generation,
+                ..
+            }) => self.accept(connection, machine, generation),
+            Some(Event::Deliver {
+                process,
+                generation,
+                connection,
+                side,
+                item,
+                ..
+            }) => self.deliver(machine, process, generation, connection, side, item),
+            Some(Event::Called {
+                generation, call, ..
+            }) if self.machines[machine].control_generation == generation => {
+                self.input(machine, Input::Called(call));
+            }
+            Some(Event::OperatorCall {
+                call,
+                message,
+                queued_at,
+                ..
+            }) => {
+                let queued_at = queued_at.unwrap_or(self.now);
+                self.operator_call(machine, call, message, queued_at);
             }
+            _ => {}
         }
     }
 }
--- a/crates/sandtrack-simulation/src/simulation/operator_calls.rs
+++ b/crates/sandtrack-simulation/src/simulation/operator_calls.rs
@@ -61,14 +61,14 @@
             .map_or(0.0, |since| self.now - since);
         self.oracle
             .definite_response(machine, status, isolated_ms, MAX_ISOLATION_MS);
-        let is_zone_order = matches!(
+        let is_zone_operation = matches!(
             self.operators.requested_by(call),
             Some(RequestKind::Evacuation)
         );
         let own = format!("http://{}:", ip(machine));
         let names_another = location.is_some_and(|location| !location.starts_with(&own));
         self.oracle
-            .redirect(machine, status, is_zone_order, names_another);
+            .redirect(machine, status, is_zone_operation, names_another);
         if status == 200 {
             self.last_acknowledged = Some(machine);
             if let Some(what) = self.operators.requested_by(call) {
--- a/crates/sandtrack-simulation/src/simulation/processes.rs
+++ b/crates/sandtrack-simulation/src/simulation/processes.rs
@@ -21,14 +21,14 @@
     pub(super) fn running_control_machines(&self) -> Vec<usize> {
         (0..self.machines.len())
             .filter(|machine| {
-                self.machines[*machine].runs_control && self.machines[*machine].is_running()
+                self.machines[*machine].runs_control() && self.machines[*machine].is_running()
             })
             .collect()
     }
 
     pub(super) fn control_machines(&self) -> Vec<usize> {
         let there = |machine: &usize| {
-            self.machines[*machine].runs_control && !self.machines[*machine].removed
+            self.machines[*machine].runs_control() && !self.machines[*machine].removed
         };
         (0..self.machines.len()).filter(there).collect()
     }
@@ -68,7 +68,7 @@
             return UNUSED_MACHINE;
         }
         let known: Vec<usize> = (0..self.machines.len())
-            .filter(|known| self.machines[*known].runs_control)
+            .filter(|known| self.machines[*known].runs_control())
             .collect();
         known[self.random.gen_range(0..known.len())]
     }
@@ -116,7 +116,7 @@
         if mine.removed || mine.proxy.is_some() || self.network.is_powered_off(machine) {
             return;
         }
-        let (zone, core) = (mine.zone, mine.runs_control);
+        let (zone, core) = (mine.zone, mine.runs_control());
         let settings = settings(machine, zone, core, false, &self.seeds(machine));
         self.incarnations += 1;
         let proxy = SimulatedProxy::new(settings, self.incarnations, self.clock(machine));
--- a/crates/sandtrack-simulation/src/simulation/proxies.rs
+++ b/crates/sandtrack-simulation/src/simulation/proxies.rs
@@ -1,6 +1,8 @@
 //! Effects and ticks of proxies, and the checks of their configuration.
 use super::event_loop::Event;
-use super::timing::{CONNECTED_AFTER_MS, MAX_ISOLATION_MS, OBSERVE_INTERVAL_MS};
+use super::timing::{
+    CONFIGURATION_APPLY_LIMIT_MS, CONNECTED_AFTER_MS, MAX_ISOLATION_MS, OBSERVE_INTERVAL_MS,
+};
 use super::Simulation;
 use crate::machine::machine_of;
 use crate::network::{Item, Port, Process};
@@ -123,4 +125,23 @@
                 .connected_proxy_evacuations(&format!("proxy {machine}"), zone, has, begun);
         }
     }
+
+    /// Checks that proxies have a version that was acknowledged at `since`, unless there was a fault.
+    pub(super) fn check_applied(&mut self, version: u64, since: Millis) {
+        if self.last_fault_at < since - CONNECTED_AFTER_MS {
+            self.check_proxy_versions(version, CONFIGURATION_APPLY_LIMIT_MS);
+        }
+    }
+
+    /// Checks that proxies have an evacuation that was acknowledged at `since`, unless there was a fault or a later
+    /// operation on the zone.
+    pub(super) fn check_evacuated(&mut self, zone: &str, begun: bool, number: u64, since: Millis) {
+        let settled = self
+            .oracle
+            .settled_evacuations()
+            .any(|one| one == (zone, begun, number));
+        if settled && self.last_fault_at < since - CONNECTED_AFTER_MS {
+            self.check_proxy_evacuations(zone, begun);
+        }
+    }
 }
--- a/crates/sandtrack-simulation/src/simulation/setup.rs
+++ b/crates/sandtrack-simulation/src/simulation/setup.rs
@@ -1,7 +1,7 @@
 //! The initial state: the machines, and the events of the plan's faults.
 use super::event_loop::Event;
 use super::Simulation;
-use crate::machine::Machine;
+use crate::machine::{Machine, Role};
 use crate::network::Network;
 use crate::operators::Operators;
 use crate::oracle::Oracle;
@@ -16,7 +16,7 @@
 impl Simulation {
     /// The initial state of a plan: all machines are about to start.
     pub fn new(plan: Plan) -> Simulation {
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             now: 0.0,
             random: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x776f_726c_6473),
             machines: Vec::new(),
@@ -49,34 +49,32 @@
             deferred_disk_inputs: BTreeMap::new(),
             plan,
         };
-        for number in 0..world.plan.control_machines + world.plan.proxy_machines {
-            let core = number < world.plan.control_machines;
-            let machine = world.add_machine(number % ZONES, core, true);
-            let after = world.random.gen_range(0.0..300.0);
-            if core {
-                world.schedule(after, Event::StartControl { machine });
+        for number in 0..simulation.plan.control_machines + simulation.plan.proxy_machines {
+            let role = if number < simulation.plan.control_machines {
+                Role::ControlAndProxy
+            } else {
+                Role::ProxyOnly
+            };
+            let machine = simulation.add_machine(number % ZONES, role, true);
+            let after = simulation.random.gen_range(0.0..300.0);
+            if role == Role::ControlAndProxy {
+                simulation.schedule(after, Event::StartControl { machine });
             }
-            world.schedule(after, Event::StartProxy { machine });
+            simulation.schedule(after, Event::StartProxy { machine });
         }
-        for fault in 0..world.plan.faults.len() {
-            let at = world.plan.faults[fault].at_ms;
-            world.schedule(at, Event::FaultBegins(fault));
-            let ends = world.plan.faults[fault].ends_at_ms();
-            world.schedule(ends, Event::FaultEnds(fault));
+        for fault in 0..simulation.plan.faults.len() {
+            let at = simulation.plan.faults[fault].at_ms;
+            simulation.schedule(at, Event::FaultBegins(fault));
+            let ends = simulation.plan.faults[fault].ends_at_ms();
+            simulation.schedule(ends, Event::FaultEnds(fault));
         }
-        world.schedule(0.0, Event::Observe);
-        world
+        simulation.schedule(0.0, Event::Observe);
+        simulation
     }
 
-    pub(super) fn add_machine(
-        &mut self,
-        zone: usize,
-        runs_control: bool,
-        first_start: bool,
-    ) -> usize {
+    pub(super) fn add_machine(&mut self, zone: usize, role: Role, first_start: bool) -> usize {
         let number = self.machines.len();
-        self.machines
-            .push(Machine::new(zone, runs_control, first_start));
+        self.machines.push(Machine::new(zone, role, first_start));
         let far = self.plan.remote_zone && zone == 1;
         self.network
             .add_machine(number, zone, far, self.plan.link_mbps);
--- a/crates/sandtrack-simulation/tests/replay_files.rs
+++ b/crates/sandtrack-simulation/tests/replay_files.rs
@@ -4,8 +4,10 @@
 
 /// One plan on each line; together they hold every kind of fault.
 const PLANS: &str = include_str!("fixtures/plans.jsonl");
+/// How a plan is drawn, and its seed.
+type Draw = (fn(u64) -> Plan, u64);
 /// How the plans were drawn, in the order of the lines.
-const DRAWN: [(fn(u64) -> Plan, u64); 9] = [
+const DRAWN: [Draw; 9] = [
     (Plan::mixed, 21),
     (Plan::mixed, 32),
     (Plan::triggered, 17),
