--- a/crates/sandtrack-control/tests/data_directory.rs
+++ b/crates/sandtrack-control/tests/data_directory.rs
@@ -2,7 +2,7 @@
 //! configurations, evacuations begun and ended, and two changes of the view.
 mod common;
 use common::cluster::{upstream, Cluster};
-use common::{good, settings};
+use common::{settings, valid_configuration};
 use sandtrack_control::node::{ControlNode, Start};
 use sandtrack_control::state_machine::ControlState;
 use sandtrack_control::wal_writer;
@@ -43,21 +43,26 @@
     let mut cluster = Cluster::start(3);
     cluster.list = Some(vec![upstream("i-1", false)]);
     cluster.run(1000.0);
-    cluster.insist(&[1, 2], "/v1/configuration/replace", 0, &good(7));
-    cluster.insist(&[1, 2], "/v1/evacuation/odori-hall/begin", 0, "");
+    cluster.submit_until_accepted(
+        &[1, 2],
+        "/v1/configuration/replace",
+        0,
+        &valid_configuration(7),
+    );
+    cluster.submit_until_accepted(&[1, 2], "/v1/evacuation/odori-hall/begin", 0, "");
     cluster.kill(3, false);
     assert!(
         cluster.run_until_epoch(MACHINE, EPOCH - 1, 5000.0),
         "a view without the third"
     );
-    cluster.insist(&[1, 2], "/v1/configuration/update", 7, UPDATE);
-    cluster.insist(&[1, 2], "/v1/evacuation/kita-hall/begin", 0, "");
+    cluster.submit_until_accepted(&[1, 2], "/v1/configuration/update", 7, UPDATE);
+    cluster.submit_until_accepted(&[1, 2], "/v1/evacuation/kita-hall/begin", 0, "");
     cluster.boot(3, false);
     assert!(
         cluster.run_until_epoch(MACHINE, EPOCH, 8000.0),
         "a view with the third"
     );
-    cluster.insist(&[1, 2], "/v1/evacuation/odori-hall/finish", 0, "");
+    cluster.submit_until_accepted(&[1, 2], "/v1/evacuation/odori-hall/finish", 0, "");
     cluster.run(3000.0);
     cluster.wal(MACHINE).to_vec()
 }
--- a/crates/sandtrack-model-checker/tests/bounded.rs
+++ b/crates/sandtrack-model-checker/tests/bounded.rs
@@ -6,7 +6,7 @@
 
 /// A set-up with smaller budgets.
 fn small(name: &str, deviations: u8, sends: u8, ticks: u8) -> Setup {
-    let mut setup = Setup::named(name).expect("a set-up");
+    let mut setup = Setup::by_name(name).expect("a set-up");
     setup.budget.deviations = deviations;
     setup.budget.sends = sends;
     setup.budget.ticks = ticks;
@@ -23,13 +23,13 @@
     };
     let report = search::<M>(setup, None, Search::DepthFirst, bounds);
     println!("{report}");
-    assert!(report.fell.is_empty(), "{report}");
-    assert!(report.whole, "{report}");
+    assert!(report.counterexamples.is_empty(), "{report}");
+    assert!(report.is_complete, "{report}");
     report
 }
 
 #[test]
-fn rival_changes_with_a_message_held() {
+fn rival_changes_with_a_delayed_message() {
     holds::<Register>(&small("calls", 1, 2, 1));
 }
 
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn two_voters_that_do_not_hear_each_other_propose_rival_views() {
+fn two_partitioned_voters_propose_rival_views() {
     holds::<Register>(&small("rival-views", 1, 0, 2));
 }
 
 /// The first states of the set-up in which a control state without the check of the stamp falls, and the register.
 #[test]
-fn an_overtaken_order_has_no_effect_on_the_real_control_state() {
-    let setup = Setup::named("overtaken-order").expect("a set-up");
+fn an_overtaken_operation_has_no_effect_on_the_real_control_state() {
+    let setup = Setup::by_name("overtaken-order").expect("a set-up");
     let bounds = Bounds {
         depth: 0,
         states: 10_000,
@@ -92,6 +92,6 @@
     };
     let report = search::<ControlState>(&setup, None, Search::DepthFirst, bounds);
     println!("{report}");
-    assert!(report.fell.is_empty(), "{report}");
+    assert!(report.counterexamples.is_empty(), "{report}");
     assert!(report.states >= 10_000, "{report}");
 }
--- a/crates/sandtrack-protocol/tests/frame_bytes.rs
+++ b/crates/sandtrack-protocol/tests/frame_bytes.rs
@@ -22,7 +22,7 @@
         .collect();
     fixtures::compare(PACKAGE, file, &encoded);
     for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
-        let (decoded, length) = take::<T>(bytes).expect("a frame").expect("a whole frame");
+        let (decoded, length) = decode::<T>(bytes).expect("a frame").expect("a whole frame");
         assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
         assert_eq!(&encode(&decoded), bytes, "{name}");
     }
--- a/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
+++ b/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
@@ -177,7 +177,7 @@
     // It is in hand, and was at the only upstream there is.
     harness
         .control_node
-        .wait_for_state("the request", |state| state.open == 1);
+        .wait_for_state("the request", |state| state.requests_in_flight == 1);
     let live = harness.add_upstream("printer", "a");
     harness.send_upstream_changes(vec![live], &[]);
     harness.next_upstream_request().respond("paid");
--- a/crates/sandtrack-proxy/tests/exchange/control_sessions.rs
+++ b/crates/sandtrack-proxy/tests/exchange/control_sessions.rs
@@ -27,9 +27,9 @@
         state,
         ProxyState {
             ready: true,
-            leaving: false,
+            draining: false,
             version: 10,
-            open: 0
+            requests_in_flight: 0
         }
     );
     let mut client = harness.client();
@@ -37,16 +37,16 @@
     let upstream_request = harness.next_upstream_request();
     harness
         .control_node
-        .wait_for_state("a request in hand", |state| state.open == 1);
+        .wait_for_state("a request in hand", |state| state.requests_in_flight == 1);
     upstream_request.respond("one");
     client.response();
     harness
         .control_node
-        .wait_for_state("none in hand", |state| state.open == 0);
+        .wait_for_state("none in hand", |state| state.requests_in_flight == 0);
     harness.proxy.signal("TERM");
     let state = harness
         .control_node
-        .wait_for_state("leaving", |state| state.leaving);
+        .wait_for_state("leaving", |state| state.draining);
     assert!(!state.ready, "one that leaves is not ready");
     harness.finish_with_transcript();
 }
@@ -64,7 +64,7 @@
         ),
         ("front-a-1", "a", "north")
     );
-    assert_eq!(info.front, format!("{ip}:8161"));
+    assert_eq!(info.client_address, format!("{ip}:8161"));
     assert_eq!(state, ProxyState::default());
     drop(proxy);
     let (_, _proxy) = self::proxy("hello_names_the_machine-2", &[&first_ip]);
--- a/crates/sandtrack-proxy/tests/exchange/forwarding.rs
+++ b/crates/sandtrack-proxy/tests/exchange/forwarding.rs
@@ -360,7 +360,7 @@
         harness.control_node.received_so_far();
         for _ in 0..2 {
             let state = harness.control_node.wait_for_state("a beat", |_| true);
-            assert_eq!(state.open, 1, "one is in hand");
+            assert_eq!(state.requests_in_flight, 1, "one is in hand");
         }
         harness.assert_no_upstream_request();
         upstream_request.respond(&format!("to {id}"));
--- a/crates/sandtrack-proxy/tests/exchange/harness.rs
+++ b/crates/sandtrack-proxy/tests/exchange/harness.rs
@@ -130,7 +130,7 @@
     received_requests: Receiver<ReceivedRequest>,
     clients: Cell<usize>,
     number: Cell<u64>,
-    round: Cell<u64>,
+    poll: Cell<u64>,
 }
 
 impl Harness {
@@ -172,7 +172,7 @@
             received_requests,
             clients: Cell::new(0),
             number: Cell::new(0),
-            round: Cell::new(0),
+            poll: Cell::new(0),
         }
     }
 
@@ -223,11 +223,11 @@
 
     /// Tells which upstreams there are, all of them.
     pub fn send_upstream_list(&self, entries: Vec<UpstreamEntry>) {
-        self.round.set(self.round.get() + 1);
-        let round = self.round.get();
+        self.poll.set(self.poll.get() + 1);
+        let poll = self.poll.get();
         self.control_node.send(ToProxy::Upstreams {
-            whole: true,
-            round,
+            is_complete: true,
+            poll,
             entries,
             removed: Vec::new(),
         });
@@ -235,11 +235,11 @@
 
     /// Tells what changed in the list.
     pub fn send_upstream_changes(&self, entries: Vec<UpstreamEntry>, gone: &[&str]) {
-        self.round.set(self.round.get() + 1);
+        self.poll.set(self.poll.get() + 1);
         let gone = gone.iter().map(|name| (*name).to_owned()).collect();
         self.control_node.send(ToProxy::Upstreams {
-            whole: false,
-            round: self.round.get(),
+            is_complete: false,
+            poll: self.poll.get(),
             entries,
             removed: gone,
         });
--- a/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
+++ b/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
@@ -23,7 +23,7 @@
     harness.note("SIGTERM");
     let state = harness
         .control_node
-        .wait_for_state("leaving", |state| state.leaving);
+        .wait_for_state("leaving", |state| state.draining);
     assert!(!state.ready);
     checker.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(checker.response().status(), 503);
@@ -56,7 +56,7 @@
     let told = Instant::now();
     harness
         .control_node
-        .wait_for_state("leaving", |state| state.leaving);
+        .wait_for_state("leaving", |state| state.draining);
     // It accepts for a while, and then no longer.
     let mut id = 2;
     while TcpStream::connect(format!("{}:8161", harness.ip)).is_ok() {
@@ -113,7 +113,7 @@
     harness.proxy.signal("TERM");
     harness
         .control_node
-        .wait_for_state("leaving", |state| state.leaving);
+        .wait_for_state("leaving", |state| state.draining);
     harness.proxy.assert_exits_within(8.0);
     harness.finish_with_transcript();
 }
