--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -153,7 +153,7 @@
         let replica_settings = replica_settings(&settings, &me.address, &start);
         let (replica, effects) = Replica::new(
             replica_settings,
-            start.recovered,
+            &start.recovered,
             ControlState::default(),
             now,
         );
--- a/crates/sandtrack-model-checker/src/node.rs
+++ b/crates/sandtrack-model-checker/src/node.rs
@@ -108,8 +108,7 @@
         settings.random_seed = self.index as u64 * 1000 + self.starts;
         settings.new_incarnation = self.index as u64 * 1000 + 100 + self.starts;
         settings.timings = timings::<M>();
-        let (replica, effects) =
-            Replica::new(settings, self.disk.clone(), M::default(), self.clock);
+        let (replica, effects) = Replica::new(settings, &self.disk, M::default(), self.clock);
         self.member = Some(replica.member().clone());
         self.replica = Some(replica);
         self.interface = M::Interface::new(self.clock);
--- a/crates/sandtrack-replication/src/chain.rs
+++ b/crates/sandtrack-replication/src/chain.rs
@@ -1,6 +1,6 @@
-//! The chain: entries go down from the head, each member passing on only what is on its own disk, so that
-//! each log is a prefix of its predecessor's. What the tail has synced is on all disks: committed. That goes
-//! back up, and the head answers last.
+//! Chain replication: entries travel from the head to the tail. Each member forwards only what is on its own disk, so each
+//! log is a prefix of its predecessor's. What the tail has on its disk is on all disks, and so committed. Acknowledgements
+//! travel back up, and the head answers the callers.
 use std::collections::BTreeMap;
 
 use borsh::BorshSerialize;
@@ -11,9 +11,9 @@
 use crate::message::{Body, Entry, Status};
 use crate::{Effect, Member, Replica, StateMachine};
 
-/// Bytes that may be passed and not yet acknowledged when more is passed.
+/// Bytes that may be forwarded and unacknowledged when more is forwarded.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 4 * MAX_BATCH_BYTES;
-/// Bytes for each millisecond of the slowest link: what was passed is on its way for that long before it counts as lost.
+/// Bytes per millisecond of the slowest link: forwarded entries count as lost only after their transmission time on it.
 pub(crate) const SLOWEST_LINK_BYTES_PER_MS: f64 = 600.0;
 
 /// What a member knows of the chain in the epoch of the view on its disk. Lost at a restart, and found again
@@ -34,7 +34,7 @@
     /// Entries from the predecessor that are not on the disk yet, by their numbers. Those behind a gap wait for it to be
     /// filled: in one epoch the predecessor's log only grows.
     unwritten: BTreeMap<u64, Entry>,
-    /// What was last told to the predecessor.
+    /// The last acknowledgement sent to the predecessor.
     last_ack: Option<(u64, u64)>,
 }
 
@@ -61,7 +61,7 @@
             .extend(new.map(|entry| (entry.position.number, entry)));
     }
 
-    /// What was passed, as far as it follows the log.
+    /// Appends received entries, as far as they continue the log without a gap.
     pub(crate) fn append_forwarded(&mut self, records: &mut Vec<WalRecord>) {
         let end = self.durable.last_position().number;
         self.chain.unwritten.retain(|number, _| *number > end);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Bytes that were passed and not acknowledged; None before the successor is known to be in sync.
+    /// Bytes that were forwarded and not acknowledged; `None` before the successor is known to be in sync.
     fn unacknowledged(&self) -> Option<usize> {
         Some(
             self.durable
@@ -249,8 +249,8 @@
         }
     }
 
-    /// Whether all that was committed is, as far as can be known, in `machine()`. Not said by a process that
-    /// hears nobody.
+    /// Whether `machine()` holds all that was committed, as far as can be known here. False for a process that hears
+    /// no other.
     pub fn is_caught_up(&self) -> bool {
         let silence = self.settings.timings.failure_timeout;
         let near = |address: &String| {
--- a/crates/sandtrack-replication/src/durable_state.rs
+++ b/crates/sandtrack-replication/src/durable_state.rs
@@ -1,5 +1,6 @@
-//! What is on the disk, folded from the WAL's records. All decisions that others rely on are taken on
-//! this image alone, never on what is still being written.
+//! What is on the disk, computed from the WAL's records.
+//!
+//! All decisions that other members rely on are taken on this state alone, never on what is still being written.
 use std::collections::VecDeque;
 
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -21,7 +22,7 @@
         ballot: Ballot,
         view: View,
     },
-    /// Replaces what stands at its number and after it.
+    /// Replaces the entry with its number and all after it.
     Entry {
         entry: Entry,
         committed: u64,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The image of a WAL; None when a record can't be read or says who wrote it nowhere.
+    /// The state of a WAL; `None` if a record can't be decoded, or the identity record is missing.
     pub(crate) fn recover(records: &[Vec<u8>]) -> Option<Self> {
         let mut durable = Self::empty();
         for record in records {
--- a/crates/sandtrack-replication/src/inspection.rs
+++ b/crates/sandtrack-replication/src/inspection.rs
@@ -1,5 +1,5 @@
-//! What a model checker needs of a replica beyond its inputs and effects: its whole state as bytes, and the few facts of
-//! its disk that properties are stated on. Nothing here takes part in a decision.
+//! What a model checker needs of a replica besides its inputs and effects: its whole state as bytes, and the part of the
+//! durable state on which properties are stated. Nothing here takes part in a decision.
 use std::io::{Result, Write};
 
 use borsh::BorshSerialize;
@@ -23,7 +23,7 @@
 
 impl<M: StateMachine> Replica<M> {
     /// Writes all that the replica's further course depends on, except its settings. Equal bytes mean equal
-    /// behaviour under equal inputs. Times are absolute milliseconds of the steady clock.
+    /// behaviour under equal inputs. Times are absolute milliseconds of the monotonic clock.
     ///
     /// # Errors
     /// Those of the writer; a hasher has none.
@@ -31,6 +31,7 @@
         self.serialize(writer)
     }
 
+    /// The durable state, as far as properties are stated on it.
     pub fn durable_facts(&self) -> DurableFacts {
         DurableFacts {
             epoch: self.durable.view.epoch,
--- a/crates/sandtrack-replication/src/lib.rs
+++ b/crates/sandtrack-replication/src/lib.rs
@@ -1,19 +1,31 @@
-//! Control state on the machines with a disk: a chain, entered at the head and answered from the tail, and
-//! the small agreed view (epoch, order of the chain, voters) that repairs it. Pure: no I/O, no clock, no
-//! threads; time comes in as milliseconds of the steady clock, randomness from a seed.
+//! Replicated control state: chain replication (van Renesse & Schneider, "Chain Replication for Supporting High Throughput
+//! and Availability", OSDI 2004) under views that the members agree on by Paxos.
 //!
-//! Why it is safe is told in `docs/system/control.md`; each rule stands where it is kept:
-//! `agreement` (one view for each epoch), `reconfiguration` (which view to propose), `chain` (passing down, commits
-//! back up), `alignment` (a member is synchronised with its predecessor), `reads`, `calls` (a caller's
-//! submit or read on its way to the head), `observer` (observers), `transfer` (snapshots, piece by piece), `fragments` (long messages, piece by piece), `disk` (one write at a time).
+//! Pure: no I/O, no clock, no threads. Time comes in as milliseconds of a monotonic clock, randomness from a seed.
+//!
+//! A command enters at the head, is written by each member of the chain in order, and is committed once the tail has it
+//! on its disk. Reads follow the same path without a write. A view (epoch, order of the chain, voters) is decided by a
+//! majority of the former view's voters. Why this is safe is argued in `docs/system/control.md`. Where to look:
+//!
+//! - `replica` holds the parts of a replica, `dispatch` routes inputs and messages, `heartbeat` the status messages;
+//! - `paxos` decides one view for each epoch, `reconfiguration` chooses which view to propose;
+//! - `chain` forwards entries and acknowledges them, `log_sync` synchronises a member with its predecessor;
+//! - `calls` and `reads` carry callers' commands and queries to the head or the tail and back;
+//! - `observer` sends committed entries to processes outside the chain, `snapshot_transfer` whole states in chunks;
+//! - `fragments` splits long messages;
+//! - `durable_state` is what the WAL holds, `disk` writes it, `applied_state` is the state machine's side;
+//! - `view_attestation` tells when a process may serve its own state without asking the chain.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 mod api;
 mod applied_state;
 mod calls;
 mod chain;
 mod disk;
+mod dispatch;
 mod durable_state;
 mod fragments;
+mod heartbeat;
 mod inspection;
 mod log_sync;
 mod message;
--- a/crates/sandtrack-replication/src/log_sync.rs
+++ b/crates/sandtrack-replication/src/log_sync.rs
@@ -1,10 +1,10 @@
-//! At the start of a view each member is synchronised with its predecessor: the head's log is the
-//! authority, and what others hold beyond it was never committed. Nothing commits before all are in sync,
-//! since the tail passes nothing back up before.
+//! At the start of a view each member synchronises its log with its predecessor's. The head's log is authoritative: what
+//! others have beyond it was never committed. Nothing commits before all are in sync, since the tail acknowledges
+//! nothing before.
 //!
-//! A member that lacks more than the log of its predecessor holds first fetches the committed state (`transfer`); its
-//! log then begins with that state. The entries come in batches of bounded size, each on the disk before the next is
-//! asked for; only with the last one is the member in sync.
+//! A member that lacks more than its predecessor's log holds first fetches the committed state (`snapshot_transfer`); its
+//! log then begins with that state. Entries come in batches of bounded size. Each is on the disk before the next is
+//! requested, and only with the last one is the member in sync.
 use borsh::BorshSerialize;
 
 use crate::durable_state::WalRecord;
@@ -13,21 +13,21 @@
 
 /// Milliseconds between two requests to be synchronised.
 const SYNC_RETRY_INTERVAL_MS: f64 = 100.0;
-/// Bytes of entries in one message, unless one entry alone is longer.
+/// Milliseconds between two sync requests.
 pub(crate) const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Milliseconds without progress after which a member that is not in sync tells the others to go on without it.
+/// After this time without progress, a member that is not in sync asks the others to continue without it.
 const SYNC_STALL_TIMEOUT_MS: f64 = 3000.0;
-/// Milliseconds that such a member stays out, so that the chain is not held up again and again.
+/// How long such a member stays out of the chain, so that it does not hold up the chain again and again.
 const READMISSION_DELAY_MS: f64 = 10_000.0;
 
 #[derive(Clone, Debug, BorshSerialize)]
 pub(crate) struct LogSync {
     asked: f64,
-    /// When it last came nearer to being in sync, or could not for want of its predecessor.
+    /// When the sync last progressed, or could not because the predecessor itself was not in sync.
     progress: f64,
     /// What the predecessor sent, until it is written.
     received: Option<SyncBatch>,
-    /// When this member last told the others to go on without it.
+    /// When this member last asked the others to continue without it.
     gave_up_at: f64,
 }
 
@@ -65,7 +65,7 @@
         self.update_sync_progress();
         let lately = self.snapshot_transfers.is_fetching()
             || self.now - self.log_sync.asked < SYNC_RETRY_INTERVAL_MS;
-        // What is on its way here, or being written, is not asked for again.
+        // Entries in transit, or being written, are not requested again.
         let busy = |predecessor: &&Member| {
             lately
                 || self.disk.is_writing_log()
@@ -87,13 +87,14 @@
         }
     }
 
-    /// As `request_log_sync`, also when it was asked lately.
+    /// As `request_log_sync`, without waiting for the retry interval.
     pub(crate) fn request_log_sync_now(&mut self, effects: &mut Vec<Effect>) {
         self.log_sync.asked = f64::NEG_INFINITY;
         self.request_log_sync(effects);
     }
 
-    /// A piece of a snapshot, or of entries, that came is progress; while the predecessor is not in sync itself, none can be made.
+    /// A received chunk of a snapshot, or fragment of entries, is progress; while the predecessor itself is not in sync, none is
+    /// possible.
     fn update_sync_progress(&mut self) {
         let epoch = self.durable.view.epoch;
         let predecessor = self.durable.view.predecessor(&self.me);
@@ -119,14 +120,13 @@
         }
     }
 
-    /// In the chain, not in sync, and no nearer to it for a while, or left out for that of late: the chain goes on
-    /// without this member, which learns as an observer meanwhile.
+    /// The sync makes no progress, or was given up recently: the chain continues without this member, which catches up as
+    /// an observer meanwhile.
     pub(crate) fn is_sync_stalled(&self) -> bool {
         !self.is_in_sync() && self.now - self.log_sync.gave_up_at < READMISSION_DELAY_MS
     }
 
-    /// The predecessor says that it is in sync, so a request has sense now. What was asked before it was so got
-    /// no answer.
+    /// The predecessor has reported that it is in sync, so it answers requests from now on; it ignored earlier ones.
     pub(crate) fn on_predecessor_in_sync(&mut self, sender: &Member, effects: &mut Vec<Effect>) {
         if self.needs_log_sync() && self.durable.view.predecessor(&self.me) == Some(sender) {
             self.request_log_sync_now(effects);
@@ -188,14 +188,14 @@
         }
     }
 
-    /// The records that synchronise this log, or nearer to it; true when they replace the whole WAL.
+    /// Appends the records that bring this log closer to being in sync; true if they replace the whole WAL.
     pub(crate) fn append_log_sync(&mut self, records: &mut Vec<WalRecord>) -> bool {
         let received = self.log_sync.received.take();
         if !self.needs_log_sync() {
             return false;
         }
         if self.durable.view.is_head(&self.me) {
-            // A head is chosen among the complete members, so its log is the authority as it stands.
+            // A head is chosen among the complete members, so its log is authoritative as it is.
             if self.durable.is_complete(&self.me) {
                 records.push(WalRecord::InSync {
                     epoch: self.durable.view.epoch,
@@ -240,8 +240,8 @@
         }
     }
 
-    /// A log that begins with the committed state of this process, in place of the former one. Before it is whole, it
-    /// may lack what the former one held: the member is complete in no epoch.
+    /// A log that begins with this process's applied state, in place of the former one. Until it is complete it may lack
+    /// what the former one held: the member is complete in no epoch.
     fn append_replacement_log(&self, batch: SyncBatch, records: &mut Vec<WalRecord>) -> bool {
         if batch.after != self.applied.position {
             return false; // it learned more since it asked
--- a/crates/sandtrack-replication/src/message_display.rs
+++ b/crates/sandtrack-replication/src/message_display.rs
@@ -1,5 +1,7 @@
-//! Messages as one line each, for logs and transcripts. Names of calls and ballots are left out where they
-//! are drawn at random.
+//! Messages as one line of text each, for logs and transcripts.
+//!
+//! Random parts of call ids and ballots are left out, so that the text of a seeded run is reproducible.
+use std::borrow::Cow;
 use std::fmt::{self, Display, Formatter};
 
 use crate::message::{
@@ -63,25 +65,8 @@
                     epoch_ends.iter().map(LogPosition::to_string).collect();
                 write!(f, "align me, ends {}", epoch_ends.join(" "))
             }
-            Self::SyncBatch(SyncBatch {
-                after,
-                after_applied_state,
-                entries,
-                more,
-            }) => {
-                let after_applied_state = if *after_applied_state {
-                    " on its own state"
-                } else {
-                    ""
-                };
-                write!(
-                    f,
-                    "in line after {after}{after_applied_state}: {}{}",
-                    listed_at(entries),
-                    followed(*more)
-                )
-            }
-            Self::Forward { entries } => write!(f, "pass {}", listed_at(entries)),
+            Self::SyncBatch(batch) => batch.fmt(f),
+            Self::Forward { entries } => write!(f, "pass {}", entry_list(entries)),
             Self::Ack {
                 durable_end,
                 committed,
@@ -93,39 +78,27 @@
                 command,
                 hops,
             } => {
-                write!(
-                    f,
-                    "submit {call} {} hops {hops}",
-                    String::from_utf8_lossy(command)
-                )
+                write!(f, "submit {call} {} hops {hops}", text(command))
             }
             Self::Outcome { call, outcome } => {
-                write!(f, "outcome {call} {}", String::from_utf8_lossy(outcome))
+                write!(f, "outcome {call} {}", text(outcome))
             }
             Self::DiskFull { call, head } => write!(f, "disk full {call} at {head}"),
             Self::Read { call, query, hops } => {
-                write!(
-                    f,
-                    "read {call} {} hops {hops}",
-                    String::from_utf8_lossy(query)
-                )
+                write!(f, "read {call} {} hops {hops}", text(query))
             }
             Self::ForwardRead {
                 call,
                 query,
                 reply_to,
             } => {
-                write!(
-                    f,
-                    "read pass {call} {} reply to {reply_to}",
-                    String::from_utf8_lossy(query)
-                )
+                write!(f, "read pass {call} {} reply to {reply_to}", text(query))
             }
             Self::ReadOutcome { call, answer } => {
-                write!(f, "read outcome {call} {}", String::from_utf8_lossy(answer))
+                write!(f, "read outcome {call} {}", text(answer))
             }
             Self::CommittedEntries { entries, more } => {
-                write!(f, "learn: {}{}", listed_at(entries), followed(*more))
+                write!(f, "learn: {}{}", entry_list(entries), followed(*more))
             }
             Self::SnapshotOffer(id) => write!(f, "offer {id}"),
             Self::SnapshotFetch { id, offset } => write!(f, "fetch {id} from byte {offset}"),
@@ -151,6 +124,23 @@
     }
 }
 
+impl Display for SyncBatch {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let on_state = if self.after_applied_state {
+            " on its own state"
+        } else {
+            ""
+        };
+        let entries = entry_list(&self.entries);
+        let more = followed(self.more);
+        write!(f, "in line after {}{on_state}: {entries}{more}", self.after)
+    }
+}
+
+fn text(bytes: &[u8]) -> Cow<'_, str> {
+    String::from_utf8_lossy(bytes)
+}
+
 fn followed(more: bool) -> &'static str {
     if more {
         ", more follow"
@@ -165,16 +155,10 @@
     }
 }
 
-fn listed_at(entries: &[Entry]) -> String {
+fn entry_list(entries: &[Entry]) -> String {
     let entries: Vec<String> = entries
         .iter()
-        .map(|entry| {
-            format!(
-                "{} {}",
-                entry.position,
-                String::from_utf8_lossy(&entry.command)
-            )
-        })
+        .map(|entry| format!("{} {}", entry.position, text(&entry.command)))
         .collect();
     if entries.is_empty() {
         return "nothing".to_string();
--- a/crates/sandtrack-replication/src/observer.rs
+++ b/crates/sandtrack-replication/src/observer.rs
@@ -1,5 +1,5 @@
-//! Processes outside the chain learn what is committed from a member of it; each picks one, so that not all
-//! ask the same. What is committed stays so, whichever the epoch.
+//! Processes outside the chain get committed entries from one of its members; each picks one, which spreads the load.
+//! What is committed stays committed in every later epoch.
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 use crate::peers::ObserverProgress;
 use crate::{Address, Effect, Member, Replica, StateMachine};
 
-/// Bytes that may be on their way to an observer when more is sent.
+/// Bytes that may be in flight to an observer when more is sent.
 const MAX_IN_FLIGHT_BYTES: usize = MAX_BATCH_BYTES;
-/// An observer tells what it has learned after so many bytes, also before its next pulse.
+/// An observer reports its progress after so many bytes, also before its next heartbeat.
 const REPORT_AFTER_BYTES: usize = MAX_BATCH_BYTES / 4;
-/// Entries that an observer keeps while one in front of them lacks.
+/// Entries that an observer buffers while an earlier one is missing.
 const MAX_OUT_OF_ORDER_ENTRIES: usize = 256;
 
-/// What an observer keeps of what it is taught.
+/// The receiving side of an observer.
 #[derive(Clone, Debug, Default, BorshSerialize)]
 pub(crate) struct ObserverState {
-    /// Bytes that it learned since it last told its source of them.
+    /// Bytes applied since it last reported its progress.
     unreported_bytes: usize,
     /// Committed entries that came before one in front of them, by their numbers.
     out_of_order: BTreeMap<u64, Entry>,
@@ -37,7 +37,7 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Picks whom to learn from: a member of the chain that was heard of late, or else whoever knows more.
+    /// Picks the replication source: a member of the chain that was heard recently, or else any process that has applied more.
     pub(crate) fn choose_replication_source(&mut self) {
         let near = self
             .peers
@@ -70,7 +70,7 @@
         self.source = source.cloned();
     }
 
-    /// Sends one observer what it lacks, if it wants to learn from this process.
+    /// Sends an observer the entries that it lacks, if this process is its source.
     pub(crate) fn send_committed_entries(
         &mut self,
         to: &Address,
@@ -113,7 +113,7 @@
         if !follows {
             return self.offer_snapshot(to, effects);
         }
-        // More is sent when the observer tells that it has some of what is under way.
+        // More is sent once the observer reports some of what is in flight.
         if after > status.applied && under_way > MAX_IN_FLIGHT_BYTES {
             return;
         }
@@ -133,7 +133,7 @@
         );
     }
 
-    /// Sends all observers that learn from here what was just committed.
+    /// Sends newly committed entries to all observers whose source is this process.
     pub(crate) fn update_observers(&mut self, effects: &mut Vec<Effect>) {
         let silence = self.settings.timings.failure_timeout * 3.0;
         let learners: Vec<(Address, Status)> = self
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Whether a process with a disk that is not in sync lacks only what the log holds: without it, it would have to fetch
-    /// the whole state once more.
+    /// Whether a process with a disk that is not in sync lacks only what the log holds: if the log were compacted, it would
+    /// have to fetch the whole state.
     pub(crate) fn is_log_needed_by_peer(&self) -> bool {
         let lacking = self.durable.log_start.number..self.applied.position.number;
         let near = self
--- a/crates/sandtrack-replication/src/paxos.rs
+++ b/crates/sandtrack-replication/src/paxos/proposer.rs
@@ -1,6 +1,4 @@
-//! One view for each epoch: the view after `epoch` is decided among the voters of `epoch` by ballots. A
-//! voter promises and accepts only on its disk, and a promise tells what was accepted before, so two views
-//! of one epoch can't both be agreed upon.
+//! The proposer: chooses a ballot, collects promises and acceptances, and announces the decided view.
 use std::collections::{BTreeMap, BTreeSet};
 
 use borsh::BorshSerialize;
@@ -9,32 +7,36 @@
 use crate::reconfiguration::{next_view, ChangeReason, PeerState, ReconfigurationPolicy};
 use crate::{Address, Effect, Member, Replica, StateMachine, View};
 
-/// A joiner waits for this long, in milliseconds, so that several come in one view.
+/// Delay of a change that only adds members, so that several joiners share one view.
 const JOIN_DELAY_MS: f64 = 200.0;
 
-/// The time and the pause of a proposal double this often at most.
+/// Timeout and backoff of proposals double at most this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 #[derive(Clone, Default, BorshSerialize)]
 pub(crate) struct Proposer {
-    /// The change that is wanted, and since when.
+    /// The view that this process would propose, and since when.
     wanted: Option<(View, f64)>,
-    /// No proposal before this.
+    /// No proposal before this time.
     backoff_until: f64,
+    /// The highest round of any ballot seen in this epoch.
     round: u64,
+    /// The proposal in progress.
     proposal: Option<Proposal>,
+    /// Random part of the delay before the next proposal, as a factor of `Timings::proposer_stagger`.
     jitter: Option<f64>,
-    /// Proposals in a row that came to nothing.
+    /// Proposals in a row that were abandoned.
     consecutive_failures: u32,
 }
 
 #[derive(Clone, BorshSerialize)]
 struct Proposal {
     ballot: Ballot,
-    started: f64,
-    sent: f64,
+    started_at: f64,
+    /// When prepares or accepts were last sent.
+    sent_at: f64,
     promises: BTreeMap<Member, Option<(Ballot, View)>>,
-    /// Once a majority has promised.
+    /// The view that is proposed, once a majority has promised.
     view: Option<View>,
     accepted: BTreeSet<Member>,
 }
@@ -47,76 +49,19 @@
         };
     }
 
-    /// Factor of the next proposal's time and of the pause before it: it doubles with each failure, so that voters far from
-    /// each other end a proposal before it is given up, and do not outbid each other for ever.
+    /// Factor of the next proposal's timeout and of the delay before it. It doubles with each failure, so that voters far
+    /// from each other complete a proposal before its timeout, and don't preempt each other for ever.
     fn backoff(&self) -> f64 {
         f64::from(1u32 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS))
     }
 }
 
 impl<M: StateMachine> Replica<M> {
-    pub(crate) fn handle_prepare(
-        &mut self,
-        sender: &Member,
-        ballot: Ballot,
-        effects: &mut Vec<Effect>,
-    ) {
-        if !self.durable.view.voters.contains(&self.me) {
-            return;
-        }
-        match self.durable.promised.clone() {
-            Some(promised) if promised == ballot => {
-                let accepted = self.durable.accepted.clone();
-                self.send(&sender.address, Body::Promise { ballot, accepted }, effects);
-            }
-            Some(promised) if promised > ballot => {
-                self.send(
-                    &sender.address,
-                    Body::Preempted { ballot, promised },
-                    effects,
-                );
-            }
-            _ => self.disk.request_promise(sender.address.clone(), ballot),
-        }
-    }
-
-    pub(crate) fn handle_accept(
-        &mut self,
-        sender: &Member,
-        ballot: Ballot,
-        view: View,
-        effects: &mut Vec<Effect>,
-    ) {
-        if !self.durable.view.voters.contains(&self.me) {
-            return;
-        }
-        if self
-            .durable
-            .accepted
-            .as_ref()
-            .is_some_and(|(accepted, _)| *accepted == ballot)
-        {
-            self.send(&sender.address, Body::Accepted { ballot }, effects);
-            return;
-        }
-        match self.durable.promised.clone() {
-            Some(promised) if promised > ballot => {
-                self.send(
-                    &sender.address,
-                    Body::Preempted { ballot, promised },
-                    effects,
-                );
-            }
-            _ => self
-                .disk
-                .request_accept(sender.address.clone(), ballot, view),
-        }
-    }
-
+    /// Phase 1b: once a majority has promised, proposes the view of the highest ballot accepted before, or the wanted one.
     pub(crate) fn handle_promise(
         &mut self,
         sender: &Member,
-        ballot: Ballot,
+        ballot: &Ballot,
         accepted: Option<(Ballot, View)>,
         effects: &mut Vec<Effect>,
     ) {
@@ -125,29 +70,29 @@
         let Some(proposal) = &mut self.proposer.proposal else {
             return;
         };
-        if proposal.ballot != ballot || proposal.view.is_some() || !voters.contains(sender) {
+        if proposal.ballot != *ballot || proposal.view.is_some() || !voters.contains(sender) {
             return;
         }
         proposal.promises.insert(sender.clone(), accepted);
         if proposal.promises.len() < majority {
             return;
         }
-        // What may have been agreed upon already has to stay.
-        let highest_epoch = proposal
+        // A view that may have been decided already has to be proposed again.
+        let accepted = proposal
             .promises
             .values()
             .flatten()
             .max_by(|one, other| one.0.cmp(&other.0));
-        let highest_epoch = highest_epoch.map(|(_, view)| view.clone());
+        let accepted = accepted.map(|(_, view)| view.clone());
         let Some(view) =
-            highest_epoch.or_else(|| self.next_view(&self.known()).map(|(view, _)| view))
+            accepted.or_else(|| self.next_view(&self.peer_states()).map(|(view, _)| view))
         else {
             self.proposer.proposal = None;
             return;
         };
         if let Some(proposal) = &mut self.proposer.proposal {
             proposal.view = Some(view.clone());
-            proposal.sent = self.now;
+            proposal.sent_at = self.now;
         }
         for voter in voters {
             self.send(
@@ -161,10 +106,11 @@
         }
     }
 
+    /// Phase 2b: a view that a majority has accepted is decided, and announced to all.
     pub(crate) fn handle_accepted(
         &mut self,
         sender: &Member,
-        ballot: Ballot,
+        ballot: &Ballot,
         effects: &mut Vec<Effect>,
     ) {
         let majority = self.durable.view.majority();
@@ -173,7 +119,7 @@
             .proposer
             .proposal
             .as_mut()
-            .filter(|proposal| proposal.ballot == ballot)
+            .filter(|proposal| proposal.ballot == *ballot)
         else {
             return;
         };
@@ -186,29 +132,31 @@
         let Some(view) = proposal.view.clone() else {
             return;
         };
-        let mut notified = self.peers();
-        notified.extend(view.addresses());
-        notified.sort();
-        notified.dedup();
-        notified.retain(|address| *address != self.me.address);
-        for address in &notified {
+        let mut recipients = self.peers();
+        recipients.extend(view.addresses());
+        recipients.sort();
+        recipients.dedup();
+        recipients.retain(|address| *address != self.me.address);
+        for address in &recipients {
             self.send(address, Body::NewView(view.clone()), effects);
         }
         self.learn_view(view, effects);
     }
 
-    pub(crate) fn handle_preempted(&mut self, ballot: Ballot, promised: Ballot) {
+    /// A voter has promised a higher ballot: retries later with a still higher one.
+    pub(crate) fn handle_preempted(&mut self, ballot: &Ballot, promised: &Ballot) {
         self.proposer.round = self.proposer.round.max(promised.round);
         if self
             .proposer
             .proposal
             .as_ref()
-            .is_some_and(|proposal| proposal.ballot == ballot)
+            .is_some_and(|proposal| proposal.ballot == *ballot)
         {
             self.abandon_proposal();
         }
     }
 
+    /// Drops the proposal and delays the next one.
     fn abandon_proposal(&mut self) {
         self.proposer.proposal = None;
         let wait =
@@ -217,7 +165,7 @@
         self.proposer.consecutive_failures = self.proposer.consecutive_failures.saturating_add(1);
     }
 
-    /// Proposes what is wanted once it has been wanted for long enough.
+    /// Proposes the wanted view once it has been wanted for long enough, and retries or abandons a proposal in progress.
     pub(crate) fn proposer_tick(&mut self, effects: &mut Vec<Effect>) {
         if self.latest_view.epoch != self.durable.view.epoch
             || !self.durable.view.voters.contains(&self.me)
@@ -225,11 +173,11 @@
             return;
         }
         if let Some(proposal) = &self.proposer.proposal {
-            if self.now - proposal.started
+            if self.now - proposal.started_at
                 > self.settings.timings.proposal_timeout * self.proposer.backoff()
             {
                 self.abandon_proposal();
-            } else if self.now - proposal.sent > self.settings.timings.retry_interval {
+            } else if self.now - proposal.sent_at > self.settings.timings.retry_interval {
                 self.repeat_proposal(effects);
             }
             return;
@@ -241,7 +189,7 @@
             .accepted
             .clone()
             .map(|(_, view)| (view, ChangeReason::UnfinishedProposal));
-        let known = self.known();
+        let known = self.peer_states();
         let Some((view, reason)) = self.next_view(&known).or(unfinished) else {
             self.proposer.wanted = None;
             self.proposer.consecutive_failures = 0;
@@ -274,6 +222,7 @@
         }
     }
 
+    /// Phase 1a: starts a proposal under a new ballot.
     fn propose(&mut self, effects: &mut Vec<Effect>) {
         let promised = self
             .durable
@@ -289,8 +238,8 @@
         self.proposer.jitter = None;
         self.proposer.proposal = Some(Proposal {
             ballot: ballot.clone(),
-            started: self.now,
-            sent: self.now,
+            started_at: self.now,
+            sent_at: self.now,
             promises: BTreeMap::new(),
             view: None,
             accepted: BTreeSet::new(),
@@ -306,12 +255,13 @@
         }
     }
 
+    /// Sends the messages of the current phase again to the voters that have not answered.
     fn repeat_proposal(&mut self, effects: &mut Vec<Effect>) {
         let voters = self.durable.view.voters.clone();
         let Some(proposal) = &mut self.proposer.proposal else {
             return;
         };
-        proposal.sent = self.now;
+        proposal.sent_at = self.now;
         let ballot = proposal.ballot.clone();
         let mut bodies = Vec::new();
         for voter in voters {
@@ -339,7 +289,7 @@
         }
     }
 
-    /// The place of this process among the voters that may propose: the chain first, then the rest.
+    /// The rank of this process among the voters that may propose: the chain first, then the rest.
     fn rank(&self, known: &BTreeMap<Address, PeerState>) -> usize {
         let alive = |member: &&Member| {
             known
@@ -372,6 +322,7 @@
         near.count() >= self.durable.view.majority()
     }
 
+    /// The view that should follow, as far as this process can see.
     fn next_view(&self, known: &BTreeMap<Address, PeerState>) -> Option<(View, ChangeReason)> {
         let limits = ReconfigurationPolicy {
             tolerated_machine_losses: self.settings.tolerated_machine_losses,
@@ -380,54 +331,4 @@
         };
         next_view(&self.durable.view, &self.me, known, &limits)
     }
-
-    /// What is known of each process that matters for the next view, this one too.
-    pub(crate) fn known(&self) -> BTreeMap<Address, PeerState> {
-        let silence = self.settings.timings.failure_timeout;
-        let mut known = BTreeMap::new();
-        for address in self.durable.view.addresses() {
-            known.insert(
-                address,
-                PeerState::never_heard(self.now - self.running_since, silence),
-            );
-        }
-        for (address, peer) in &self.peers.all {
-            let heard = self.now - peer.last_heard;
-            let two_way = heard.max(self.now - peer.listed_at);
-            let patience = silence + self.settings.timings.heartbeat_interval;
-            let Some(status) = &peer.status else {
-                continue;
-            };
-            let entry = PeerState {
-                incarnation: Some(peer.incarnation),
-                zone: status.zone.clone(),
-                disk: status.disk,
-                epoch: peer.epoch,
-                in_sync_epoch: status.in_sync_epoch,
-                applied: status.applied,
-                hears: status.hears.clone(),
-                is_heard: heard <= silence,
-                is_connected: heard <= silence && two_way <= patience,
-                is_silent: two_way.min(self.now - self.running_since) > silence,
-                silent_for: heard.min(self.now - self.running_since),
-            };
-            known.insert(address.clone(), entry);
-        }
-        let me = self.status();
-        let own = PeerState {
-            incarnation: Some(self.me.incarnation),
-            zone: me.zone,
-            disk: me.disk,
-            epoch: self.durable.view.epoch,
-            in_sync_epoch: me.in_sync_epoch,
-            applied: me.applied,
-            hears: me.hears,
-            is_heard: true,
-            is_connected: true,
-            is_silent: false,
-            silent_for: 0.0,
-        };
-        known.insert(self.me.address.clone(), own);
-        known
-    }
 }
--- a/crates/sandtrack-replication/src/peers.rs
+++ b/crates/sandtrack-replication/src/peers.rs
@@ -1,4 +1,4 @@
-//! Who was heard, when, and what they told of themselves.
+//! What each peer reported, and when it was last heard.
 use std::collections::BTreeMap;
 
 use borsh::BorshSerialize;
@@ -6,7 +6,7 @@
 use crate::message::Status;
 use crate::{Address, Message};
 
-/// Spans in milliseconds; a peer is forgotten after this silence, unless it is in the view.
+/// After this time without a message a peer is forgotten.
 const FORGET_AFTER_MS: f64 = 10_000.0;
 
 #[derive(Clone, Debug, BorshSerialize)]
@@ -29,11 +29,11 @@
     pub(crate) view_sent_at: f64,
     /// When it was last sent a status.
     pub(crate) status_sent_at: f64,
-    /// Where it is with what it learns from here.
+    /// Its progress as an observer of this process.
     pub(crate) observer_progress: ObserverProgress,
 }
 
-/// How far an observer is with what it learns from here.
+/// How far an observer is with the entries sent from here.
 #[derive(Clone, Copy, Debug, Default, BorshSerialize)]
 pub(crate) struct ObserverProgress {
     /// Up to where it was sent entries.
@@ -49,7 +49,7 @@
 }
 
 impl Peers {
-    /// Takes note of a message; true when the sender is new or started anew.
+    /// Records a message; true if the sender is new or has restarted.
     pub(crate) fn on_message(&mut self, now: f64, from: &Address, message: &Message) -> bool {
         let Message {
             incarnation,
--- a/crates/sandtrack-replication/src/random.rs
+++ b/crates/sandtrack-replication/src/random.rs
@@ -1,4 +1,4 @@
-//! Numbers from a seed (SplitMix64): jitter, and the names of calls.
+//! Numbers from a seed (SplitMix64): jitter, and the start number of the process.
 use borsh::BorshSerialize;
 
 #[derive(Clone, BorshSerialize)]
--- a/crates/sandtrack-replication/src/reads.rs
+++ b/crates/sandtrack-replication/src/reads.rs
@@ -1,11 +1,12 @@
-//! Reads pass down the chain like writes, without a sync, and the tail answers. Each member passes one on
-//! only in the epoch of its own disk, so a chain that was left behind, whose new head is in a later epoch,
-//! can't bring one to its tail: no process answers from an old state by its own belief.
+//! Reads travel down the chain like writes, but without a disk write, and the tail answers them.
+//!
+//! Each member forwards a read only in the epoch of its own disk. A chain that was replaced can't bring one to its tail,
+//! because its head is in a later epoch, so no process answers from a stale state.
 use crate::message::{Body, CallId};
 use crate::{Address, Effect, Member, Replica, StateMachine};
 
 impl<M: StateMachine> Replica<M> {
-    /// At the head, or on the way to it.
+    /// At the head, or at a process that forwards to it.
     pub(crate) fn handle_read(
         &mut self,
         sender: &Member,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// At the caller's process, or on the way to it.
+    /// At the origin of the call, or at a process that forwarded it.
     pub(crate) fn handle_read_outcome(
         &mut self,
         call: CallId,
--- /dev/null
+++ b/crates/sandtrack-replication/src/reconfiguration/survivors.rs
@@ -0,0 +1,170 @@
+//! Which members of the chain stay: failure suspicion, departures and broken links.
+
+use super::peer_state::{PeerState, PeerStates};
+use super::ReconfigurationPolicy;
+use crate::message::DiskHealth;
+use crate::view::{Address, Member, View};
+
+/// Whether `member` should be left behind, as far as can be seen from here.
+pub(super) fn is_suspected(view: &View, me: &Member, member: &Member, known: &PeerStates) -> bool {
+    let Some(it) = known.get(&member.address) else {
+        return true;
+    };
+    if it
+        .incarnation
+        .is_some_and(|incarnation| incarnation != member.incarnation)
+        || !it.can_write()
+    {
+        return true;
+    }
+    if it.disk == DiskHealth::CatchingUp {
+        return true;
+    }
+    if it.is_connected || !it.is_silent {
+        return false;
+    }
+    let neighbours = [view.predecessor(member), view.successor(member)];
+    // A member that hears nobody of the chain may still be heard by all. Its neighbours detect that, if they have a vote.
+    let hears = |other: &Member| other != member && it.hears.contains(&other.address);
+    let is_deaf = it.is_heard && !view.chain.iter().any(hears);
+    let has_judge = neighbours
+        .iter()
+        .flatten()
+        .any(|neighbour| view.voters.contains(neighbour));
+    neighbours.contains(&Some(me))
+        || is_deaf && !has_judge
+        || !known
+            .values()
+            .any(|other| other.is_connected && other.hears.contains(&member.address))
+}
+
+/// The members of the chain that are not suspected.
+pub(super) fn surviving_members(view: &View, me: &Member, known: &PeerStates) -> Vec<Member> {
+    let suspect = |member: &&Member| !is_suspected(view, me, member, known);
+    view.chain.iter().filter(suspect).cloned().collect()
+}
+
+/// Drops each leaving member, the last first, as long as the complete ones among the others are enough to commit: they
+/// hold all that was ever committed, and survive the losses that have to be tolerated.
+pub(super) fn without_leaving_members(
+    view: &View,
+    survivors: Vec<Member>,
+    known: &PeerStates,
+    limits: &ReconfigurationPolicy,
+) -> Vec<Member> {
+    let mut rest = survivors;
+    for position in (0..rest.len()).rev() {
+        if !known
+            .get(&rest[position].address)
+            .is_some_and(PeerState::is_leaving)
+        {
+            continue;
+        }
+        let mut others = rest.clone();
+        others.remove(position);
+        let complete: Vec<Member> = others
+            .iter()
+            .filter(|member| is_complete(view, member, known))
+            .cloned()
+            .collect();
+        let suffices = view_of_survivors(view, &complete, known).is_some_and(|left| {
+            left.may_commit(
+                limits.tolerated_machine_losses,
+                limits.tolerated_zone_losses,
+            )
+        });
+        if suffices {
+            rest = others;
+        }
+    }
+    rest
+}
+
+/// Whether a member of the chain has all that was ever committed. The head of a view has, or the view would not have
+/// been proposed.
+pub(super) fn is_complete(view: &View, member: &Member, known: &PeerStates) -> bool {
+    let Some(position) = view.position(member) else {
+        return false;
+    };
+    position == 0
+        || known
+            .get(&member.address)
+            .is_some_and(|it| it.in_sync_epoch >= view.since[position])
+}
+
+pub(super) fn are_connected(one: &Address, other: &Address, known: &PeerStates) -> bool {
+    let hears = |one: &Address, other: &Address| {
+        known
+            .get(one)
+            .is_some_and(|known| !known.is_connected || known.hears.contains(other))
+    };
+    hears(one, other) && hears(other, one)
+}
+
+/// Without those that don't hear their predecessor, or aren't heard by it.
+pub(super) fn without_disconnected(
+    survivors: Vec<Member>,
+    known: &PeerStates,
+) -> (Vec<Member>, bool) {
+    let mut linked: Vec<Member> = Vec::new();
+    let mut disconnected = false;
+    for member in survivors {
+        let fits = linked
+            .last()
+            .is_none_or(|last| are_connected(&last.address, &member.address, known));
+        if fits {
+            linked.push(member);
+        } else {
+            disconnected = true;
+        }
+    }
+    (linked, disconnected)
+}
+
+/// The view with those that stay: first the complete ones, in their order. None when there is none.
+pub(super) fn view_of_survivors(
+    view: &View,
+    survivors: &[Member],
+    known: &PeerStates,
+) -> Option<View> {
+    let mut next = View {
+        epoch: view.epoch + 1,
+        ..View::none()
+    };
+    let mut incomplete = Vec::new();
+    for member in survivors {
+        let position = view.position(member)?;
+        if is_complete(view, member, known) {
+            next.chain.push(member.clone());
+            next.since.push(view.since[position]);
+            next.zones.push(zone(view, member, known));
+        } else {
+            incomplete.push(member.clone());
+        }
+    }
+    if next.chain.is_empty() {
+        return None;
+    }
+    for member in incomplete {
+        next.since.push(next.epoch);
+        next.zones.push(zone(view, &member, known));
+        next.chain.push(member);
+    }
+    Some(next)
+}
+
+/// The zone as the process reports it, or as the view has it.
+pub(super) fn zone(view: &View, member: &Member, known: &PeerStates) -> String {
+    let it = known
+        .get(&member.address)
+        .filter(|it| it.incarnation == Some(member.incarnation));
+    let notified = it.map(|it| it.zone.clone()).filter(|zone| !zone.is_empty());
+    let chain = view.chain.iter().zip(&view.zones);
+    let mut all = chain.chain(view.voters.iter().zip(&view.voter_zones));
+    notified
+        .or_else(|| {
+            all.find(|(other, _)| *other == member)
+                .map(|(_, zone)| zone.clone())
+        })
+        .unwrap_or_default()
+}
--- a/crates/sandtrack-replication/src/snapshot_transfer.rs
+++ b/crates/sandtrack-replication/src/snapshot_transfer/mod.rs
@@ -1,103 +1,29 @@
-//! Snapshots on their way to a process that lacks more than the log of its source holds. The receiver fetches a
-//! snapshot piece by piece, with few pieces under way, so that heartbeats pass between them also on a slow link. What
-//! it has got stays valid for as long as the same snapshot (position, length, digest) is offered, so a break of the
-//! link costs no more than the pieces that were under way. The sender keeps one snapshot at most, for all receivers,
-//! and drops it when none of them fetches it any more.
+//! Snapshot transfer, for a process that lacks more than its source's log holds.
+//!
+//! The receiver fetches a snapshot in chunks, with few of them in flight, so that heartbeats are not delayed even on a
+//! slow link. Received chunks stay valid as long as the same snapshot (position, length, digest) is offered, so a broken
+//! link costs no more than the chunks in flight. The sender keeps at most one snapshot for all receivers, and drops it
+//! once none of them fetches it any more.
+mod transfer_state;
+
 use std::collections::BTreeMap;
 
 use borsh::BorshSerialize;
 
 use crate::message::{Body, LogPosition, Snapshot, SnapshotId};
+use transfer_state::{identify, Incoming, Outgoing, CHUNK_BYTES};
+
 use crate::{Address, Effect, Member, Replica, StateMachine};
 
-/// Bytes of a piece: 13 ms on a link of 10 Mbit/s.
-const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that may be asked for and not received.
-const MAX_REQUESTED_BYTES: u64 = 4 * CHUNK_BYTES as u64;
 /// Bytes of the longest snapshot that is fetched.
 const MAX_SNAPSHOT_BYTES: u64 = 64 << 20;
-/// Milliseconds after which pieces that did not come are asked for again.
+/// After this time missing chunks are requested again.
 const CHUNK_RETRY_TIMEOUT_MS: f64 = 500.0;
 /// Milliseconds after which another snapshot is fetched in place of one of which nothing came.
 const SOURCE_TIMEOUT_MS: f64 = 1000.0;
 /// Milliseconds after which a receiver that asked for nothing more is forgotten.
 const IDLE_TRANSFER_TIMEOUT_MS: f64 = 10_000.0;
 
-/// A snapshot that is being sent.
-#[derive(Clone, Debug, BorshSerialize)]
-struct Outgoing {
-    id: SnapshotId,
-    state: Vec<u8>,
-    /// Who fetches it, and when each was last offered it or asked for a piece.
-    receivers: BTreeMap<Address, f64>,
-}
-
-/// A snapshot that is being fetched.
-#[derive(Clone, Debug, BorshSerialize)]
-struct Incoming {
-    id: SnapshotId,
-    from: Address,
-    /// The state up to the first piece that lacks.
-    state: Vec<u8>,
-    /// Pieces that came before one in front of them.
-    out_of_order: BTreeMap<u64, Vec<u8>>,
-    /// Up to which byte pieces were asked for.
-    asked: u64,
-    /// When a piece last came, or was last asked for anew.
-    moved: f64,
-    /// When a piece last came.
-    progress: f64,
-}
-
-impl Incoming {
-    fn new(id: SnapshotId, from: Address, now: f64) -> Self {
-        Self {
-            id,
-            from,
-            state: Vec::new(),
-            out_of_order: BTreeMap::new(),
-            asked: 0,
-            moved: now,
-            progress: now,
-        }
-    }
-
-    fn received(&self) -> u64 {
-        self.state.len() as u64
-    }
-
-    /// The offsets to ask for now.
-    fn next_offsets(&mut self) -> Vec<u64> {
-        let mut offsets = Vec::new();
-        while self.asked < self.id.length.min(self.received() + MAX_REQUESTED_BYTES) {
-            offsets.push(self.asked);
-            self.asked += CHUNK_BYTES as u64;
-        }
-        offsets
-    }
-
-    fn take(&mut self, offset: u64, bytes: Vec<u8>) {
-        if offset >= self.received() && offset < self.received() + MAX_REQUESTED_BYTES {
-            self.out_of_order.insert(offset, bytes);
-        }
-        while let Some(bytes) = self.out_of_order.remove(&self.received()) {
-            self.state.extend(bytes);
-        }
-    }
-
-    fn is_complete(&self) -> bool {
-        self.received() >= self.id.length
-    }
-
-    /// The snapshot, when it is the one that was offered.
-    fn verified_snapshot(self) -> Option<Snapshot> {
-        (self.id == identify(self.id.position, &self.state)).then_some(Snapshot {
-            position: self.id.position,
-            state: self.state,
-        })
-    }
-}
-
 /// What is being sent and fetched.
 #[derive(Clone, Debug, Default, BorshSerialize)]
 pub(crate) struct SnapshotTransfers {
@@ -116,20 +42,12 @@
         self.incoming.is_some()
     }
 
-    /// When a piece last came, in milliseconds; None while nothing is fetched.
+    /// When a chunk was last received, in milliseconds; `None` while nothing is fetched.
     pub(crate) fn progress(&self) -> Option<f64> {
         self.incoming.as_ref().map(|incoming| incoming.progress)
     }
 }
 
-fn identify(position: LogPosition, state: &[u8]) -> SnapshotId {
-    SnapshotId {
-        position,
-        length: state.len() as u64,
-        digest: crc32fast::hash(state),
-    }
-}
-
 impl<M: StateMachine> Replica<M> {
     /// Snapshots that did not match their digest, or could not be read, since the start of the process (code E503).
     pub fn snapshots_rejected(&self) -> u64 {
@@ -151,8 +69,8 @@
                 .map_or(0, |incoming| incoming.state.len())
     }
 
-    /// Offers a snapshot to a process that lacks more than the log holds: the one that is being sent already, where
-    /// the log still goes on from it.
+    /// Offers a snapshot to a process that lacks more than the log holds: the one that is already being sent, if the log
+    /// still continues from it.
     pub(crate) fn offer_snapshot(&mut self, to: &Address, effects: &mut Vec<Effect>) {
         let follows = |at: LogPosition| at == self.applied.position || self.log_contains(at);
         if !self
@@ -201,7 +119,7 @@
         self.request_chunks(effects);
     }
 
-    /// Asks for the pieces that may be under way.
+    /// Requests the chunks that may be in flight.
     fn request_chunks(&mut self, effects: &mut Vec<Effect>) {
         let Some(incoming) = &mut self.snapshot_transfers.incoming else {
             return;
@@ -274,7 +192,7 @@
             .and_then(Incoming::verified_snapshot);
         let is_restored = snapshot.is_some_and(|snapshot| self.restore(&snapshot, effects));
         if is_restored {
-            // All are told before the sender hears that it is through: they keep the log that follows the snapshot.
+            // All are notified before the sender learns that the transfer is complete: they keep the log after the snapshot.
             let mut notified = self.latest_view.addresses();
             notified.push(sender.address.clone());
             notified.dedup();
@@ -311,7 +229,7 @@
         restored
     }
 
-    /// Asks again for what did not come, and forgets what nobody wants any more.
+    /// Requests missing chunks again, and drops transfers that have ended.
     pub(crate) fn retry_snapshot_transfers(&mut self, effects: &mut Vec<Effect>) {
         let (now, applied) = (self.now, self.applied.position.number);
         self.snapshot_transfers.incoming.take_if(|incoming| {
--- a/crates/sandtrack-replication/src/view.rs
+++ b/crates/sandtrack-replication/src/view.rs
@@ -1,26 +1,28 @@
-//! Who may take part: members, and the views that a majority of the former voters agreed upon.
+//! Members and views: which processes form the chain, and which vote on the next view.
 use std::collections::BTreeMap;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// "ip:port" of a control node's link to its peers.
+/// The "ip:port" under which a control node listens for its peers.
 pub type Address = String;
 
 /// One control node for the life of its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct Member {
+    /// The address of its process.
     pub address: Address,
     /// 0 for the seeds of the very first start, else drawn at random when the disk was found empty.
     pub incarnation: u64,
 }
 
-/// An agreed view. There is at most one for each epoch.
+/// A decided view. There is at most one for each epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct View {
+    /// Increases by 1 with each view; 0 is no view.
     pub epoch: u64,
     /// From the head to the tail.
     pub chain: Vec<Member>,
-    /// Whose majority agrees on the next view.
+    /// The voters, a majority of which decides the next view.
     pub voters: Vec<Member>,
     /// For each of `chain`: the epoch since which it has been in the chain without a break.
     pub since: Vec<u64>,
@@ -78,13 +80,13 @@
         self.chain.get(self.position(member)?.checked_sub(1)?)
     }
 
-    /// How many of the voters decide.
+    /// How many voters are a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether what is on all of the chain's disks outlasts the losses that are to be borne. Members whose
-    /// zone isn't known count as in zones of their own.
+    /// Whether entries on the disks of the whole chain survive the losses that have to be tolerated. A member whose
+    /// zone isn't known counts as a zone of its own.
     pub(crate) fn may_commit(
         &self,
         tolerated_machine_losses: usize,
@@ -94,7 +96,7 @@
             && members_per_zone(&self.zones).len() > tolerated_zone_losses
     }
 
-    /// Whether a majority of the voters is left when the most crowded zones that may be lost are.
+    /// Whether a majority of the voters survives the loss of the zones with the most voters, as many as are tolerated.
     pub(crate) fn voters_survive_zone_loss(&self, tolerated_zone_losses: usize) -> bool {
         let lost: usize = members_per_zone(&self.voter_zones)
             .into_iter()
@@ -115,7 +117,7 @@
     }
 }
 
-/// How many are in each zone, most first; who isn't known to be in one is in a zone of its own.
+/// The number of members in each zone, in descending order. A member whose zone isn't known is in a zone of its own.
 fn members_per_zone(zones: &[String]) -> Vec<usize> {
     let mut known: BTreeMap<&String, usize> = BTreeMap::new();
     for zone in zones.iter().filter(|zone| !zone.is_empty()) {
--- a/crates/sandtrack-replication/src/view_attestation.rs
+++ b/crates/sandtrack-replication/src/view_attestation.rs
@@ -1,23 +1,23 @@
-//! What a process may rely on when it hands out its own state without asking the chain: what voters say of the views that
-//! they know or accepted, and whether the state here holds all that was acknowledged in the latest view known here.
+//! When a process may serve its own state without asking the chain (a lease read): what voters attest about the views
+//! that they know or accepted, and whether the local state holds all that was acknowledged in the latest known view.
 use crate::message::Status;
 use crate::peers::Peer;
 use crate::{Member, Replica, StateMachine, View};
 
-/// What a process says of itself as a voter: whether it may speak for a view.
+/// What a voter attests about the views that it is bound to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewAttestation {
-    /// Of its disk. With another disk it is another member, which knows nothing of what the one before accepted.
+    /// Of its disk. With another disk it is another member, which does not know what the former one accepted.
     pub incarnation: u64,
     /// The latest epoch whose view it knows, or accepted on its disk.
     pub highest_epoch: u64,
 }
 
 impl ViewAttestation {
-    /// Whether it is a voter of the view, under this address, and neither knows nor accepted a later one.
+    /// Whether it comes from a voter of the view, under this address, that neither knows nor accepted a later one.
     ///
-    /// The view after it is decided by a majority of acceptances, so a majority that confirms the view shows that no later
-    /// one was decided before the first of them spoke.
+    /// The next view is decided by a majority of acceptances. So if a majority confirms this view, no later one had been
+    /// decided when the first of them attested.
     pub fn confirms(&self, address: &str, view: &View) -> bool {
         let is_it =
             |voter: &Member| voter.address == address && voter.incarnation == self.incarnation;
@@ -26,7 +26,7 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// What this process says of itself as a voter.
+    /// This process's own attestation.
     pub fn view_attestation(&self) -> ViewAttestation {
         ViewAttestation {
             incarnation: self.me.incarnation,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What another process said of itself as a voter, since it started.
+    /// The latest attestation of another process since it started.
     pub fn view_attestation_of(&self, address: &str) -> Option<ViewAttestation> {
         let peer = self.peers.all.get(address)?;
         Some(ViewAttestation {
@@ -54,18 +54,18 @@
         self.latest_view.epoch.max(accepted)
     }
 
-    /// The epoch in which this process, as a member of the chain in sync, holds all that was acknowledged; none while it
-    /// does not.
+    /// The epoch in which this process, as an in-sync member of the chain, has applied all acknowledged commands; `None`
+    /// while it has not.
     pub fn fully_applied_epoch(&self) -> Option<u64> {
         let is_up_to_date = self.is_in_sync() && self.chain.confirmed >= self.chain.floor;
         is_up_to_date.then_some(self.durable.view.epoch)
     }
 
     /// Whether `machine()` holds all that was acknowledged up to and in the latest view known here. `held` is the last
-    /// epoch that [`Self::fully_applied_epoch`] gave since this process started.
+    /// epoch that [`Self::fully_applied_epoch`] returned since this process started.
     ///
-    /// A member of the chain without a break since then does: each order that was acknowledged since was applied here
-    /// before the head answered. Any other process rests on the last status of the member that it learns from.
+    /// A member that has been in the chain without a break since then does: each command acknowledged since was applied
+    /// here before the head answered. Any other process relies on the last status of its replication source.
     pub fn is_up_to_date(&self, held: Option<u64>) -> bool {
         match self.latest_view.position(&self.me) {
             Some(position) => held >= Some(self.latest_view.since[position]),
--- a/crates/sandtrack-replication/tests/troubled.rs
+++ b/crates/sandtrack-replication/tests/random_faults.rs
@@ -1,46 +1,66 @@
 //! Worlds with troubles of all kinds, from seeds. In CI some hundred; more with SANDTRACK_WORLDS=COUNT, and one
 //! alone, with all that is said in it, with SANDTRACK_WORLD=SEED.
-mod world;
+mod simulation;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use world::faults::Troubles;
-use world::World;
+use simulation::faults::FaultInjector;
+use simulation::Simulation;
 
 /// 25 seconds of troubles, five of calm; then every process answers within three.
-fn play(seed: u64, machines: usize, borne: usize, harsh: bool, log: bool) -> World {
-    let mut world = World::new(seed, machines, 1 + (seed % 2) as usize, borne);
-    world.log = log.then(Vec::new);
-    world.zones_borne = usize::from(machines == 6);
+fn play(
+    seed: u64,
+    machines: usize,
+    tolerated_machine_losses: usize,
+    harsh: bool,
+    log: bool,
+) -> Simulation {
+    let mut simulation = Simulation::new(
+        seed,
+        machines,
+        1 + (seed % 2) as usize,
+        tolerated_machine_losses,
+    );
+    simulation.log = log.then(Vec::new);
+    simulation.tolerated_zone_losses = usize::from(machines == 6);
     if seed.is_multiple_of(3) {
         // Two regions.
-        world.network.delay = 28.0;
+        simulation.network.delay = 28.0;
     }
-    world.start_all(true);
-    world.run(2000.0);
-    // In some worlds few calls are changes, so that a side that is cut off holds nothing unfinished.
-    let mut troubles = Troubles::default();
+    simulation.start_all(true);
+    simulation.run(2000.0);
+    // In some simulations few calls are changes, so that a side that is cut off holds nothing unfinished.
+    let mut troubles = FaultInjector::default();
     troubles.harsh = harsh;
     troubles.writes = [0.5, 0.5, 0.05][(seed / 3 % 3) as usize];
-    troubles.play(&mut world, 25_000.0);
-    troubles.end_all(&mut world);
-    world.start_all(false);
-    world.run(5000.0);
-    world.answers_everywhere();
-    world.checks.nothing_lost(&world.newest());
-    world
+    troubles.play(&mut simulation, 25_000.0);
+    troubles.end_all(&mut simulation);
+    simulation.start_all(false);
+    simulation.run(5000.0);
+    simulation.assert_all_answer();
+    simulation.checks.check_nothing_lost(&simulation.newest());
+    simulation
 }
 
 /// Calls answered, views agreed upon, disks lost.
-fn figures(world: &World) -> [u64; 3] {
-    let disks = world.nodes.iter().map(|node| node.wipes).sum();
-    [world.checks.answered, world.checks.views() as u64, disks]
+fn figures(simulation: &Simulation) -> [u64; 3] {
+    let disks = simulation.nodes.iter().map(|node| node.wipes).sum();
+    [
+        simulation.checks.answered,
+        simulation.checks.views() as u64,
+        disks,
+    ]
 }
 
-fn play_all(machines: usize, borne: usize, harsh: bool) {
+fn play_all(machines: usize, tolerated_machine_losses: usize, harsh: bool) {
     if let Ok(seed) = std::env::var("SANDTRACK_WORLD") {
-        return play_one(seed.parse().unwrap(), machines, borne, harsh);
+        return play_one(
+            seed.parse().unwrap(),
+            machines,
+            tolerated_machine_losses,
+            harsh,
+        );
     }
     let count: u64 = std::env::var("SANDTRACK_WORLDS").map_or(100, |count| count.parse().unwrap());
     let next = AtomicU64::new(1);
@@ -57,7 +77,13 @@
                     return;
                 }
                 match std::panic::catch_unwind(|| {
-                    figures(&play(seed, machines, borne, harsh, false))
+                    figures(&play(
+                        seed,
+                        machines,
+                        tolerated_machine_losses,
+                        harsh,
+                        false,
+                    ))
                 }) {
                     Ok(figures) => {
                         for (total, figure) in totals.iter().zip(figures) {
@@ -84,40 +110,40 @@
     );
 }
 
-/// One world with its log, also when it fails.
-fn play_one(seed: u64, machines: usize, borne: usize, harsh: bool) {
-    let mut world = play(seed, machines, borne, harsh, true);
-    for line in world.log.take().unwrap() {
+/// One simulation with its log, also when it fails.
+fn play_one(seed: u64, machines: usize, tolerated_machine_losses: usize, harsh: bool) {
+    let mut simulation = play(seed, machines, tolerated_machine_losses, harsh, true);
+    for line in simulation.log.take().unwrap() {
         println!("{line}");
     }
 }
 
 #[test]
-fn three_machines_bear_the_loss_of_one() {
+fn three_machines_tolerate_the_loss_of_one() {
     play_all(3, 1, false);
 }
 
 #[test]
-fn five_machines_bear_the_loss_of_two() {
+fn five_machines_tolerate_the_loss_of_two() {
     play_all(5, 2, false);
 }
 
 #[test]
-fn six_machines_bear_the_loss_of_one_or_of_a_zone() {
+fn six_machines_tolerate_the_loss_of_one_or_of_a_zone() {
     play_all(6, 1, false);
 }
 
 #[test]
-fn three_machines_in_harsher_worlds() {
+fn three_machines_in_harsher_faults() {
     play_all(3, 1, true);
 }
 
 #[test]
-fn five_machines_in_harsher_worlds() {
+fn five_machines_in_harsher_faults() {
     play_all(5, 2, true);
 }
 
 #[test]
-fn six_machines_in_harsher_worlds() {
+fn six_machines_in_harsher_faults() {
     play_all(6, 1, true);
 }
--- a/crates/sandtrack-replication/tests/recovery.rs
+++ b/crates/sandtrack-replication/tests/recovery.rs
@@ -41,14 +41,14 @@
 
 /// The WAL of seed `a` after its very first start.
 fn wal_of_a() -> Vec<Vec<u8>> {
-    let (mut replica, effects) = Replica::new(settings("a", true, 7), Vec::new(), Nothing, 0.0);
+    let (mut replica, effects) = Replica::new(settings("a", true, 7), &[], Nothing, 0.0);
     let (ticket, records, replaces) = first_write(&effects).unwrap();
     assert!(!replaces, "an empty WAL is appended to");
     replica.handle(1.0, Input::Written { ticket }, &mut Vec::new());
     records
 }
 
-fn comes_back_as_new(me: &str, found: Vec<Vec<u8>>) {
+fn comes_back_as_new(me: &str, found: &[Vec<u8>]) {
     let (replica, effects) = Replica::new(settings(me, false, 8), found, Nothing, 0.0);
     assert_eq!(replica.member().incarnation, 8);
     assert_eq!(
@@ -58,7 +58,7 @@
     );
     let (_, records, replaces) = first_write(&effects).unwrap();
     assert!(replaces, "the former content is replaced");
-    let (again, _) = Replica::new(settings(me, false, 9), records, Nothing, 0.0);
+    let (again, _) = Replica::new(settings(me, false, 9), &records, Nothing, 0.0);
     assert_eq!((again.member().incarnation, again.view().epoch), (8, 0));
 }
 
@@ -66,16 +66,16 @@
 fn a_record_that_cant_be_read_makes_a_new_member() {
     let mut found = wal_of_a();
     found.push(vec![255; 7]);
-    comes_back_as_new("a", found);
+    comes_back_as_new("a", &found);
 }
 
 #[test]
 fn the_wal_of_another_address_makes_a_new_member() {
-    comes_back_as_new("d", wal_of_a());
+    comes_back_as_new("d", &wal_of_a());
 }
 
 #[test]
 fn its_own_wal_makes_the_same_member() {
-    let (replica, _) = Replica::new(settings("a", false, 8), wal_of_a(), Nothing, 0.0);
+    let (replica, _) = Replica::new(settings("a", false, 8), &wal_of_a(), Nothing, 0.0);
     assert_eq!((replica.member().incarnation, replica.view().epoch), (0, 1));
 }
--- a/crates/sandtrack-replication/tests/world/checks.rs
+++ b/crates/sandtrack-replication/tests/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold in every world, at every moment; one function for each property.
+//! What has to hold in every run, at every moment; one function for each property.
 use std::collections::BTreeMap;
 
 use sandtrack_replication::View;
@@ -110,15 +110,17 @@
         let text = String::from_utf8(bytes.clone()).unwrap();
         let position: u64 = text.split(' ').nth(1).unwrap().parse().unwrap();
         match call.command {
-            None => self.read_is_fresh(call, position),
-            Some((base, version)) if text.starts_with("won") => self.one_wins(base, version),
+            None => self.check_read_is_fresh(call, position),
+            Some((base, version)) if text.starts_with("won") => {
+                self.check_one_winner(base, version)
+            }
             Some(_) => {}
         }
         self.floor = self.floor.max(position);
     }
 
     /// A read is never older than what any caller was told before it began.
-    fn read_is_fresh(&self, call: &Call, position: u64) {
+    fn check_read_is_fresh(&self, call: &Call, position: u64) {
         assert!(
             position >= call.floor,
             "a read gave {position}, but {} was told before: {call:?}",
@@ -127,13 +129,13 @@
     }
 
     /// At most one command wins on a base version.
-    fn one_wins(&mut self, base: u64, version: u64) {
+    fn check_one_winner(&mut self, base: u64, version: u64) {
         let known = self.acknowledged.entry(base).or_insert(version);
         assert_eq!(*known, version, "two commands won on base {base}");
     }
 
     /// What was acknowledged is in the state.
-    pub fn nothing_lost(&self, machine: &Register) {
+    pub fn check_nothing_lost(&self, machine: &Register) {
         for (base, version) in &self.acknowledged {
             assert!(
                 machine.wins.contains(&(*base, *version)),
--- a/crates/sandtrack-replication/tests/world/losses.rs
+++ b/crates/sandtrack-replication/tests/simulation/losses.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use super::{name, DiskMode, Time, World};
+use super::{name, DiskMode, Simulation, Time};
 
 /// Cases that are played at a time.
 const THREADS: usize = 3;
@@ -75,8 +75,8 @@
     pub machines: usize,
     /// Machine `n` is in zone `n` modulo their number; its region goes by whether `n` is even.
     pub zones: usize,
-    pub borne: usize,
-    pub zones_borne: usize,
+    pub tolerated_machine_losses: usize,
+    pub tolerated_zone_losses: usize,
     /// A machine counts as lost for so many milliseconds after its return.
     pub catch_up: Time,
     pub between_regions: Time,
@@ -87,16 +87,16 @@
 pub const SMALL: Layout = Layout {
     machines: 3,
     zones: 3,
-    borne: 1,
-    zones_borne: 0,
+    tolerated_machine_losses: 1,
+    tolerated_zone_losses: 0,
     catch_up: 4000.0,
     between_regions: 0.0,
     disk: 0.5,
 };
 pub const GROWN: Layout = Layout {
     machines: 6,
-    borne: 2,
-    zones_borne: 1,
+    tolerated_machine_losses: 2,
+    tolerated_zone_losses: 1,
     catch_up: 6000.0,
     ..SMALL
 };
@@ -141,7 +141,7 @@
 
 struct Play {
     layout: Layout,
-    world: World,
+    simulation: Simulation,
     due: Vec<(Time, Due)>,
     /// Machines that are lost at this moment, or told to stop.
     hit: Vec<usize>,
@@ -155,17 +155,18 @@
 
 impl Play {
     fn new(seed: u64, layout: Layout, log: bool) -> Self {
-        let mut world = World::new(seed, layout.machines, 1, layout.borne);
-        world.log = log.then(Vec::new);
-        world.zones_borne = layout.zones_borne;
-        for (index, node) in world.nodes.iter_mut().enumerate() {
+        let mut simulation =
+            Simulation::new(seed, layout.machines, 1, layout.tolerated_machine_losses);
+        simulation.log = log.then(Vec::new);
+        simulation.tolerated_zone_losses = layout.tolerated_zone_losses;
+        for (index, node) in simulation.nodes.iter_mut().enumerate() {
             node.zone = zone_name(index % layout.zones);
         }
-        world.network.between_regions = layout.between_regions;
-        world.start_all(true);
+        simulation.network.between_regions = layout.between_regions;
+        simulation.start_all(true);
         let mut play = Self {
             layout,
-            world,
+            simulation,
             due: Vec::new(),
             hit: Vec::new(),
             cut: Vec::new(),
@@ -173,20 +174,24 @@
             isolated: Vec::new(),
         };
         play.set_disks();
-        play.world.run(4000.0);
+        play.simulation.run(4000.0);
         play
     }
 
     fn set_disks(&mut self) {
-        for index in 0..self.world.nodes.len() {
+        for index in 0..self.simulation.nodes.len() {
             if self.layout.disk > 0.5 {
-                self.world.nodes[index].mode = DiskMode::Slow(self.layout.disk);
+                self.simulation.nodes[index].mode = DiskMode::Slow(self.layout.disk);
             }
         }
     }
 
     fn view(&self) -> View {
-        self.world.checks.newest_view().cloned().expect("a view")
+        self.simulation
+            .checks
+            .newest_view()
+            .cloned()
+            .expect("a view")
     }
 
     /// The machine at a place of the chain, or of those outside it.
@@ -194,8 +199,9 @@
         let view = self.view();
         let chain = view.chain.iter().filter_map(|member| self.index_of(member));
         let mut all: Vec<usize> = chain.collect();
-        let others = (0..self.world.nodes.len())
-            .filter(|index| self.world.nodes[*index].has_disk && !self.world.nodes[*index].removed);
+        let others = (0..self.simulation.nodes.len()).filter(|index| {
+            self.simulation.nodes[*index].has_disk && !self.simulation.nodes[*index].removed
+        });
         all.extend(
             others
                 .filter(|index| !all.contains(index))
@@ -205,14 +211,14 @@
     }
 
     fn index_of(&self, member: &Member) -> Option<usize> {
-        self.world
+        self.simulation
             .nodes
             .iter()
             .position(|node| !node.removed && node.address == member.address)
     }
 
     fn later(&mut self, after: Time, due: Due) {
-        self.due.push((self.world.now + after, due));
+        self.due.push((self.simulation.now + after, due));
     }
 
     /// The machines that a loss hits.
@@ -221,10 +227,10 @@
             Target::Place(place) => vec![self.machine_at(place)],
             Target::Zone(zone) => {
                 let is_in = |index: &usize| {
-                    let node = &self.world.nodes[*index];
+                    let node = &self.simulation.nodes[*index];
                     node.has_disk && !node.removed && node.zone == zone_name(zone)
                 };
-                (0..self.world.nodes.len()).filter(is_in).collect()
+                (0..self.simulation.nodes.len()).filter(is_in).collect()
             }
         }
     }
@@ -233,20 +239,20 @@
     fn begin(&mut self, loss: Loss, index: usize, near: &[usize]) {
         self.hit.push(index);
         // What it was asked right before may find no answer.
-        let calls = &self.world.calls;
+        let calls = &self.simulation.calls;
         self.expected
             .retain(|call| calls[call].node != index || calls[call].ended.is_some());
         match loss {
-            Loss::Killed => self.world.kill(index),
-            Loss::PowerLost => self.world.lose_power(index),
+            Loss::Killed => self.simulation.kill(index),
+            Loss::PowerLost => self.simulation.lose_power(index),
             Loss::Frozen | Loss::FrozenThenWiped | Loss::FrozenThenReplaced => {
-                self.world.freeze(index)
+                self.simulation.freeze(index)
             }
-            Loss::Wiped | Loss::Replaced => self.world.wipe(index),
+            Loss::Wiped | Loss::Replaced => self.simulation.wipe(index),
             Loss::Left => self.leave(index, true),
             Loss::LeftForAnother => {
                 let successor = self.add_in_place_of(index);
-                self.world.start(successor, false);
+                self.simulation.start(successor, false);
                 self.later(
                     AWAY,
                     Due::Leave {
@@ -299,23 +305,23 @@
     }
 
     fn replace(&mut self, index: usize) {
-        self.world.nodes[index].removed = true;
+        self.simulation.nodes[index].removed = true;
         let successor = self.add_in_place_of(index);
         self.later(AWAY, Due::Start(successor));
     }
 
     fn add_in_place_of(&mut self, index: usize) -> usize {
-        let zone = self.world.nodes[index].zone.clone();
-        let successor = self.world.add(true);
-        self.world.nodes[successor].zone = zone;
+        let zone = self.simulation.nodes[index].zone.clone();
+        let successor = self.simulation.add(true);
+        self.simulation.nodes[successor].zone = zone;
         self.set_disks();
         self.apply_cuts();
         successor
     }
 
     fn cut(&mut self, index: usize, outward: bool, inward: bool, near: &[usize]) {
-        self.world
-            .say(|_| format!("{} is cut off: out {outward}, in {inward}", name(index)));
+        self.simulation
+            .log_line(|_| format!("{} is cut off: out {outward}, in {inward}", name(index)));
         self.cut.push(Cut {
             index,
             outward,
@@ -334,14 +340,14 @@
             near,
         } in self.cut.clone()
         {
-            for other in
-                (0..self.world.nodes.len()).filter(|other| *other != index && !near.contains(other))
+            for other in (0..self.simulation.nodes.len())
+                .filter(|other| *other != index && !near.contains(other))
             {
                 if outward {
-                    self.world.network.cut.insert((index, other));
+                    self.simulation.network.cut.insert((index, other));
                 }
                 if inward {
-                    self.world.network.cut.insert((other, index));
+                    self.simulation.network.cut.insert((other, index));
                 }
             }
         }
@@ -353,15 +359,15 @@
 
     fn heal(&mut self, index: usize) {
         self.cut.retain(|cut| cut.index != index);
-        self.world.network.cut.clear();
+        self.simulation.network.cut.clear();
         self.apply_cuts();
-        self.world
-            .say(|_| format!("{} is joined again", name(index)));
+        self.simulation
+            .log_line(|_| format!("{} is joined again", name(index)));
     }
 
     fn leave(&mut self, leaver: usize, returns: bool) {
-        self.world.tell_to_stop(leaver);
-        let at_latest = self.world.now + GRACE;
+        self.simulation.request_shutdown(leaver);
+        let at_latest = self.simulation.now + GRACE;
         self.later(
             0.0,
             Due::End {
@@ -372,13 +378,13 @@
         );
     }
 
-    fn happen(&mut self, due: Due) {
+    fn process_event(&mut self, due: Due) {
         match due {
-            Due::Start(index) => self.world.start(index, false),
-            Due::Thaw(index) => self.world.thaw(index),
+            Due::Start(index) => self.simulation.start(index, false),
+            Due::Thaw(index) => self.simulation.thaw(index),
             Due::Heal(index) => self.heal(index),
             Due::Lose { index, replaced } => {
-                self.world.wipe(index);
+                self.simulation.wipe(index);
                 self.heal(index);
                 if replaced {
                     self.replace(index);
@@ -392,51 +398,55 @@
                 returns,
                 at_latest,
             } => {
-                if self.world.is_needed(leaver) && self.world.now < at_latest {
+                if self.simulation.is_needed(leaver) && self.simulation.now < at_latest {
                     return self.later(10.0, due);
                 }
-                self.world.kill(leaver);
+                self.simulation.kill(leaver);
                 if returns {
                     self.later(AWAY, Due::Start(leaver));
                 } else {
-                    self.world.nodes[leaver].removed = true;
+                    self.simulation.nodes[leaver].removed = true;
                 }
             }
         }
     }
 
     fn run_due(&mut self) {
-        while let Some(position) = self.due.iter().position(|(at, _)| *at <= self.world.now) {
+        while let Some(position) = self
+            .due
+            .iter()
+            .position(|(at, _)| *at <= self.simulation.now)
+        {
             let (_, due) = self.due.swap_remove(position);
-            self.happen(due);
+            self.process_event(due);
         }
     }
 
     /// Runs with a call each 130 ms or so.
     fn run(&mut self, span: Time) {
-        let end = self.world.now + span;
-        while self.world.now < end {
+        let end = self.simulation.now + span;
+        while self.simulation.now < end {
             self.run_due();
             self.call();
-            let pause: Time = self.world.random.gen_range(60.0..200.0);
-            self.world.run(pause.min(end - self.world.now));
+            let pause: Time = self.simulation.random.gen_range(60.0..200.0);
+            self.simulation.run(pause.min(end - self.simulation.now));
         }
         self.run_due();
     }
 
     fn call(&mut self) {
-        let running = self.world.running();
+        let running = self.simulation.running();
         let Some(node) = running
-            .get(self.world.random.gen_range(0..running.len().max(1)))
+            .get(self.simulation.random.gen_range(0..running.len().max(1)))
             .copied()
         else {
             return;
         };
-        let base = self.world.newest().version;
-        let call = if self.world.random.gen_bool(0.7) {
-            self.world.submit(node, base)
+        let base = self.simulation.newest().version;
+        let call = if self.simulation.random.gen_bool(0.7) {
+            self.simulation.submit(node, base)
         } else {
-            self.world.read(node)
+            self.simulation.read(node)
         };
         if !self.hit.contains(&node) {
             self.expected.push(call);
@@ -480,36 +490,39 @@
     /// The side of one machine confirms nothing while it is cut off.
     fn check_isolated(&self) {
         for (call, node) in &self.isolated {
-            if let (true, Some(Ok(outcome))) = (self.is_cut(*node), self.world.outcome(*call)) {
+            if let (true, Some(Ok(outcome))) = (self.is_cut(*node), self.simulation.outcome(*call))
+            {
                 panic!("machine {node} was cut off and answered {outcome}");
             }
         }
     }
 
     fn check_answers(&mut self) {
-        let now = self.world.now;
+        let now = self.simulation.now;
         let (old, rest): (Vec<u64>, Vec<u64>) = self
             .expected
             .iter()
-            .partition(|call| now - self.world.calls[call].began > ACKNOWLEDGE);
+            .partition(|call| now - self.simulation.calls[call].began > ACKNOWLEDGE);
         self.expected = rest;
         for call in old {
-            let outcome = self.world.outcome(call);
-            let asked = &self.world.calls[&call];
+            let outcome = self.simulation.outcome(call);
+            let asked = &self.simulation.calls[&call];
             assert!(
                 matches!(outcome, Some(Ok(_))),
                 "{outcome:?} was answered to {asked:?}"
             );
         }
-        self.world.checks.nothing_lost(&self.world.newest());
+        self.simulation
+            .checks
+            .check_nothing_lost(&self.simulation.newest());
     }
 
     /// From here on the next loss may come: all voters live, so that a majority is left after any loss that is to be
-    /// borne, and the chain is in line.
+    /// borne, and the chain is in sync.
     fn check_whole(&self) {
         let view = self.view();
         let lives = |member: &&Member| {
-            self.world
+            self.simulation
                 .nodes
                 .iter()
                 .filter(|node| !node.frozen && !node.removed)
@@ -521,12 +534,15 @@
         };
         let living = view.voters.iter().filter(lives).count();
         let majority = view.voters.len() / 2 + 1;
-        let borne = self.layout.borne;
-        assert!(living >= majority + borne, "{living} voters live of {view}");
-        for zone in (0..self.layout.zones).filter(|_| self.layout.zones_borne > 0) {
+        let tolerated_machine_losses = self.layout.tolerated_machine_losses;
+        assert!(
+            living >= majority + tolerated_machine_losses,
+            "{living} voters live of {view}"
+        );
+        for zone in (0..self.layout.zones).filter(|_| self.layout.tolerated_zone_losses > 0) {
             let outside = |member: &&Member| {
                 self.index_of(member)
-                    .is_none_or(|index| self.world.nodes[index].zone != zone_name(zone))
+                    .is_none_or(|index| self.simulation.nodes[index].zone != zone_name(zone))
             };
             let left = view.voters.iter().filter(outside).filter(lives).count();
             assert!(
@@ -542,39 +558,42 @@
             view.chain.iter().all(|member| lives(&member)),
             "all of the chain live: {view}"
         );
-        assert!(self.world.is_whole(), "in line: {view}");
+        assert!(self.simulation.is_fully_replicated(), "in line: {view}");
     }
 
     fn finish(&mut self) {
-        self.world.run(ACKNOWLEDGE);
+        self.simulation.run(ACKNOWLEDGE);
         self.check_answers();
-        for index in self.world.running() {
+        for index in self.simulation.running() {
             let calls = [
-                self.world.submit(index, self.world.newest().version),
-                self.world.read(index),
+                self.simulation
+                    .submit(index, self.simulation.newest().version),
+                self.simulation.read(index),
             ];
-            self.world.run(1500.0);
+            self.simulation.run(1500.0);
             for call in calls {
-                let outcome = self.world.outcome(call);
+                let outcome = self.simulation.outcome(call);
                 assert!(
                     matches!(outcome, Some(Ok(_))),
                     "machine {index} answers {outcome:?}"
                 );
             }
         }
-        self.world.checks.nothing_lost(&self.world.newest());
+        self.simulation
+            .checks
+            .check_nothing_lost(&self.simulation.newest());
     }
 }
 
-pub fn play(seed: u64, layout: Layout, losses: &[Vec<Hit>], log: bool) -> World {
+pub fn play(seed: u64, layout: Layout, losses: &[Vec<Hit>], log: bool) -> Simulation {
     let mut play = Play::new(seed, layout, log);
     for hits in losses {
-        let offset = play.world.random.gen_range(0.0..300.0);
+        let offset = play.simulation.random.gen_range(0.0..300.0);
         play.run(500.0 + offset);
         play.lose(hits);
     }
     play.finish();
-    play.world
+    play.simulation
 }
 
 /// Plays all cases on several threads, and names those that failed.
--- a/crates/sandtrack-replication/tests/world/mod.rs
+++ b/crates/sandtrack-replication/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated world of control nodes: machines, disks, a network and callers, all from one seed.
+//! A deterministic simulation of replicas: machines, disks, a network and callers, all from one seed.
 #![allow(dead_code)] // each test file uses its part
 pub mod bandwidth;
 pub mod checks;
@@ -30,6 +30,8 @@
     Full,
 }
 
+// Each flag is a fault that is injected independently of the others.
+#[allow(clippy::struct_excessive_bools)]
 pub struct Node {
     pub address: String,
     pub zone: String,
@@ -148,18 +150,18 @@
     pub ended: Option<(Time, Result<Vec<u8>, CallError>)>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Time,
     pub random: Pcg64Mcg,
     pub nodes: Vec<Node>,
     pub network: Network,
-    pub borne: usize,
-    pub zones_borne: usize,
+    pub tolerated_machine_losses: usize,
+    pub tolerated_zone_losses: usize,
     /// Bytes that a disk that is well writes in a millisecond, where the size of a write counts.
     pub disk_speed: Option<f64>,
     /// Bytes of the state besides the register, and of a command besides its numbers.
-    pub ballast: usize,
-    pub padding: usize,
+    pub state_padding: usize,
+    pub command_padding: usize,
     pub seeds: Vec<String>,
     pub calls: BTreeMap<u64, Call>,
     pub checks: Checks,
@@ -174,13 +176,13 @@
     pub hold: Vec<String>,
     held: Vec<(usize, usize, Message)>,
     /// When trouble was last seen: a machine down or frozen, a disk not well, a cut, or the view not whole.
-    pub troubled: Time,
+    pub last_fault_at: Time,
 }
 
-impl World {
+impl Simulation {
     /// `seeds` machines with a disk start for the first time, and as many observers.
-    pub fn new(seed: u64, seeds: usize, observers: usize, borne: usize) -> Self {
-        let mut world = Self {
+    pub fn new(seed: u64, seeds: usize, observers: usize, tolerated_machine_losses: usize) -> Self {
+        let mut simulation = Self {
             now: 0.0,
             random: Pcg64Mcg::seed_from_u64(seed),
             nodes: Vec::new(),
@@ -198,11 +200,11 @@
                 lost_words: None,
                 flipped_words: None,
             },
-            borne,
-            zones_borne: 0,
+            tolerated_machine_losses,
+            tolerated_zone_losses: 0,
             disk_speed: None,
-            ballast: 0,
-            padding: 0,
+            state_padding: 0,
+            command_padding: 0,
             seeds: (0..seeds.min(3)).map(name).collect(),
             calls: BTreeMap::new(),
             checks: Checks::default(),
@@ -214,26 +216,31 @@
             messages: 0,
             hold: Vec::new(),
             held: Vec::new(),
-            troubled: 0.0,
+            last_fault_at: 0.0,
         };
         for index in 0..seeds + observers {
-            world.add(index < seeds);
+            simulation.add(index < seeds);
         }
-        world
+        simulation
     }
 
     /// One that has run for four seconds on an even network; from here on it notes what is said.
-    pub fn calm(seed: u64, seeds: usize, observers: usize, borne: usize) -> Self {
-        let mut world = World::new(seed, seeds, observers, borne);
-        world.network.spread = 0.0;
-        world.start_all(true);
-        world.run(4000.0);
-        world.log = Some(Vec::new());
-        world
+    pub fn settled(
+        seed: u64,
+        seeds: usize,
+        observers: usize,
+        tolerated_machine_losses: usize,
+    ) -> Self {
+        let mut simulation = Simulation::new(seed, seeds, observers, tolerated_machine_losses);
+        simulation.network.spread = 0.0;
+        simulation.start_all(true);
+        simulation.run(4000.0);
+        simulation.log = Some(Vec::new());
+        simulation
     }
 
     /// Whether these words were noted.
-    pub fn said(&self, words: &str) -> bool {
+    pub fn logged(&self, words: &str) -> bool {
         self.log.iter().flatten().any(|line| line.contains(words))
     }
 
@@ -273,7 +280,7 @@
     ///
     /// # Panics
     /// Where one does not.
-    pub fn answers_everywhere(&mut self) {
+    pub fn assert_all_answer(&mut self) {
         for index in self.running() {
             let base = self.newest().version;
             let calls = [self.submit(index, base), self.read(index)];
@@ -307,25 +314,25 @@
         settings.zone = node.zone.clone();
         settings.first_start = first_start;
         settings.has_disk = node.has_disk;
-        settings.tolerated_machine_losses = self.borne;
-        settings.tolerated_zone_losses = self.zones_borne;
+        settings.tolerated_machine_losses = self.tolerated_machine_losses;
+        settings.tolerated_zone_losses = self.tolerated_zone_losses;
         settings.random_seed = index as u64 * 1000 + node.generation;
         settings.new_incarnation = index as u64 * 1000 + 100 + node.wipes * 10 + node.generation;
         let machine = Register {
-            ballast: self.ballast,
+            state_padding: self.state_padding,
             ..Register::default()
         };
-        let (replica, effects) = Replica::new(settings, node.disk.clone(), machine, self.now);
+        let (replica, effects) = Replica::new(settings, &node.disk, machine, self.now);
         node.member = Some(replica.member().clone());
         node.replica = Some(replica);
-        self.say(|world| format!("{} starts", world.nodes[index].address));
+        self.log_line(|simulation| format!("{} starts", simulation.nodes[index].address));
         self.run_effects(index, effects);
-        self.plan_tick(index);
+        self.schedule_tick(index);
     }
 
     /// The process ends at once; the write under way is done or not, as a whole.
     pub fn kill(&mut self, index: usize) {
-        self.say(|world| format!("{} is killed", world.nodes[index].address));
+        self.log_line(|simulation| format!("{} is killed", simulation.nodes[index].address));
         let done = self.random.gen::<bool>();
         let node = &mut self.nodes[index];
         node.replica = None;
@@ -340,8 +347,8 @@
     }
 
     /// The process is told to stop; it runs on until it is killed.
-    pub fn tell_to_stop(&mut self, index: usize) {
-        self.say(|world| format!("{} is told to stop", world.nodes[index].address));
+    pub fn request_shutdown(&mut self, index: usize) {
+        self.log_line(|simulation| format!("{} is told to stop", simulation.nodes[index].address));
         self.nodes[index].leaving = true;
         self.input(index, Input::Leave);
     }
@@ -362,14 +369,14 @@
 
     pub fn wipe(&mut self, index: usize) {
         self.kill(index);
-        self.say(|world| format!("{} loses its disk", world.nodes[index].address));
+        self.log_line(|simulation| format!("{} loses its disk", simulation.nodes[index].address));
         self.nodes[index].disk.clear();
         self.nodes[index].member = None;
         self.nodes[index].wipes += 1;
     }
 
     pub fn freeze(&mut self, index: usize) {
-        self.say(|world| format!("{} freezes", world.nodes[index].address));
+        self.log_line(|simulation| format!("{} freezes", simulation.nodes[index].address));
         self.nodes[index].frozen = true;
     }
 
@@ -377,23 +384,25 @@
         if !self.nodes[index].frozen {
             return;
         }
-        self.say(|world| format!("{} wakes", world.nodes[index].address));
+        self.log_line(|simulation| format!("{} wakes", simulation.nodes[index].address));
         self.nodes[index].frozen = false;
         let waiting = std::mem::take(&mut self.nodes[index].waiting);
         for input in waiting {
             self.input(index, input);
         }
         self.input(index, Input::Tick);
-        self.plan_tick(index);
+        self.schedule_tick(index);
     }
 
     pub fn set_disk(&mut self, index: usize, mode: DiskMode) {
-        self.say(|world| format!("disk of {} is {mode:?}", world.nodes[index].address));
+        self.log_line(|simulation| {
+            format!("disk of {} is {mode:?}", simulation.nodes[index].address)
+        });
         self.nodes[index].mode = mode;
         if let (true, Some((ticket, _, _))) = (mode != DiskMode::Stalled, &self.nodes[index].write)
         {
             let (ticket, generation) = (*ticket, self.nodes[index].generation);
-            self.plan(
+            self.schedule(
                 1.0,
                 Event::DiskDone {
                     node: index,
@@ -412,12 +421,12 @@
                 self.network.cut.insert((*b, *a));
             }
         }
-        self.say(|world| format!("cuts are {}", world.cuts()));
+        self.log_line(|simulation| format!("cuts are {}", simulation.cuts()));
     }
 
     pub fn heal(&mut self) {
         self.network.cut.clear();
-        self.say(|_| "cuts are healed".to_string());
+        self.log_line(|_| "cuts are healed".to_string());
     }
 
     fn cuts(&self) -> String {
@@ -441,7 +450,7 @@
         else {
             return false;
         };
-        self.say(|_| format!("released: {} -> {}: {message}", name(from), name(to)));
+        self.log_line(|_| format!("released: {} -> {}: {message}", name(from), name(to)));
         self.input(
             to,
             Input::Received {
@@ -452,7 +461,7 @@
         true
     }
 
-    fn plan(&mut self, after: Time, event: Event) {
+    fn schedule(&mut self, after: Time, event: Event) {
         self.order += 1;
         self.events.push(Timed {
             at: self.now + after,
@@ -461,12 +470,12 @@
         });
     }
 
-    fn plan_tick(&mut self, index: usize) {
+    fn schedule_tick(&mut self, index: usize) {
         let node = &self.nodes[index];
         if let Some(replica) = &node.replica {
             let after = (replica.next_tick() - self.now).max(0.1) + 0.1;
             let generation = node.generation;
-            self.plan(
+            self.schedule(
                 after,
                 Event::Tick {
                     node: index,
@@ -482,7 +491,7 @@
         while self.events.peek().is_some_and(|timed| timed.at <= end) {
             let timed = self.events.pop().unwrap();
             self.now = timed.at;
-            self.happen(timed.event);
+            self.process_event(timed.event);
         }
         self.now = end;
     }
@@ -493,8 +502,11 @@
             let runs = node.replica.is_some() && !node.frozen && !node.leaving;
             node.removed || runs && node.mode == DiskMode::Well
         };
-        if !self.nodes.iter().all(well) || !self.network.cut.is_empty() || !self.is_whole() {
-            self.troubled = self.now;
+        if !self.nodes.iter().all(well)
+            || !self.network.cut.is_empty()
+            || !self.is_fully_replicated()
+        {
+            self.last_fault_at = self.now;
         }
     }
 
@@ -507,7 +519,7 @@
         holds(self)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to, message } => {
                 if self.nodes[to].replica.is_none() || self.network.cut.contains(&(from, to)) {
@@ -516,7 +528,7 @@
                 if !self.hold.is_empty() {
                     let text = format!("{} -> {}: {message}", name(from), name(to));
                     if self.hold.iter().any(|begin| text.starts_with(begin)) {
-                        self.say(|_| format!("held back: {text}"));
+                        self.log_line(|_| format!("held back: {text}"));
                         return self.held.push((from, to, message));
                     }
                 }
@@ -524,8 +536,12 @@
                 if message.is_status() {
                     self.network.heartbeats.came(self.now, from, to);
                 }
-                self.say(|world| {
-                    format!("{} -> {}: {message}", name(from), world.nodes[to].address)
+                self.log_line(|simulation| {
+                    format!(
+                        "{} -> {}: {message}",
+                        name(from),
+                        simulation.nodes[to].address
+                    )
                 });
                 let input = Input::Received {
                     from: self.nodes[from].address.clone(),
@@ -536,7 +552,7 @@
             Event::Tick { node, generation } => {
                 if self.nodes[node].generation == generation && !self.nodes[node].frozen {
                     self.input(node, Input::Tick);
-                    self.plan_tick(node);
+                    self.schedule_tick(node);
                 }
             }
             Event::DiskDone {
@@ -557,7 +573,9 @@
             return;
         };
         if node.mode == DiskMode::Full {
-            self.say(|world| format!("{} could not write", world.nodes[index].address));
+            self.log_line(|simulation| {
+                format!("{} could not write", simulation.nodes[index].address)
+            });
             return self.input(index, Input::WriteFailed { ticket });
         }
         store(&mut node.disk, records, replaces);
@@ -591,8 +609,8 @@
                     command,
                     outcome,
                 } => {
-                    self.say(|world| {
-                        let node = &world.nodes[index];
+                    self.log_line(|simulation| {
+                        let node = &simulation.nodes[index];
                         format!(
                             "{} applied {number}: {}, {}",
                             node.address,
@@ -605,10 +623,14 @@
                     self.checks.applied(index, number, epoch, &command);
                 }
                 Effect::Restored { number } => {
-                    self.say(|world| format!("{} restored {number}", world.nodes[index].address));
+                    self.log_line(|simulation| {
+                        format!("{} restored {number}", simulation.nodes[index].address)
+                    });
                 }
                 Effect::ViewChanged(view) => {
-                    self.say(|world| format!("{} knows {view}", world.nodes[index].address));
+                    self.log_line(|simulation| {
+                        format!("{} knows {view}", simulation.nodes[index].address)
+                    });
                     self.checks.view(&view);
                 }
                 Effect::Answer { call, result } => self.answered(index, call, result),
@@ -632,7 +654,7 @@
             DiskMode::Slow(span) => span + by_size * (span / 0.5 - 1.0),
             DiskMode::Stalled => return,
         };
-        self.plan(
+        self.schedule(
             after + by_size,
             Event::DiskDone {
                 node: index,
@@ -679,7 +701,7 @@
             if self.random.gen_bool(self.network.late) {
                 after += self.network.latest * self.random.gen::<f64>();
             }
-            self.plan(
+            self.schedule(
                 after,
                 Event::Deliver {
                     from,
@@ -696,16 +718,16 @@
         let version = self.next_version.max(base + 1);
         self.next_version = version;
         let call = self.begin_call(node, Some((base, version)));
-        self.say(|world| {
+        self.log_line(|simulation| {
             format!(
                 "{} is asked to set {base} {version}",
-                world.nodes[node].address
+                simulation.nodes[node].address
             )
         });
         let mut command = format!("set {base} {version}").into_bytes();
-        if self.padding > 0 {
+        if self.command_padding > 0 {
             command.push(b' ');
-            command.resize(command.len() + self.padding, b'0');
+            command.resize(command.len() + self.command_padding, b'0');
         }
         self.input(node, Input::Submit { call, command });
         call
@@ -713,7 +735,7 @@
 
     pub fn read(&mut self, node: usize) -> u64 {
         let call = self.begin_call(node, None);
-        self.say(|world| format!("{} is asked to read", world.nodes[node].address));
+        self.log_line(|simulation| format!("{} is asked to read", simulation.nodes[node].address));
         self.input(
             node,
             Input::Read {
@@ -739,12 +761,12 @@
     }
 
     fn answered(&mut self, index: usize, number: u64, result: Result<Vec<u8>, CallError>) {
-        self.say(|world| {
+        self.log_line(|simulation| {
             let text = match &result {
                 Ok(outcome) => String::from_utf8_lossy(outcome).to_string(),
                 Err(refusal) => refusal.to_string(),
             };
-            format!("{} answers: {text}", world.nodes[index].address)
+            format!("{} answers: {text}", simulation.nodes[index].address)
         });
         let call = self.calls.get_mut(&number).unwrap();
         assert_eq!(call.node, index, "answered where it was asked");
@@ -760,7 +782,7 @@
         Some(result.map(|bytes| String::from_utf8(bytes).unwrap()))
     }
 
-    pub fn took(&self, call: u64) -> Option<Time> {
+    pub fn latency(&self, call: u64) -> Option<Time> {
         let call = &self.calls[&call];
         call.ended.as_ref().map(|(ended, _)| ended - call.began)
     }
@@ -778,8 +800,8 @@
     }
 
     /// Whether all that the newest view builds on is there: its voters' disks, and a chain that is long enough
-    /// with all of its members in line. From here the disks of as many machines as are borne may go.
-    pub fn is_whole(&self) -> bool {
+    /// with all of its members in sync. From here the disks of as many machines as are borne may go.
+    pub fn is_fully_replicated(&self) -> bool {
         let Some(view) = self.checks.newest_view() else {
             return false;
         };
@@ -788,7 +810,7 @@
                 .iter()
                 .any(|node| !node.removed && node.member.as_ref() == Some(member))
         };
-        let in_line = |member: &Member| {
+        let is_in_sync = |member: &Member| {
             self.nodes
                 .iter()
                 .filter_map(|node| node.replica.as_ref())
@@ -799,8 +821,8 @@
                 })
         };
         view.voters.iter().all(has_disk)
-            && view.chain.len() > self.borne
-            && view.chain.iter().all(in_line)
+            && view.chain.len() > self.tolerated_machine_losses
+            && view.chain.iter().all(is_in_sync)
     }
 
     pub fn running(&self) -> Vec<usize> {
@@ -809,7 +831,7 @@
             .collect()
     }
 
-    pub fn say(&mut self, line: impl Fn(&Self) -> String) {
+    pub fn log_line(&mut self, line: impl Fn(&Self) -> String) {
         if let Some(mut log) = self.log.take() {
             log.push(format!("{:8.1} {}", self.now, line(self)));
             self.log = Some(log);
@@ -835,8 +857,8 @@
     format!("m{}", index + 1)
 }
 
-/// A world that fails says all that happened in it.
-impl Drop for World {
+/// A simulation that fails says all that happened in it.
+impl Drop for Simulation {
     fn drop(&mut self) {
         if std::thread::panicking() {
             for line in self.log.iter().flatten() {
--- a/crates/sandtrack-replication/tests/world/register.rs
+++ b/crates/sandtrack-replication/tests/simulation/register.rs
@@ -10,7 +10,7 @@
     /// Base and version of each command that won.
     pub wins: Vec<(u64, u64)>,
     /// Bytes that a snapshot holds besides.
-    pub ballast: usize,
+    pub state_padding: usize,
 }
 
 impl StateMachine for Register {
@@ -50,14 +50,14 @@
         }
         text.push('\n');
         let mut bytes = text.into_bytes();
-        bytes.extend((0..self.ballast).map(|at| at as u8));
+        bytes.extend((0..self.state_padding).map(|at| at as u8));
         bytes
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> bool {
         let end = snapshot.iter().position(|byte| *byte == b'\n').unwrap();
         let text = String::from_utf8(snapshot[..end].to_vec()).unwrap();
-        self.ballast = snapshot.len() - end - 1;
+        self.state_padding = snapshot.len() - end - 1;
         let words: Vec<u64> = text.split(' ').map(|word| word.parse().unwrap()).collect();
         self.version = words[0];
         self.applied = words[1];
--- a/crates/sandtrack-replication/tests/spacing.rs
+++ b/crates/sandtrack-replication/tests/successive_losses.rs
@@ -3,11 +3,11 @@
 //!
 //! Every pair of losses of three machines is played, and samples of triples and of six machines; SANDTRACK_SPACING=COUNT
 //! plays so many samples, SANDTRACK_SPACING_ONE=NUMBER one alone with its log.
-mod world;
+mod simulation;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use world::losses::{play, play_all, Hit, Layout, Target, GROWN, LOSSES, SMALL};
+use simulation::losses::{play, play_all, Hit, Layout, Target, GROWN, LOSSES, SMALL};
 
 /// Every loss at every place of a chain of three.
 fn single_losses() -> Vec<Hit> {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_thousand_changes_through_losses_in_turn() {
+fn a_thousand_commands_through_losses_in_turn() {
     for (name, layout, at_once) in [("long, three", SMALL, 1), ("long, six", GROWN, 2)] {
         play_all(
             name,
--- a/crates/sandtrack-replication/tests/transcripts.rs
+++ b/crates/sandtrack-replication/tests/transcripts.rs
@@ -1,23 +1,23 @@
 //! Approved transcripts of whole exchanges: all messages but the statuses, what was applied and answered. After a
 //! change that is meant, SANDTRACK_APPROVE=1 writes them anew; the difference is then read and committed.
-mod world;
+mod simulation;
 
 use std::path::Path;
 
-use world::{DiskMode, World};
+use simulation::{DiskMode, Simulation};
 
 /// Three machines, calm, with what is said from here on kept.
-fn calm(observers: usize) -> World {
-    let mut world = World::new(7, 3, observers, 1);
-    world.network.spread = 0.0;
-    world.start_all(true);
-    world.run(2000.0);
-    world.log = Some(Vec::new());
-    world
+fn settled(observers: usize) -> Simulation {
+    let mut simulation = Simulation::new(7, 3, observers, 1);
+    simulation.network.spread = 0.0;
+    simulation.start_all(true);
+    simulation.run(2000.0);
+    simulation.log = Some(Vec::new());
+    simulation
 }
 
-fn compare(name: &str, mut world: World) {
-    let lines = world.log.take().unwrap();
+fn compare(name: &str, mut simulation: Simulation) {
+    let lines = simulation.log.take().unwrap();
     let told: Vec<String> = lines
         .into_iter()
         .filter(|line| !line.contains(" status "))
@@ -40,79 +40,79 @@
     );
 }
 
-fn won(world: &World, call: u64) -> bool {
-    matches!(world.outcome(call), Some(Ok(text)) if text.starts_with("won"))
+fn won(simulation: &Simulation, call: u64) -> bool {
+    matches!(simulation.outcome(call), Some(Ok(text)) if text.starts_with("won"))
 }
 
 #[test]
 fn a_committed_write() {
-    let mut world = calm(1);
-    let call = world.submit(2, 0);
-    world.run(50.0);
-    assert!(won(&world, call));
-    let call = world.submit(3, 1);
-    world.run(50.0);
-    assert!(won(&world, call));
-    compare("committed-write", world);
+    let mut simulation = settled(1);
+    let call = simulation.submit(2, 0);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
+    let call = simulation.submit(3, 1);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
+    compare("committed-write", simulation);
 }
 
 #[test]
 fn a_read() {
-    let mut world = calm(1);
-    let calls: Vec<u64> = (0..4).map(|node| world.read(node)).collect();
-    world.run(50.0);
+    let mut simulation = settled(1);
+    let calls: Vec<u64> = (0..4).map(|node| simulation.read(node)).collect();
+    simulation.run(50.0);
     assert!(calls
         .iter()
-        .all(|call| world.outcome(*call) == Some(Ok("0 0".to_string()))));
-    compare("read", world);
+        .all(|call| simulation.outcome(*call) == Some(Ok("0 0".to_string()))));
+    compare("read", simulation);
 }
 
 #[test]
 fn a_member_lost_and_back() {
-    let mut world = calm(0);
-    world.kill(1);
-    let call = world.submit(0, 0);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    world.start(1, false);
-    world.run(1500.0);
-    assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
-    compare("member-lost-and-back", world);
+    let mut simulation = settled(0);
+    simulation.kill(1);
+    let call = simulation.submit(0, 0);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    simulation.start(1, false);
+    simulation.run(1500.0);
+    assert_eq!(simulation.checks.newest_view().unwrap().chain.len(), 3);
+    compare("member-lost-and-back", simulation);
 }
 
 #[test]
 fn a_wiped_member() {
-    let mut world = calm(0);
-    let call = world.submit(0, 0);
-    world.run(50.0);
-    assert!(won(&world, call));
-    world.wipe(0);
-    world.run(400.0);
-    world.start(0, false);
-    let call = world.submit(0, 1);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    let view = world.checks.newest_view().unwrap().clone();
+    let mut simulation = settled(0);
+    let call = simulation.submit(0, 0);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
+    simulation.wipe(0);
+    simulation.run(400.0);
+    simulation.start(0, false);
+    let call = simulation.submit(0, 1);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    let view = simulation.checks.newest_view().unwrap().clone();
     assert!(view
         .voters
         .iter()
         .all(|voter| voter.address != "m1" || voter.incarnation > 0));
     assert_eq!(view.chain.len(), 3);
-    compare("wiped-member", world);
+    compare("wiped-member", simulation);
 }
 
 #[test]
 fn a_replaced_member() {
-    let mut world = calm(0);
-    world.submit(0, 0);
-    world.run(50.0);
-    world.wipe(2);
-    world.nodes[2].removed = true;
-    let new = world.add(true);
-    world.run(300.0);
-    world.start(new, false);
-    world.run(4500.0);
-    let view = world.checks.newest_view().unwrap().clone();
+    let mut simulation = settled(0);
+    simulation.submit(0, 0);
+    simulation.run(50.0);
+    simulation.wipe(2);
+    simulation.nodes[2].removed = true;
+    let new = simulation.add(true);
+    simulation.run(300.0);
+    simulation.start(new, false);
+    simulation.run(4500.0);
+    let view = simulation.checks.newest_view().unwrap().clone();
     assert!(
         view.voters.iter().any(|voter| voter.address == "m4"),
         "{view}"
@@ -121,138 +121,143 @@
         view.voters.iter().all(|voter| voter.address != "m3"),
         "{view}"
     );
-    let call = world.submit(new, 1);
-    world.run(50.0);
-    assert!(won(&world, call));
-    compare("replaced-member", world);
+    let call = simulation.submit(new, 1);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
+    compare("replaced-member", simulation);
 }
 
 #[test]
 fn a_frozen_head_that_wakes() {
-    let mut world = calm(0);
-    world.freeze(0);
-    let stale = [world.submit(0, 0), world.read(0)];
-    let call = world.submit(1, 0);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    world.thaw(0);
-    world.run(500.0);
+    let mut simulation = settled(0);
+    simulation.freeze(0);
+    let stale = [simulation.submit(0, 0), simulation.read(0)];
+    let call = simulation.submit(1, 0);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    simulation.thaw(0);
+    simulation.run(500.0);
     // Both changes are on top of the same version: the one that was acknowledged stays the only one.
-    assert!(!won(&world, stale[0]));
+    assert!(!won(&simulation, stale[0]));
     assert_eq!(
-        world.outcome(stale[1]).unwrap().unwrap().split(' ').next(),
+        simulation
+            .outcome(stale[1])
+            .unwrap()
+            .unwrap()
+            .split(' ')
+            .next(),
         Some("2")
     );
-    compare("frozen-head-wakes", world);
+    compare("frozen-head-wakes", simulation);
 }
 
 #[test]
-fn the_core_cut_in_two() {
-    let mut world = calm(0);
-    world.cut(&[0], &[1, 2]);
-    let alone = world.submit(0, 0);
-    let call = world.submit(1, 0);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    assert_eq!(world.outcome(alone), None);
-    world.heal();
-    world.run(1500.0);
-    assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
-    assert!(!won(&world, alone));
-    compare("core-cut-in-two", world);
+fn the_control_nodes_cut_in_two() {
+    let mut simulation = settled(0);
+    simulation.cut(&[0], &[1, 2]);
+    let alone = simulation.submit(0, 0);
+    let call = simulation.submit(1, 0);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    assert_eq!(simulation.outcome(alone), None);
+    simulation.heal();
+    simulation.run(1500.0);
+    assert_eq!(simulation.checks.newest_view().unwrap().chain.len(), 3);
+    assert!(!won(&simulation, alone));
+    compare("core-cut-in-two", simulation);
 }
 
 #[test]
-fn the_core_cut_one_way() {
-    let mut world = calm(0);
-    world.network.cut.insert((0, 1));
-    let call = world.submit(2, 0);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    world.heal();
-    world.run(1500.0);
-    assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
-    compare("core-cut-one-way", world);
+fn the_control_nodes_cut_one_way() {
+    let mut simulation = settled(0);
+    simulation.network.cut.insert((0, 1));
+    let call = simulation.submit(2, 0);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    simulation.heal();
+    simulation.run(1500.0);
+    assert_eq!(simulation.checks.newest_view().unwrap().chain.len(), 3);
+    compare("core-cut-one-way", simulation);
 }
 
 #[test]
 fn all_killed_at_once() {
-    let mut world = calm(0);
-    let call = world.submit(0, 0);
-    world.run(50.0);
-    assert!(won(&world, call));
+    let mut simulation = settled(0);
+    let call = simulation.submit(0, 0);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
     for index in 0..3 {
-        world.kill(index);
+        simulation.kill(index);
     }
-    world.run(300.0);
+    simulation.run(300.0);
     for index in 0..3 {
-        world.start(index, false);
-        world.run(40.0);
+        simulation.start(index, false);
+        simulation.run(40.0);
     }
-    let call = world.read(2);
-    world.run(20.0);
+    let call = simulation.read(2);
+    simulation.run(20.0);
     assert_eq!(
-        world.outcome(call),
+        simulation.outcome(call),
         Some(Ok("1 1".to_string())),
         "the view on the disks serves at once"
     );
-    compare("all-killed-at-once", world);
+    compare("all-killed-at-once", simulation);
 }
 
 #[test]
 fn a_stalled_disk() {
-    let mut world = calm(0);
-    world.set_disk(1, DiskMode::Stalled);
-    let call = world.submit(0, 0);
-    world.run(3000.0);
-    assert!(won(&world, call));
-    world.set_disk(1, DiskMode::Well);
-    world.run(1500.0);
-    assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
-    compare("stalled-disk", world);
+    let mut simulation = settled(0);
+    simulation.set_disk(1, DiskMode::Stalled);
+    let call = simulation.submit(0, 0);
+    simulation.run(3000.0);
+    assert!(won(&simulation, call));
+    simulation.set_disk(1, DiskMode::Well);
+    simulation.run(1500.0);
+    assert_eq!(simulation.checks.newest_view().unwrap().chain.len(), 3);
+    compare("stalled-disk", simulation);
 }
 
 #[test]
 fn a_full_disk_at_the_head() {
-    let mut world = calm(0);
-    world.set_disk(0, DiskMode::Full);
-    let call = world.submit(0, 0);
-    world.run(2500.0);
-    assert!(won(&world, call));
-    let read = world.read(0);
-    world.run(50.0);
-    assert_eq!(world.outcome(read), Some(Ok("1 1".to_string())));
-    world.set_disk(0, DiskMode::Well);
-    world.run(2000.0);
-    assert_eq!(world.checks.newest_view().unwrap().chain.len(), 3);
-    compare("full-disk-at-the-head", world);
+    let mut simulation = settled(0);
+    simulation.set_disk(0, DiskMode::Full);
+    let call = simulation.submit(0, 0);
+    simulation.run(2500.0);
+    assert!(won(&simulation, call));
+    let read = simulation.read(0);
+    simulation.run(50.0);
+    assert_eq!(simulation.outcome(read), Some(Ok("1 1".to_string())));
+    simulation.set_disk(0, DiskMode::Well);
+    simulation.run(2000.0);
+    assert_eq!(simulation.checks.newest_view().unwrap().chain.len(), 3);
+    compare("full-disk-at-the-head", simulation);
 }
 
 #[test]
 fn all_disks_full() {
-    let mut world = calm(0);
+    let mut simulation = settled(0);
     for index in 0..3 {
-        world.set_disk(index, DiskMode::Full);
+        simulation.set_disk(index, DiskMode::Full);
     }
-    let call = world.submit(0, 0);
-    world.run(4500.0);
+    let call = simulation.submit(0, 0);
+    simulation.run(4500.0);
     assert_eq!(
-        world.outcome(call),
+        simulation.outcome(call),
         Some(Err(sandtrack_replication::CallError::Full))
     );
-    let read = world.read(0);
-    world.run(50.0);
+    let read = simulation.read(0);
+    simulation.run(50.0);
     assert_eq!(
-        world.outcome(read),
+        simulation.outcome(read),
         Some(Ok("0 0".to_string())),
         "what is committed stays readable"
     );
     for index in 0..3 {
-        world.set_disk(index, DiskMode::Well);
+        simulation.set_disk(index, DiskMode::Well);
     }
-    world.run(1500.0);
-    let call = world.submit(0, 0);
-    world.run(50.0);
-    assert!(won(&world, call));
-    compare("all-disks-full", world);
+    simulation.run(1500.0);
+    let call = simulation.submit(0, 0);
+    simulation.run(50.0);
+    assert!(won(&simulation, call));
+    compare("all-disks-full", simulation);
 }
--- a/crates/sandtrack-replication/tests/zone_losses.rs
+++ b/crates/sandtrack-replication/tests/zone_losses.rs
@@ -2,9 +2,9 @@
 //! been back for `catch_up_s`. Each order of two is played for three machines in three zones of two regions and for six
 //! in three zones; of six machines in six zones, and of a zone and single machines, a part. SANDTRACK_ZONES=all plays
 //! each of them, SANDTRACK_ZONES=COUNT so many of each list.
-mod world;
+mod simulation;
 
-use world::losses::{play_all, Hit, Layout, Loss, Target, LOSSES, SMALL};
+use simulation::losses::{play_all, Hit, Layout, Loss, Target, LOSSES, SMALL};
 
 /// A zone loses power, is frozen or is cut off; its machines return, return with empty disks, or others take their place.
 const ZONE_LOSSES: [Loss; 9] = [
@@ -20,7 +20,7 @@
 ];
 
 const THREE_ZONES_TWO_REGIONS: Layout = Layout {
-    zones_borne: 1,
+    tolerated_zone_losses: 1,
     between_regions: 55.0,
     ..SMALL
 };
@@ -82,7 +82,10 @@
 
 fn zone_and_machines(name: &str, layout: Layout, by_default: usize) {
     let zones = zone_losses(layout.zones);
-    let machines = machine_losses(3.max(layout.borne * 2 + 1), layout.borne);
+    let machines = machine_losses(
+        3.max(layout.tolerated_machine_losses * 2 + 1),
+        layout.tolerated_machine_losses,
+    );
     let mut cases = orders(&zones, &machines);
     cases.extend(orders(&machines, &zones));
     play_all(name, layout, &some(cases, by_default));
@@ -103,11 +106,11 @@
 }
 
 #[test]
-fn zone_after_zone_of_six_machines_in_three_zones_that_bear_two() {
+fn zone_after_zone_of_six_machines_in_three_zones_that_tolerate_two() {
     zone_after_zone(
         "six in three zones, two borne",
         Layout {
-            borne: 2,
+            tolerated_machine_losses: 2,
             ..SIX_IN_THREE
         },
         120,
@@ -120,7 +123,7 @@
     zone_after_zone(
         "six in six zones, two borne",
         Layout {
-            borne: 2,
+            tolerated_machine_losses: 2,
             ..SIX_IN_SIX
         },
         120,
@@ -138,11 +141,11 @@
 
 #[test]
 fn a_zone_and_machines_in_turn_of_six_machines() {
-    for borne in [1, 2] {
+    for tolerated_machine_losses in [1, 2] {
         zone_and_machines(
             "six in three zones, a zone and machines",
             Layout {
-                borne,
+                tolerated_machine_losses,
                 ..SIX_IN_THREE
             },
             100,
@@ -150,7 +153,7 @@
         zone_and_machines(
             "six in six zones, a zone and machines",
             Layout {
-                borne,
+                tolerated_machine_losses,
                 ..SIX_IN_SIX
             },
             100,
--- a/crates/sandtrack-wal/src/lib.rs
+++ b/crates/sandtrack-wal/src/lib.rs
@@ -1,8 +1,8 @@
-//! An append-only file of checksummed records, rewritten when it gets long. Blocking; std::fs only.
+//! A write-ahead log: an append-only file of checksummed records, rewritten when it gets long. Blocking; `std::fs` only.
 //!
-//! The file is a head (name of the format, its number, a checksum) and then one frame for each append:
-//! length, checksum, records. A frame is there as a whole or not at all, so what one append holds is never
-//! found in part after a loss of power.
+//! The file is a header (name of the format, its number, a checksum) followed by one frame for each append: length,
+//! checksum, records. A frame is read completely or not at all, so after a crash no append is found in part.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 mod format;
 mod store;
--- a/crates/sandtrack-wal/src/store.rs
+++ b/crates/sandtrack-wal/src/store.rs
@@ -1,35 +1,43 @@
-//! The few calls of a file system that a WAL needs; another one stands in for it in tests.
+//! The file system calls that a WAL needs, as a trait, so that tests can inject faults.
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// One folder. Names are plain file names in it.
+/// The files of one folder, by their plain names.
+///
+/// # Errors
+///
+/// Each call returns the error of the file system.
+#[allow(clippy::missing_errors_doc)] // said once, for the trait
 pub trait Store {
-    /// The whole file; None when there is none.
+    /// The content of a file; `None` if there is none.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Writes at an offset and so makes the file longer, or begins it.
+    /// Writes at an offset, extending or creating the file.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Bytes of the file.
+    /// The length of a file in bytes.
     fn length(&mut self, name: &str) -> io::Result<u64>;
+    /// Truncates a file.
     fn set_length(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// The file's data and length last.
+    /// Makes a file's data and length durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Renames a file, replacing any of the new name. Durable after `sync_folder`.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// No error when there is none.
+    /// Removes a file; no error if there is none. Durable after `sync_folder`.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Renamed and removed names last.
+    /// Makes renames and removals durable.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// The path of a name, for reports.
+    /// The path of a name, for messages to operators.
     fn path(&self, name: &str) -> PathBuf;
 }
 
-/// A real folder. Keeps the file that it wrote to last open.
+/// A folder of the real file system. Keeps the last written file open.
 pub struct Disk {
     folder: PathBuf,
     open: Option<(String, File)>,
 }
 
 impl Disk {
+    /// A store in this folder, which has to exist.
     pub fn new(folder: &Path) -> Self {
         Self {
             folder: folder.to_path_buf(),
--- a/crates/sandtrack-wal/src/wal.rs
+++ b/crates/sandtrack-wal/src/wal.rs
@@ -1,32 +1,32 @@
-//! Opening, appending, rewriting.
+//! Opening, appending to and rewriting a WAL.
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::format::{self, Content, HEAD};
+use crate::format::{self, Content, HEADER_BYTES};
 use crate::store::{Disk, Store};
 
-/// What was found at `Wal::open`.
+/// What `Wal::open` had to repair.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Bytes after the last whole frame that were cut off.
+    /// Bytes of an incomplete frame at the end that were truncated.
     pub dropped_bytes: u64,
-    /// Where a file went that is not a WAL, or that lost what was synced: its state is lost, and it is never an
-    /// authority.
+    /// Where a file was moved that is not a WAL, or that lost synced frames. Its state counts as lost.
     pub set_aside: Option<PathBuf>,
 }
 
-/// Why the disk did not do what was asked. The codes are in `docs/system/control.md`.
+/// An error of the WAL. The codes are in `docs/system/control.md`.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
-    /// Nothing of the append or rewrite is in the WAL nor will be; it can be tried again.
+    /// Nothing of the append or rewrite is in the WAL, nor will be; it can be retried.
     #[error("L1 not written, and nothing of it is kept: {0}")]
     NotWritten(io::Error),
-    /// It is not known what a later open will find; the process must stop and open the WAL anew.
+    /// It is unknown what a later open will find: the process has to stop and open the WAL again.
     #[error("L2 the state of the file is unknown: {0}")]
     Unknown(io::Error),
+    /// The file can't be read, created or synced.
     #[error("L3 the wal can't be opened: {0}")]
     NotOpened(io::Error),
-    /// Left as it is: a program of that format can go on with it.
+    /// The file has a newer format, and is left as it is for a program that knows that format.
     #[error("L4 the wal is of format {0}, which this program does not know")]
     Newer(u32),
 }
@@ -35,20 +35,20 @@
 pub struct Wal<S: Store = Disk> {
     store: S,
     name: String,
-    /// Where the whole frames end.
+    /// End of the last complete frame.
     length: u64,
-    /// Something that is no whole frame may stand after `length`.
+    /// There may be an incomplete frame after `length`.
     trailing: bool,
-    /// It is not known what the file holds: nothing more is written.
+    /// The content of the file is unknown: nothing more is written.
     unknown: bool,
 }
 
 impl Wal<Disk> {
-    /// Opens or begins the WAL `name` in `folder`; gives the whole records in order.
+    /// Opens or creates the WAL `name` in `folder`, and returns its records in order.
     ///
     /// # Errors
-    /// `NotOpened` when the folder can't be read, nothing can be begun in it, or what was found can't be synced;
-    /// `Newer` as told there.
+    /// [`WalError::NotOpened`] if the folder can't be read or written, or the file can't be synced;
+    /// [`WalError::Newer`] if the file has a newer format.
     pub fn open(folder: &Path, name: &str) -> Result<(Self, Vec<Vec<u8>>, Report), WalError> {
         Self::open_in(Disk::new(folder), name)
     }
@@ -63,7 +63,7 @@
         let bytes = store.read(name).map_err(WalError::NotOpened)?;
         let found = bytes.as_ref().map_or(0, |bytes| bytes.len() as u64);
         let mut report = Report::default();
-        let length = HEAD as u64;
+        let length = HEADER_BYTES as u64;
         let mut wal = Self {
             store,
             name: name.to_string(),
@@ -76,33 +76,33 @@
                 wal.length = end as u64;
                 report.dropped_bytes = found - wal.length;
                 wal.trailing = report.dropped_bytes > 0;
-                wal.settle().map_err(WalError::NotOpened)?;
+                wal.make_durable().map_err(WalError::NotOpened)?;
                 return Ok((wal, records, report));
             }
             Content::Newer(format) => return Err(WalError::Newer(format)),
-            Content::Unbegun => report.dropped_bytes = found,
+            Content::Uncreated => report.dropped_bytes = found,
             Content::Foreign | Content::Damaged => {
                 report.set_aside = Some(wal.set_aside().map_err(WalError::NotOpened)?);
             }
         }
-        wal.begin().map_err(WalError::NotOpened)?;
+        wal.create().map_err(WalError::NotOpened)?;
         Ok((wal, Vec::new(), report))
     }
 
-    /// Makes last what was found: the process before may have ended between a write or a rename and its sync, and
-    /// what is read here is relied on from now on.
-    fn settle(&mut self) -> io::Result<()> {
+    /// Syncs what was found: the previous process may have ended between a write or a rename and its sync, and
+    /// the records read here are relied on from now on.
+    fn make_durable(&mut self) -> io::Result<()> {
         // On a full disk the cut waits for the next append; what was read stands all the same.
-        let _ = self.cut();
+        let _ = self.truncate_trailing();
         self.store.sync(&self.name)?;
-        let _ = self.store.remove(&rewritten(&self.name)); // left by a rewrite that did not end; harmless if it stays
+        let _ = self.store.remove(&rewrite_name(&self.name)); // left by a rewrite that did not end; harmless if it stays
         self.store.sync_folder()
     }
 
-    /// A name without a head in it may be what is left of an earlier try.
-    fn begin(&mut self) -> io::Result<()> {
+    /// Creates the file with its header. A file without a complete header is left from an earlier attempt.
+    fn create(&mut self) -> io::Result<()> {
         self.store.remove(&self.name)?;
-        self.store.write(&self.name, 0, &format::head())?;
+        self.store.write(&self.name, 0, &format::header())?;
         self.store.sync(&self.name)?;
         self.store.sync_folder()
     }
@@ -120,8 +120,8 @@
         Ok(self.store.path(&aside))
     }
 
-    /// Drops what stands after the whole frames.
-    fn cut(&mut self) -> io::Result<()> {
+    /// Truncates the incomplete frame at the end, if any.
+    fn truncate_trailing(&mut self) -> io::Result<()> {
         if self.trailing {
             self.store.set_length(&self.name, self.length)?;
             self.store.sync(&self.name)?;
@@ -130,17 +130,17 @@
         Ok(())
     }
 
-    /// Appends all and syncs: afterwards all of it lasts.
+    /// Appends all records as one frame and syncs it: afterwards they are durable.
     ///
     /// # Errors
-    /// `NotWritten` and `Unknown`, as told there.
+    /// [`WalError::NotWritten`] and [`WalError::Unknown`].
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        self.refuse_if_unknown()?;
+        self.ensure_known()?;
         let result = self.try_append(records);
-        self.note_unknown(result)
+        self.remember_unknown(result)
     }
 
-    fn refuse_if_unknown(&self) -> Result<(), WalError> {
+    fn ensure_known(&self) -> Result<(), WalError> {
         match self.unknown {
             true => Err(WalError::Unknown(io::Error::other(
                 "an earlier write left it unknown",
@@ -149,13 +149,13 @@
         }
     }
 
-    fn note_unknown(&mut self, result: Result<(), WalError>) -> Result<(), WalError> {
+    fn remember_unknown(&mut self, result: Result<(), WalError>) -> Result<(), WalError> {
         self.unknown = matches!(result, Err(WalError::Unknown(_)));
         result
     }
 
     fn try_append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        self.cut().map_err(WalError::NotWritten)?;
+        self.truncate_trailing().map_err(WalError::NotWritten)?;
         let frame = format::frame(records);
         self.trailing = true;
         if let Err(error) = self.store.write(&self.name, self.length, &frame) {
@@ -169,30 +169,30 @@
         Ok(())
     }
 
-    /// After a write that failed: a part of a frame is never read as one, but a whole one has to go.
+    /// After a failed write: an incomplete frame is never read as one, but a complete one has to be truncated.
     fn undo(&mut self, error: io::Error, frame: u64) -> WalError {
         let whole = !self
             .store
             .length(&self.name)
             .is_ok_and(|length| length < self.length + frame);
-        match self.cut() {
+        match self.truncate_trailing() {
             Err(_) if whole => WalError::Unknown(error),
             _ => WalError::NotWritten(error),
         }
     }
 
-    /// Replaces the content by `records` through a new file; at every moment the one or the other stands.
+    /// Replaces the content by `records` through a new file and a rename: a crash leaves either the old or the new content.
     ///
     /// # Errors
-    /// `NotWritten` when the former content stands; `Unknown` when the new name may not last.
+    /// [`WalError::NotWritten`] if the old content is kept; [`WalError::Unknown`] if the rename may not be durable.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        self.refuse_if_unknown()?;
+        self.ensure_known()?;
         let result = self.try_rewrite(records);
-        self.note_unknown(result)
+        self.remember_unknown(result)
     }
 
     fn try_rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        let new = rewritten(&self.name);
+        let new = rewrite_name(&self.name);
         let bytes = format::file(records);
         let written = self
             .store
@@ -211,7 +211,7 @@
         self.store.sync_folder().map_err(WalError::Unknown)
     }
 
-    /// After a rename that failed: it was not done where the new file is still there under its own name.
+    /// After a failed rename: it was not done if the new file is still there under its own name.
     fn undo_rename(&mut self, new: &str, error: io::Error) -> WalError {
         match self.store.read(new) {
             Ok(Some(_)) => {
@@ -222,17 +222,17 @@
         }
     }
 
-    /// Bytes of the file.
+    /// The length of the file in bytes, without an incomplete frame at its end.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// The store, for tests.
+    /// Gives back the store, for tests.
     pub fn into_store(self) -> S {
         self.store
     }
 }
 
-fn rewritten(name: &str) -> String {
+fn rewrite_name(name: &str) -> String {
     format!("{name}.new")
 }
--- a/crates/sandtrack-wal/tests/trouble.rs
+++ b/crates/sandtrack-wal/tests/disk_faults.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_whole_frame_that_could_neither_be_synced_nor_cut_is_told_as_unknown() {
+fn a_complete_frame_that_could_neither_be_synced_nor_cut_is_reported_as_unknown() {
     // Opening syncs twice, the file and its folder; the append writes, and its sync fails.
     let mut wal = with(begun(), |folder| {
         folder.calls = 0;
@@ -203,14 +203,14 @@
 }
 
 #[test]
-fn a_process_killed_at_each_step_leaves_what_was_told_and_the_next_one_makes_it_last() {
+fn a_process_killed_at_each_step_keeps_what_was_acknowledged_and_the_next_one_makes_it_last() {
     at_each_step(true, |folder, told, case| {
         is_lasting(folder.after_kill(), &told, &case)
     });
 }
 
 #[test]
-fn power_lost_at_each_step_leaves_what_was_told() {
+fn power_lost_at_each_step_keeps_what_was_acknowledged() {
     at_each_step(true, |folder, told, case| {
         for left in folder.after_power_loss() {
             is_lasting(left, &told, &case);
@@ -230,7 +230,7 @@
 
 /// The process may end at each step of the beginning too, on an empty disk, or where a file is set aside before.
 #[test]
-fn a_beginning_that_ends_at_each_step_is_begun_anew() {
+fn a_creation_interrupted_at_each_step_is_repeated() {
     for foreign in [false, true] {
         for call in 0..8 {
             for fault in [Fault::Refused, Fault::Half, Fault::DoneAndNotTold] {
--- a/crates/sandtrack-wal/tests/folder/mod.rs
+++ b/crates/sandtrack-wal/tests/folder/mod.rs
@@ -160,11 +160,11 @@
         }
         folders
             .into_iter()
-            .flat_map(|names| self.with_contents(names))
+            .flat_map(|names| self.with_contents(&names))
             .collect()
     }
 
-    fn with_contents(&self, names: BTreeMap<String, usize>) -> Vec<Self> {
+    fn with_contents(&self, names: &BTreeMap<String, usize>) -> Vec<Self> {
         let mut all = vec![self.files.clone()];
         let used: BTreeSet<usize> = names.values().copied().collect();
         for number in used {
--- a/crates/sandtrack-wal/tests/wal.rs
+++ b/crates/sandtrack-wal/tests/wal.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_truncation_gives_the_whole_frames_before_it_and_is_cut_there() {
+fn every_truncation_gives_the_complete_frames_before_it_and_is_cut_there() {
     let folder = folder("truncate");
     let (bytes, ends) = written(&folder);
     for length in 0..=bytes.len() {
