--- a/crates/sandtrack-replication/tests/message_bytes.rs
+++ b/crates/sandtrack-replication/tests/message_bytes.rs
@@ -2,14 +2,14 @@
 //! a later build reads the disk of an earlier one. Their types are private, so that samples come from worlds as they run.
 #[path = "../../sandtrack-protocol/tests/common/fixtures.rs"]
 mod fixtures;
-mod world;
+mod simulation;
 
 use fixtures::Encoded;
 use sandtrack_replication::{Member, Message, Replica, Settings};
+use simulation::register::Register;
+use simulation::samples::Samples;
+use simulation::{DiskMode, Simulation};
 use std::collections::BTreeMap;
-use world::register::Register;
-use world::samples::Samples;
-use world::{DiskMode, World};
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const MESSAGES: &str = "messages.hex";
@@ -57,56 +57,56 @@
 /// Bytes of each of them: it goes as fragments.
 const LARGE: usize = 100_000;
 
-/// A world with changes, reads, cuts, full disks, a member that was away for long, and one that is wiped.
+/// A simulation with changes, reads, cuts, full disks, a member that was away for long, and one that is wiped.
 fn samples() -> Samples {
-    let mut world = World::new(7, 3, 1, 1);
-    world.samples = Some(Samples::default());
-    world.start_all(true);
-    world.run(2000.0);
-    changes(&mut world, 3);
+    let mut simulation = Simulation::new(7, 3, 1, 1);
+    simulation.samples = Some(Samples::default());
+    simulation.start_all(true);
+    simulation.run(2000.0);
+    changes(&mut simulation, 3);
     for machine in 0..4 {
-        world.read(machine);
+        simulation.read(machine);
     }
-    world.run(500.0);
-    rival_proposals(&mut world);
-    full_disk(&mut world);
-    world.kill(2);
-    world.padding = LARGE;
-    changes(&mut world, CHANGES);
-    world.start(2, false);
-    world.run(6000.0);
-    world.wipe(1);
-    world.start(1, false);
-    world.run(6000.0);
-    world.samples.take().expect("samples")
+    simulation.run(500.0);
+    rival_proposals(&mut simulation);
+    full_disk(&mut simulation);
+    simulation.kill(2);
+    simulation.command_padding = LARGE;
+    changes(&mut simulation, CHANGES);
+    simulation.start(2, false);
+    simulation.run(6000.0);
+    simulation.wipe(1);
+    simulation.start(1, false);
+    simulation.run(6000.0);
+    simulation.samples.take().expect("samples")
 }
 
 /// Changes through the observer, one after the other.
-fn changes(world: &mut World, count: usize) {
+fn changes(simulation: &mut Simulation, count: usize) {
     for _ in 0..count {
-        world.submit(3, world.newest().version);
-        world.run(500.0);
+        simulation.submit(3, simulation.newest().version);
+        simulation.run(500.0);
     }
 }
 
 /// Pairs of members are cut from each other in turn, so that several propose a view at the same time.
-fn rival_proposals(world: &mut World) {
+fn rival_proposals(simulation: &mut Simulation) {
     for cut in [[0, 1], [1, 2], [0, 2]] {
-        world.cut(&cut[..1], &cut[1..]);
-        world.submit(0, world.newest().version);
-        world.run(2500.0);
-        world.heal();
-        world.run(3000.0);
+        simulation.cut(&cut[..1], &cut[1..]);
+        simulation.submit(0, simulation.newest().version);
+        simulation.run(2500.0);
+        simulation.heal();
+        simulation.run(3000.0);
     }
 }
 
 /// Every disk is full for a while.
-fn full_disk(world: &mut World) {
-    (0..3).for_each(|machine| world.set_disk(machine, DiskMode::Full));
-    world.submit(3, world.newest().version);
-    world.run(4500.0);
-    (0..3).for_each(|machine| world.set_disk(machine, DiskMode::Well));
-    world.run(3000.0);
+fn full_disk(simulation: &mut Simulation) {
+    (0..3).for_each(|machine| simulation.set_disk(machine, DiskMode::Full));
+    simulation.submit(3, simulation.newest().version);
+    simulation.run(4500.0);
+    (0..3).for_each(|machine| simulation.set_disk(machine, DiskMode::Well));
+    simulation.run(3000.0);
 }
 
 fn named(kinds: &[&str], samples: &BTreeMap<u8, Vec<u8>>) -> Vec<Encoded> {
@@ -155,7 +155,7 @@
         settings.new_incarnation = member.incarnation + 1;
         settings.first_start = false;
         let disk = vec![identity.clone(), record.clone()];
-        let (replica, _) = Replica::new(settings, disk, Register::default(), 0.0);
+        let (replica, _) = Replica::new(settings, &disk, Register::default(), 0.0);
         assert_eq!(replica.member(), &member, "{name}");
     }
 }
