--- a/crates/sandtrack-simulation/src/main.rs
+++ b/crates/sandtrack-simulation/src/main.rs
@@ -64,7 +64,7 @@
         .command("seeds");
     let long = run_options().map(Command::Long).to_options();
     let long = long
-        .descr("Plays long worlds of description a thousand changes")
+        .descr("Plays long worlds of about a thousand changes")
         .command("long");
     let digests = run_options().map(Command::Digests).to_options();
     let digests = digests
