--- a/crates/sandtrack-cli/src/transport.rs
+++ b/crates/sandtrack-cli/src/transport.rs
@@ -94,7 +94,7 @@
                     self.message = Some(Message {
                         head,
                         body: Vec::new(),
-                    })
+                    });
                 }
                 (Part::Data(data), Some(message))
                     if message.body.len() + data.len() <= ANSWER_MAX =>
--- a/crates/sandtrack-cli/tests/settings.rs
+++ b/crates/sandtrack-cli/tests/settings.rs
@@ -108,7 +108,7 @@
         );
         assert_eq!(parsed(&with(path, None)), parsed(&whole()), "`{path}`");
     }
-    for (name, value) in whole().as_object().expect("an object").iter() {
+    for (name, value) in whole().as_object().expect("an object") {
         let read = |path: &str| {
             FIELDS.iter().any(|field| field.path == path) || IGNORED_FIELDS.contains(&path)
         };
--- a/crates/sandtrack-control/src/lib.rs
+++ b/crates/sandtrack-control/src/lib.rs
@@ -9,7 +9,14 @@
 //! - [`peers`], [`peer_frames`], [`frame_connection`]: links between control nodes;
 //! - [`sessions`], [`membership`], [`prompt_relay`], [`directory`]: proxies and the clients that look for them;
 //! - [`poller_election`], [`endpoint_poller`], [`platform_client`], [`upstreams`]: the platform's list of upstreams.
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 pub mod directory;
 pub mod endpoint_poller;
 pub mod event_log;
--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -199,6 +199,10 @@
 
 impl ControlNode {
     /// A control node as its process starts, and what it wants done first.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "the recovered records are freed once the replica has read them"
+    )]
     pub fn new(settings: Settings, start: Start, now: Millis) -> (ControlNode, Vec<Effect>) {
         let me = peer_links::hello(&settings, start.incarnation);
         let replica_settings = replica_settings(&settings, &me.address, &start);
--- a/crates/sandtrack-control/src/node/operator_calls.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -40,7 +40,7 @@
         let reply = self.redirect_if_unacknowledged(now, call, reply);
         match self.call_log.answered(now, call, &reply) {
             Some(told) if reply.code.is_some() => {
-                log::info!("{}; {}", told.line, self.node_summary(now))
+                log::info!("{}; {}", told.line, self.node_summary(now));
             }
             Some(told) if told.is_notable => log::info!("{}", told.line),
             Some(told) => log::debug!("{}", told.line),
--- a/crates/sandtrack-control/src/node/replica.rs
+++ b/crates/sandtrack-control/src/node/replica.rs
@@ -45,10 +45,10 @@
         for effect in effects {
             match effect {
                 replication::Effect::Send { to, message } => {
-                    self.send_to_replica(&to, message, out)
+                    self.send_to_replica(&to, message, out);
                 }
                 replication::Effect::Write { ticket, records } => {
-                    out.push(Effect::Write { ticket, records })
+                    out.push(Effect::Write { ticket, records });
                 }
                 replication::Effect::Rewrite { ticket, records } => {
                     out.push(Effect::Rewrite { ticket, records });
@@ -63,7 +63,7 @@
                     );
                 }
                 replication::Effect::Answer { call, result } => {
-                    answers.push(Answered { call, result })
+                    answers.push(Answered { call, result });
                 }
                 replication::Effect::ViewChanged(view) => {
                     log_view(&view);
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -350,7 +350,7 @@
                 actions.push(SessionAction::Send {
                     session: *number,
                     bytes,
-                })
+                });
             };
             if !session.welcomed {
                 session.welcomed = true;
--- a/crates/sandtrack-control/tests/stale_evacuation_orders.rs
+++ b/crates/sandtrack-control/tests/stale_evacuation_orders.rs
@@ -259,7 +259,7 @@
         assert!(
             MAX_PAUSE_MS + MAX_CALL_AGE_MS < 1000.0,
             "together less than the patience of callers"
-        )
+        );
     };
 }
 
--- a/crates/sandtrack-fault-scenarios/src/verdict.rs
+++ b/crates/sandtrack-fault-scenarios/src/verdict.rs
@@ -244,7 +244,7 @@
     }
 
     /// Compares an application with those before it, of any process: `versions` by number.
-    fn compare(&mut self, it: &Application, versions: &mut BTreeMap<u64, u64>) {
+    fn compare(&mut self, it: &Application<'_>, versions: &mut BTreeMap<u64, u64>) {
         let other = versions
             .insert(it.number, it.version)
             .filter(|other| *other != it.version);
--- a/crates/sandtrack-fault-tests/src/http.rs
+++ b/crates/sandtrack-fault-tests/src/http.rs
@@ -44,7 +44,7 @@
                     begun = Some(Message {
                         head,
                         body: Vec::new(),
-                    })
+                    });
                 }
                 Some(Taken::Piece(bytes)) => {
                     begun.as_mut()?.body.extend(bytes);
--- a/crates/sandtrack-fault-tests/src/soak/clients.rs
+++ b/crates/sandtrack-fault-tests/src/soak/clients.rs
@@ -178,15 +178,12 @@
             self.connection = None;
         }
         let begun = self.records.now();
-        let mut open = match self.take_connection(machine).await {
-            Some(open) => open,
-            None => {
-                let mut request = self.request(route, prefix, manner, begun);
-                request.machine = machine;
-                request.ended = self.records.now();
-                self.records.requests.borrow_mut().push(request);
-                return;
-            }
+        let Some(mut open) = self.take_connection(machine).await else {
+            let mut request = self.request(route, prefix, manner, begun);
+            request.machine = machine;
+            request.ended = self.records.now();
+            self.records.requests.borrow_mut().push(request);
+            return;
         };
         let mut requests = vec![self.request(route, prefix, manner, begun)];
         if manner == Manner::Together {
--- a/crates/sandtrack-fault-tests/src/starvation.rs
+++ b/crates/sandtrack-fault-tests/src/starvation.rs
@@ -17,7 +17,7 @@
     waited: Duration,
 }
 
-/// The readings of one process, of the last [`WINDOW`].
+/// The readings of one process, of the last `WINDOW`.
 #[derive(Clone, Debug, Default)]
 pub struct Starvation {
     samples: VecDeque<Sample>,
--- a/crates/sandtrack-membership/src/fleet/exchange.rs
+++ b/crates/sandtrack-membership/src/fleet/exchange.rs
@@ -146,7 +146,7 @@
         let writer = self.writer(&Message::Gossip);
         let name = from.process.name.clone();
         self.send_with(from.address(), writer, |fleet, writer| {
-            fleet.add_record(&name, writer)
+            fleet.add_record(&name, writer);
         });
     }
 }
--- a/crates/sandtrack-model-checker/src/cluster/nodes.rs
+++ b/crates/sandtrack-model-checker/src/cluster/nodes.rs
@@ -141,7 +141,7 @@
                 ticket,
                 records,
                 replaces,
-            })
+            });
         });
         self.queue.push(Queued::new(Event::Written {
             node: index,
--- a/crates/sandtrack-model-checker/src/lib.rs
+++ b/crates/sandtrack-model-checker/src/lib.rs
@@ -2,7 +2,14 @@
 //! every order of events within the bounds of a set-up; and of the election of the poller of the platform's endpoint list.
 //! Not part of the system; `docs/system/model.md` describes what is modelled and what can't be seen.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 pub mod action;
 pub mod call_frontend;
 pub mod checker;
--- a/crates/sandtrack-model-checker/src/node.rs
+++ b/crates/sandtrack-model-checker/src/node.rs
@@ -192,7 +192,7 @@
                 outputs,
             ),
             FrontendStep::Respond { call, outcome } => {
-                outputs.push(Output::Response { call, outcome })
+                outputs.push(Output::Response { call, outcome });
             }
         }
     }
--- a/crates/sandtrack-net/src/byte_budget.rs
+++ b/crates/sandtrack-net/src/byte_budget.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A message up to this long may use the whole budget, in bytes; longer ones leave [`RESERVED`] of it.
+/// A message up to this long may use the whole budget, in bytes; longer ones leave `RESERVED` of it.
 pub const SHORT: usize = 64 * 1024;
 /// This part of the budget is for short messages alone: they are served while long ones fill the rest.
 const RESERVED: f64 = 0.25;
--- a/crates/sandtrack-net/src/socket.rs
+++ b/crates/sandtrack-net/src/socket.rs
@@ -156,7 +156,7 @@
             scrap.consume(usize::MAX);
             future::yield_now().await;
         }
-        future::pending().await
+        future::pending::<()>().await;
     };
     let enough = async {
         Timer::after(LINGER).await;
--- a/crates/sandtrack-protocol/src/document.rs
+++ b/crates/sandtrack-protocol/src/document.rs
@@ -352,18 +352,16 @@
             ..Update::default()
         };
         let bad = |place: &str| ConfigurationError::new(codes::CONFIGURATION_FIELD, place);
-        for (key, value) in object.iter() {
+        for (key, value) in object {
             match key.as_str() {
                 "version_number" => {}
                 "set_items" => {
-                    for (list, value) in value.as_object().ok_or_else(|| bad("set_items"))?.iter() {
+                    for (list, value) in value.as_object().ok_or_else(|| bad("set_items"))? {
                         update.set.push((list.clone(), items(list, value)?));
                     }
                 }
                 "remove_names" => {
-                    for (list, value) in
-                        value.as_object().ok_or_else(|| bad("remove_names"))?.iter()
-                    {
+                    for (list, value) in value.as_object().ok_or_else(|| bad("remove_names"))? {
                         let names = value.as_array().ok_or_else(|| bad(list))?;
                         let names = names
                             .iter()
--- a/crates/sandtrack-proxy/src/lib.rs
+++ b/crates/sandtrack-proxy/src/lib.rs
@@ -6,7 +6,14 @@
 //!
 //! The way of a request: [`listener`] reads it, [`request`] decodes it, [`exchange::forward`] runs its exchange, with an
 //! [`exchange::attempt`] for each send to an upstream over [`upstream_connections`].
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 
 pub mod context;
 pub mod control_session;
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -174,7 +174,7 @@
         let task_context = context.clone();
         let serving = async move {
             let render = || process_metrics::render(&task_context);
-            text_server::serve(metrics_listener, metrics::PATH, render).await
+            text_server::serve(metrics_listener, metrics::PATH, render).await;
         };
         executor.spawn(serving).detach();
     }
--- a/crates/sandtrack-proxy/tests/placement_properties.rs
+++ b/crates/sandtrack-proxy/tests/placement_properties.rs
@@ -136,7 +136,7 @@
                     assert!(
                         !has_capacity,
                         "fleet {seed}, step {step}: it waits beside free capacity"
-                    )
+                    );
                 }
                 Placement::Unavailable => assert!(able.is_empty(), "fleet {seed}, step {step}"),
             }
--- a/crates/sandtrack-proxy/tests/prefill_demand.rs
+++ b/crates/sandtrack-proxy/tests/prefill_demand.rs
@@ -24,7 +24,7 @@
     for _ in 0..count {
         demand.record_long_prompt(0.0, long);
         bound.iter().for_each(|(regions, tokens)| {
-            demand.record_bound_request(0.0, &homes(regions), *tokens)
+            demand.record_bound_request(0.0, &homes(regions), *tokens);
         });
     }
     demand
--- a/crates/sandtrack-replication/src/disk/invariants.rs
+++ b/crates/sandtrack-replication/src/disk/invariants.rs
@@ -36,7 +36,7 @@
                 }
                 // A rewrite records an acceptance before the promise that may have followed it.
                 WalRecord::Promise { ballot, .. } | WalRecord::Accepted { ballot, .. } => {
-                    promised = Some(ballot)
+                    promised = Some(ballot);
                 }
                 WalRecord::View(view) => {
                     let held = self.durable.view.epoch;
--- a/crates/sandtrack-replication/src/disk/writes.rs
+++ b/crates/sandtrack-replication/src/disk/writes.rs
@@ -120,7 +120,7 @@
                     self.send(&to, Body::Promise { ballot, accepted }, effects);
                 }
                 OnDurable::Accepted { to, ballot } => {
-                    self.send(&to, Body::Accepted { ballot }, effects)
+                    self.send(&to, Body::Accepted { ballot }, effects);
                 }
                 OnDurable::Entered => self.enter_view(effects),
             }
--- a/crates/sandtrack-replication/src/dispatch.rs
+++ b/crates/sandtrack-replication/src/dispatch.rs
@@ -80,20 +80,20 @@
                 self.handle_submit(sender, call, command, hops, effects);
             }
             Body::Read { call, query, hops } => {
-                self.handle_read(sender, call, query, hops, effects)
+                self.handle_read(sender, call, query, hops, effects);
             }
             Body::Outcome { call, outcome } => self.handle_outcome(&call, outcome, effects),
             Body::DiskFull { call, head } => self.handle_disk_full(&call, head, effects),
             Body::ReadOutcome { call, answer } => self.handle_read_outcome(call, answer, effects),
             Body::CommittedEntries { entries, more } => {
-                self.handle_committed_entries(sender, entries, more, effects)
+                self.handle_committed_entries(sender, entries, more, effects);
             }
             Body::SnapshotOffer(id) => self.handle_snapshot_offer(sender, id, effects),
             Body::SnapshotFetch { id, offset } => {
-                self.handle_snapshot_fetch(sender, id, offset, effects)
+                self.handle_snapshot_fetch(sender, id, offset, effects);
             }
             Body::SnapshotChunk { id, offset, bytes } => {
-                self.handle_snapshot_chunk(sender, id, offset, bytes, effects)
+                self.handle_snapshot_chunk(sender, id, offset, bytes, effects);
             }
             Body::Fragment {
                 id,
@@ -104,13 +104,13 @@
                 self.handle_fragment(sender, id, length, offset, bytes, effects);
             }
             Body::FragmentAck { id, received } => {
-                self.handle_fragment_ack(sender, id, received, effects)
+                self.handle_fragment_ack(sender, id, received, effects);
             }
             // The following belong to one epoch, and are ignored in any other.
             _ if !is_current_epoch => {}
             Body::Prepare { ballot } => self.handle_prepare(sender, ballot, effects),
             Body::Promise { ballot, accepted } => {
-                self.handle_promise(sender, &ballot, accepted, effects)
+                self.handle_promise(sender, &ballot, accepted, effects);
             }
             Body::Accept { ballot, view } => self.handle_accept(sender, ballot, view, effects),
             Body::Accepted { ballot } => self.handle_accepted(sender, &ballot, effects),
--- a/crates/sandtrack-replication/src/lib.rs
+++ b/crates/sandtrack-replication/src/lib.rs
@@ -15,7 +15,14 @@
 //! - `fragments` splits long messages;
 //! - `durable_state` is what the WAL holds, `disk` writes it, `applied_state` is the state machine's side;
 //! - `view_attestation` tells when a process may serve its own state without asking the chain.
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 #![forbid(unsafe_code)]
 mod api;
 mod applied_state;
--- a/crates/sandtrack-replication/tests/network_partitions.rs
+++ b/crates/sandtrack-replication/tests/network_partitions.rs
@@ -48,9 +48,9 @@
             simulation.read(node)
         };
         if node == one {
-            here.push(call)
+            here.push(call);
         } else {
-            elsewhere.push(call)
+            elsewhere.push(call);
         }
         let pause: Time = simulation.random.gen_range(20.0..150.0);
         simulation.run(pause);
--- a/crates/sandtrack-replication/tests/simulation/checks.rs
+++ b/crates/sandtrack-replication/tests/simulation/checks.rs
@@ -112,7 +112,7 @@
         match call.command {
             None => self.check_read_is_fresh(call, position),
             Some((base, version)) if text.starts_with("won") => {
-                self.check_one_winner(base, version)
+                self.check_one_winner(base, version);
             }
             Some(_) => {}
         }
--- a/crates/sandtrack-replication/tests/simulation/faults.rs
+++ b/crates/sandtrack-replication/tests/simulation/faults.rs
@@ -162,7 +162,7 @@
                 }
             }
             7 if simulation.now - simulation.last_fault_at >= CATCH_UP => {
-                self.lose_disks(simulation)
+                self.lose_disks(simulation);
             }
             8 => {
                 simulation.network.loss = simulation.random.gen_range(0.0..0.3);
--- a/crates/sandtrack-replication/tests/simulation/losses.rs
+++ b/crates/sandtrack-replication/tests/simulation/losses.rs
@@ -246,7 +246,7 @@
             Loss::Killed => self.simulation.kill(index),
             Loss::PowerLost => self.simulation.lose_power(index),
             Loss::Frozen | Loss::FrozenThenWiped | Loss::FrozenThenReplaced => {
-                self.simulation.freeze(index)
+                self.simulation.freeze(index);
             }
             Loss::Wiped | Loss::Replaced => self.simulation.wipe(index),
             Loss::Left => self.leave(index, true),
--- a/crates/sandtrack-sidecar-core/src/reducer.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer.rs
@@ -659,7 +659,7 @@
         match input {
             Input::ClientOpened { conn } => self.client_opened(conn),
             Input::ClientRequest { conn, at, message } => {
-                self.client_request(conn, at, message, None)
+                self.client_request(conn, at, message, None);
             }
             Input::ClientFlows {
                 conn,
@@ -724,7 +724,7 @@
             Input::AdminOpened { conn } => self.admin_opened(conn),
             Input::AdminCall { conn, message } => self.admin_call(conn, &message),
             Input::AdminBad { conn, status } => {
-                self.admin_answer(conn, status, "no: it can't be read\n")
+                self.admin_answer(conn, status, "no: it can't be read\n");
             }
             Input::AdminClosed { conn } => self.admin_closed(conn),
             Input::Changed { conn, noted } => self.changed(conn, noted),
--- a/crates/sandtrack-sidecar-core/src/reducer/members.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/members.rs
@@ -290,13 +290,13 @@
             tracing::error!(name, %first, %second, "two live processes go by one name");
         }
         Note::NameFree => {
-            tracing::info!("the other process of this member's name is gone: joining again")
+            tracing::info!("the other process of this member's name is gone: joining again");
         }
         Note::Paused { lasted } => {
             tracing::warn!(
                 lasted_ms = lasted,
                 "this process stood still, or its clock jumped"
-            )
+            );
         }
         Note::Refused {
             garbage,
--- a/crates/sandtrack-sidecar-core/src/reducer/staff.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/staff.rs
@@ -103,7 +103,7 @@
             ),
             Err((status, wrong)) => self.admin_answer(conn, status, &format!("no: {wrong}\n")),
             Ok(Call::Ready) if self.draining.is_some() => {
-                self.admin_answer(conn, 503, "no: it ends\n")
+                self.admin_answer(conn, 503, "no: it ends\n");
             }
             Ok(Call::Ready) if !self.ready => {
                 self.admin_answer(conn, 503, "no: it waits for the list of upstreams\n");
--- a/crates/sandtrack-sidecar-simulator/src/members/candidates.rs
+++ b/crates/sandtrack-sidecar-simulator/src/members/candidates.rs
@@ -358,13 +358,13 @@
         while let Some(note) = runtime.to_notify() {
             match note {
                 OwnedNotification::MemberUp(id) => {
-                    self.changes.push((id.name as usize, Held::There))
+                    self.changes.push((id.name as usize, Held::There));
                 }
                 OwnedNotification::Rename(_, id) => {
-                    self.changes.push((id.name as usize, Held::There))
+                    self.changes.push((id.name as usize, Held::There));
                 }
                 OwnedNotification::MemberDown(id) => {
-                    self.changes.push((id.name as usize, Held::Failed))
+                    self.changes.push((id.name as usize, Held::Failed));
                 }
                 OwnedNotification::Active => self.joined = true,
                 OwnedNotification::Idle => self.joined = false,
--- a/crates/sandtrack-sidecar-simulator/src/members/study.rs
+++ b/crates/sandtrack-sidecar-simulator/src/members/study.rs
@@ -173,7 +173,7 @@
         }
         Case::RestartAll => {
             all.iter().for_each(|slot| {
-                world.at(BEGIN + (*slot as Ms * 37) % 1000, Fault::Start(vec![*slot]))
+                world.at(BEGIN + (*slot as Ms * 37) % 1000, Fault::Start(vec![*slot]));
             });
             mended = Some(BEGIN + 1_000);
         }
--- a/crates/sandtrack-sidecar/src/fleet.rs
+++ b/crates/sandtrack-sidecar/src/fleet.rs
@@ -49,7 +49,7 @@
     // Whatever the other does not get to: each is one small task of one loop, and neither may hold up the other.
     let receive = async {
         receive(&socket, &inputs).await;
-        future::pending().await
+        future::pending::<()>().await;
     };
     future::or(send(&socket, &datagrams), receive).await;
 }
--- a/crates/sandtrack-sidecar/src/program.rs
+++ b/crates/sandtrack-sidecar/src/program.rs
@@ -286,7 +286,7 @@
             let (waiting, settings) = (reload.waiting.join(", "), reload.settings.is_some());
             match reload.discovery {
                 Some(address) => {
-                    tracing::info!(discovery = %address, settings, waiting, "reloaded")
+                    tracing::info!(discovery = %address, settings, waiting, "reloaded");
                 }
                 None => tracing::info!(settings, waiting, "reloaded: discovery stays"),
             }
@@ -340,7 +340,7 @@
                 );
             }
             Effect::Pass { conn, bytes, last } => {
-                order(&tasks.upstreams, conn, Order::Pass { bytes, last })
+                order(&tasks.upstreams, conn, Order::Pass { bytes, last });
             }
             Effect::MoreClient { conn } => order(&tasks.clients, conn, Order::More),
             Effect::CloseUpstream { conn } => order(&tasks.upstreams, conn, Order::Close),
--- a/crates/sandtrack-sidecar/tests/config.rs
+++ b/crates/sandtrack-sidecar/tests/config.rs
@@ -227,16 +227,16 @@
         ("discovery", |s| s["discovery"] = "asked".into()),
         ("feedback.how", |s| s["feedback"]["how"] = "never".into()),
         ("classes[0].effect", |s| {
-            s["classes"][0]["effect"] = "twice".into()
+            s["classes"][0]["effect"] = "twice".into();
         }),
         ("classes[1].key-scope", |s| {
-            s["classes"][1]["key-scope"] = "pod".into()
+            s["classes"][1]["key-scope"] = "pod".into();
         }),
         ("rules.cold-share", |s| {
-            s["rules"]["cold-share"] = 1.5.into()
+            s["rules"]["cold-share"] = 1.5.into();
         }),
         ("domain.warm-keys", |s| {
-            s["domain"] = serde_json::json!({"warm-keys": "yes"})
+            s["domain"] = serde_json::json!({"warm-keys": "yes"});
         }),
     ];
     for (key, slip) in slips {
--- a/crates/sandtrack-sidecar/tests/races.rs
+++ b/crates/sandtrack-sidecar/tests/races.rs
@@ -459,7 +459,7 @@
     let (discovery, upstream) = (Discovery::start(), Upstream::start());
     let sidecars = (0..6).map(|n| {
         Sidecar::start(&format!("last-{n}"), &discovery.address, |config| {
-            times(config, 900.0)
+            times(config, 900.0);
         })
     });
     let ready = sidecars.map(|sidecar| {
--- a/crates/sandtrack-sidecar/tests/reducer.rs
+++ b/crates/sandtrack-sidecar/tests/reducer.rs
@@ -257,7 +257,7 @@
                     );
                 }
                 Effect::CloseUpstream { conn } => {
-                    self.links.get_mut(&conn).expect("a link").closing = true
+                    self.links.get_mut(&conn).expect("a link").closing = true;
                 }
                 Effect::Withdraw { conn } => {
                     let carries = self.links[&conn]
@@ -1850,7 +1850,7 @@
             settings["classes"]
                 .as_array_mut()
                 .expect("classes")
-                .reverse()
+                .reverse();
         },
     ];
     for edit in edits {
@@ -1910,7 +1910,7 @@
         settings["classes"]
             .as_array_mut()
             .expect("classes")
-            .reverse()
+            .reverse();
     });
     world.feed(Input::Terminate);
     world.adopt(|_| ());
@@ -2661,7 +2661,7 @@
         ..Ways::default()
     };
     let mut world = World::within(ways, false, |config| {
-        config["limits"]["sockets"] = 64.into()
+        config["limits"]["sockets"] = 64.into();
     });
     world.calm();
     for _ in 0..60 {
--- a/crates/sandtrack-sidecar/tests/tasks.rs
+++ b/crates/sandtrack-sidecar/tests/tasks.rs
@@ -45,7 +45,7 @@
         .into_iter()
         .for_each(|order| orders.try_send(order).unwrap());
     std::thread::spawn(move || {
-        block_on(client::serve(1, Async::new(far).unwrap(), receiver, inputs))
+        block_on(client::serve(1, Async::new(far).unwrap(), receiver, inputs));
     });
     (near, orders, received)
 }
@@ -162,7 +162,7 @@
         match near.write(&[7; 65536]) {
             Ok(count) => sent += count,
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
-                std::thread::yield_now()
+                std::thread::yield_now();
             }
             Err(_) => break,
         }
--- a/crates/sandtrack-simulation/src/lib.rs
+++ b/crates/sandtrack-simulation/src/lib.rs
@@ -7,7 +7,14 @@
 //!
 //! Plans are mixed ([`plan::Plan::mixed`]), long, or harsher: of triggered faults, of seed turnover, or of slow nodes, lost
 //! zones and full disks. docs/system/control.md ("Tests") describes them.
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 pub mod disk;
 mod documents;
 pub mod event_log;
--- a/crates/sandtrack-simulation/src/simulation.rs
+++ b/crates/sandtrack-simulation/src/simulation.rs
@@ -1,8 +1,8 @@
 //! A simulated cluster: machines, network, operators, platform and faults on a simulated clock. The effects that the
 //! processes ask for are carried out here as the real programs do it.
 //!
-//! [`setup`] builds it, [`event_loop`] runs it, [`faults`] injects faults, [`steady_state`] checks it after the last fault, and
-//! [`timing`] holds the durations and limits that several of these modules share.
+//! `setup` builds it, `event_loop` runs it, `faults` injects faults, `steady_state` checks it after the last fault, and
+//! `timing` holds the durations and limits that several of these modules share.
 mod connections;
 mod control_effects;
 mod deferral;
--- a/crates/sandtrack-simulation/src/simulation/fault_recovery.rs
+++ b/crates/sandtrack-simulation/src/simulation/fault_recovery.rs
@@ -48,7 +48,7 @@
             | FaultKind::ZoneLoss { .. }
             | FaultKind::PowerLossAll => self.power_on(machine),
             FaultKind::Kill(_) | FaultKind::KillAll | FaultKind::ProxyKill(_) => {
-                self.restart(machine, 0.0)
+                self.restart(machine, 0.0);
             }
             FaultKind::Freeze(_) => self.thaw(machine),
             FaultKind::Disk { .. } => self.set_mode(machine, DiskMode::Healthy),
--- a/crates/sandtrack-tiers/src/lib.rs
+++ b/crates/sandtrack-tiers/src/lib.rs
@@ -9,7 +9,14 @@
 //!   [`pick_in_lowest`], [`overload_limit`]
 //!
 //! "Design" beside a constant: the source's own figure; "ours": the design leaves it open.
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 mod pick;
 mod probe;
 mod tiers;
--- a/crates/sandtrack-wal/tests/disk_faults.rs
+++ b/crates/sandtrack-wal/tests/disk_faults.rs
@@ -205,7 +205,7 @@
 #[test]
 fn a_process_killed_at_each_step_keeps_what_was_acknowledged_and_the_next_one_makes_it_last() {
     at_each_step(true, |folder, told, case| {
-        is_lasting(folder.after_kill(), &told, &case)
+        is_lasting(folder.after_kill(), &told, &case);
     });
 }
 
