--- a/crates/sandtrack-cli/src/call.rs
+++ b/crates/sandtrack-cli/src/call.rs
@@ -1,166 +1,168 @@
-//! The calls of the operators' interface (PROTOCOL.md), and what an answer to one says. Pure.
+//! The calls of the operators' interface (PROTOCOL.md), and how a response to one is interpreted.
 use crate::error::CliError;
 use crate::Millis;
 use sandtrack_protocol::codes::{self, Code};
 use sandtrack_sidecar_core::message::{self, Message};
 use simd_json::prelude::*;
+use simd_json::OwnedValue;
 use std::net::SocketAddr;
 
-/// A second of silence is a failure ...
-const SILENCE_MS: Millis = 1000.0;
-/// ... and a large body may take a second more for so many bytes (ours).
-const BYTES_PER_MS: f64 = 1000.0;
-/// Evacuations are sent again only for so long: the least `acknowledge_ms` seen.
-pub const ORDER_MS: Millis = 5000.0;
-/// Configurations and reads are, unless the operator says otherwise (ours).
-pub const REPEAT_MS: Millis = 15_000.0;
+/// Response time-out of a call with an empty body.
+const RESPONSE_TIMEOUT_MS: Millis = 1000.0;
+/// Lowest transfer rate that is expected: the body extends the time-out by its size at this rate.
+const MIN_BODY_BYTES_PER_MS: f64 = 1000.0;
+/// Longest time for which an evacuation is retried: the shortest `acknowledge_ms` of the known deployments.
+pub const MAX_EVACUATION_RETRY_MS: Millis = 5000.0;
+/// Time for which other calls are retried unless the operator chooses another one.
+pub const DEFAULT_RETRY_MS: Millis = 15_000.0;
 
-/// One call. It is repeated unchanged, to whatever address.
+/// One call. All attempts send it unchanged, whichever control node they address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// The HTTP method.
     pub method: &'static str,
+    /// The request target: a path.
     pub target: String,
-    /// Version that a configuration builds on.
+    /// Version that a configuration builds on; `None` for other calls.
     pub based_on: Option<u64>,
+    /// The request body, JSON or empty.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// The whole configuration of `body`, as it is.
+    /// Replaces the configuration of version `based_on` by the complete one in `body`.
     pub fn replace(based_on: u64, body: Vec<u8>) -> Call {
-        Call {
-            method: "POST",
-            target: "/v1/configuration/replace".to_owned(),
-            based_on: Some(based_on),
-            body,
-        }
+        Call::configuration("/v1/configuration/replace", based_on, body)
     }
 
-    /// The change of named items of `body`, as it is.
+    /// Applies the change of named items in `body` to the configuration of version `based_on`.
     pub fn update(based_on: u64, body: Vec<u8>) -> Call {
-        Call {
-            method: "POST",
-            target: "/v1/configuration/update".to_owned(),
-            based_on: Some(based_on),
-            body,
-        }
+        Call::configuration("/v1/configuration/update", based_on, body)
     }
 
+    /// Reads the configuration in force.
     pub fn read() -> Call {
         Call::get("/v1/configuration/read")
     }
 
+    /// Reads the status of a control node.
     pub fn status() -> Call {
         Call::get("/v1/status")
     }
 
-    fn get(target: &str) -> Call {
+    /// Begins or finishes the evacuation of a zone, whose name must consist of unreserved characters (RFC 3986, section
+    /// 2.3).
+    pub fn evacuate(zone: &str, begin: bool) -> Call {
+        let verb = if begin { "begin" } else { "finish" };
         Call {
-            method: "GET",
-            target: target.to_owned(),
+            method: "POST",
+            target: format!("/v1/evacuation/{zone}/{verb}"),
             based_on: None,
             body: Vec::new(),
         }
     }
 
-    /// `zone` is a name that can stand in a path.
-    pub fn evacuate(zone: &str, begin: bool) -> Call {
-        let verb = if begin { "begin" } else { "finish" };
+    fn configuration(target: &str, based_on: u64, body: Vec<u8>) -> Call {
         Call {
             method: "POST",
-            target: format!("/v1/evacuation/{zone}/{verb}"),
+            target: target.to_owned(),
+            based_on: Some(based_on),
+            body,
+        }
+    }
+
+    fn get(target: &str) -> Call {
+        Call {
+            method: "GET",
+            target: target.to_owned(),
             based_on: None,
             body: Vec::new(),
         }
     }
 
-    /// Whether it changes something.
-    pub fn is_order(&self) -> bool {
+    /// Whether the call changes the state of the system.
+    pub fn is_mutating(&self) -> bool {
         self.method == "POST"
     }
 
-    /// For how long it may be sent again.
-    pub fn repeat_for(&self, wanted: Option<Millis>) -> Millis {
+    /// For how long the call may be retried; `requested` is the operator's choice.
+    pub fn retry_period(&self, requested: Option<Millis>) -> Millis {
         let is_configuration = self.based_on.is_some();
-        match wanted {
-            Some(wanted) if self.is_order() && !is_configuration => wanted.min(ORDER_MS),
-            Some(wanted) => wanted,
-            None if self.is_order() && !is_configuration => ORDER_MS,
-            None => REPEAT_MS,
+        let is_evacuation = self.is_mutating() && !is_configuration;
+        match requested {
+            Some(requested) if is_evacuation => requested.min(MAX_EVACUATION_RETRY_MS),
+            Some(requested) => requested,
+            None if is_evacuation => MAX_EVACUATION_RETRY_MS,
+            None => DEFAULT_RETRY_MS,
         }
     }
 
-    /// How long an address may stay silent before another one is asked.
-    pub fn silence(&self) -> Millis {
-        SILENCE_MS + self.body.len() as f64 / BYTES_PER_MS
+    /// How long an attempt waits without progress before it has failed.
+    pub fn response_timeout(&self) -> Millis {
+        RESPONSE_TIMEOUT_MS + self.body.len() as f64 / MIN_BODY_BYTES_PER_MS
     }
 
-    /// As it is written to `address`; `target` is another one where control sent the call on.
-    pub fn bytes(&self, address: SocketAddr, target: &str) -> Vec<u8> {
+    /// The bytes of the request to `address`. `target` differs from that of the call after a redirect.
+    pub fn encode(&self, address: SocketAddr, target: &str) -> Vec<u8> {
         let host = address.to_string();
-        let based_on = self.based_on.map(|version| version.to_string());
-        let based_on = based_on
+        let version = self.based_on.map(|version| version.to_string());
+        let based_on = version
             .as_deref()
             .map(|version| ("Based-On-Version", version));
-        let kind = (!self.body.is_empty()).then_some(("Content-Type", "application/json"));
+        let content_type = (!self.body.is_empty()).then_some(("Content-Type", "application/json"));
         let headers = [("Host", host.as_str()), ("Connection", "close")].into_iter();
         message::request(
             self.method,
             target,
-            headers.chain(based_on).chain(kind),
+            headers.chain(based_on).chain(content_type),
             &self.body,
         )
     }
 }
 
-/// Code, place and words of an answer that is no success; those of the table for the status where it tells none.
-pub fn told(answer: &Message) -> CliError {
-    let mut body = answer.body.clone();
-    let value = simd_json::to_owned_value(&mut body).unwrap_or_default();
-    let code = value
-        .get_str("code")
-        .and_then(|code| code.strip_prefix('E'))
-        .and_then(|code| code.parse().ok());
-    let text = |field: &str| value.get_str(field).map(str::to_owned);
-    match code {
-        Some(number) => {
-            let code = Code(number);
-            let what = text("what").unwrap_or_else(|| code.meaning().to_owned());
-            CliError::Coded {
-                code,
-                place: text("place").unwrap_or_default(),
-                what,
-            }
-        }
-        None => {
-            let status = answer.head.status;
-            let code = match status {
-                400 | 413 | 422 => codes::CONFIGURATION_UNREADABLE,
-                409 | 412 => codes::ANOTHER_VERSION,
-                500.. => codes::NOT_NOW,
-                _ => codes::BAD_CALL,
-            };
-            CliError::coded(code, format!("status {status}"))
-        }
+/// The error of a response that is no success: code, place and text of its body, or those of its status where the body
+/// names no code.
+pub fn error_from_response(response: &Message) -> CliError {
+    let body = response_json(response).unwrap_or_default();
+    let Some(code) = named_code(&body) else {
+        let status = response.head.status;
+        return CliError::coded(code_of_status(status), format!("status {status}"));
+    };
+    let text = |field: &str| body.get_str(field).map(str::to_owned);
+    CliError::Coded {
+        code,
+        place: text("place").unwrap_or_default(),
+        what: text("what").unwrap_or_else(|| code.meaning().to_owned()),
     }
 }
 
-/// Whether the call of such an answer is surely not in force, and will not be.
-pub fn surely_not(answer: &Message) -> bool {
-    let not = |code: Code| matches!(code, codes::NOT_NOW | codes::WAL_FULL);
-    matches!(answer.head.status, 408 | 429)
-        || (300..500).contains(&answer.head.status)
-        || matches!(told_code(answer), Some(code) if not(code))
+/// Whether a response guarantees that its request was not applied and will not be.
+pub fn is_definitely_not_applied(response: &Message) -> bool {
+    let status = response.head.status;
+    let code = response_json(response).as_ref().and_then(named_code);
+    matches!(status, 408 | 429)
+        || (300..500).contains(&status)
+        || matches!(code, Some(codes::NOT_NOW | codes::WAL_FULL))
 }
 
-/// The code that the answer itself names.
-fn told_code(answer: &Message) -> Option<Code> {
-    let mut body = answer.body.clone();
-    let value = simd_json::to_owned_value(&mut body).ok()?;
-    value
-        .get_str("code")?
-        .strip_prefix('E')?
-        .parse()
-        .ok()
-        .map(Code)
+fn response_json(response: &Message) -> Option<OwnedValue> {
+    // The parser works in place and overwrites its input.
+    let mut scratch = response.body.clone();
+    simd_json::to_owned_value(&mut scratch).ok()
+}
+
+/// The result code in a response body, in the form `E303`.
+fn named_code(body: &OwnedValue) -> Option<Code> {
+    let digits = body.get_str("code")?.strip_prefix('E')?;
+    digits.parse().ok().map(Code)
+}
+
+/// The code of an error response whose body names none.
+fn code_of_status(status: u16) -> Code {
+    match status {
+        400 | 413 | 422 => codes::CONFIGURATION_UNREADABLE,
+        409 | 412 => codes::ANOTHER_VERSION,
+        500.. => codes::NOT_NOW,
+        _ => codes::BAD_CALL,
+    }
 }
--- a/crates/sandtrack-cli/src/difference.rs
+++ b/crates/sandtrack-cli/src/difference.rs
@@ -1,28 +1,54 @@
-//! How one configuration differs from another, item by item. Pure.
+//! The differences between two configurations, item by item.
+use crate::json::quote;
 use sandtrack_protocol::document::Document;
-use sandtrack_protocol::logs::escape;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 
-/// One difference: at a place, from one JSON text to another; `None` where it is not there.
+/// One difference. Both sides are JSON text; `None` where the place does not exist on that side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// As errors name it: ``routes `r-1`.timeout_ms``.
+    /// The path of the value, in the form that errors use: ``routes `r-1`.timeout_ms``.
     pub place: String,
+    /// The old value.
     pub from: Option<String>,
+    /// The new value.
     pub to: Option<String>,
 }
 
 impl Difference {
+    /// The difference as a JSON object.
     pub fn to_json(&self) -> String {
-        let side = |side: &Option<String>| side.clone().unwrap_or_else(|| "null".to_owned());
         format!(
-            "{{\"place\":\"{}\",\"from\":{},\"to\":{}}}",
-            escape(&self.place),
-            side(&self.from),
-            side(&self.to)
+            "{{\"place\":{},\"from\":{},\"to\":{}}}",
+            quote(&self.place),
+            self.from.as_deref().unwrap_or("null"),
+            self.to.as_deref().unwrap_or("null")
         )
     }
+
+    fn added(place: String, value: &OwnedValue) -> Difference {
+        Difference {
+            place,
+            from: None,
+            to: Some(value.encode()),
+        }
+    }
+
+    fn removed(place: String, value: &OwnedValue) -> Difference {
+        Difference {
+            place,
+            from: Some(value.encode()),
+            to: None,
+        }
+    }
+
+    fn replaced(place: String, from: &OwnedValue, to: &OwnedValue) -> Difference {
+        Difference {
+            place,
+            from: Some(from.encode()),
+            to: Some(to.encode()),
+        }
+    }
 }
 
 impl std::fmt::Display for Difference {
@@ -31,79 +57,81 @@
             (None, Some(to)) => write!(out, "+ {} {to}", self.place),
             (Some(_), None) => write!(out, "- {}", self.place),
             (from, to) => {
-                let side = |side: &Option<String>| side.clone().unwrap_or_default();
-                write!(out, "~ {}: {} -> {}", self.place, side(from), side(to))
+                let from = from.as_deref().unwrap_or_default();
+                let to = to.as_deref().unwrap_or_default();
+                write!(out, "~ {}: {from} -> {to}", self.place)
             }
         }
     }
 }
 
-/// What leads from one configuration to another, in the order of the new one; what is removed comes last.
+/// The differences that lead from one configuration to another, in the order of the new one; removals come last.
 pub fn differences(from: &Document, to: &Document) -> Vec<Difference> {
-    let mut all = Vec::new();
+    let mut differences = Vec::new();
+    compare_items(from, to, &mut differences);
+    compare_fields(from, to, &mut differences);
+    collect_removed_items(from, to, &mut differences);
+    collect_removed_fields(from, to, &mut differences);
+    differences
+}
+
+/// Adds new and changed items.
+fn compare_items(from: &Document, to: &Document, differences: &mut Vec<Difference>) {
     for (list, items) in &to.lists {
-        let known = from.list(list).unwrap_or_default();
+        let old_items = from.list(list).unwrap_or_default();
         for item in items {
             let place = format!("{list} `{}`", item.name);
-            match known.iter().find(|known| known.name == item.name) {
-                None => all.push(added(place, &item.value)),
-                Some(known) => inside(&place, &known.value, &item.value, &mut all),
+            match old_items.iter().find(|old| old.name == item.name) {
+                None => differences.push(Difference::added(place, &item.value)),
+                Some(old) => compare_values(&place, &old.value, &item.value, differences),
             }
         }
     }
+}
+
+/// Adds new and changed fields of the top level.
+fn compare_fields(from: &Document, to: &Document, differences: &mut Vec<Difference>) {
     for (name, value) in &to.fields {
         match from.field(name) {
-            None => all.push(added(name.clone(), value)),
-            Some(known) => inside(name, known, value, &mut all),
-        }
-    }
-    for (list, items) in &from.lists {
-        let kept = to.list(list).unwrap_or_default();
-        for item in items
-            .iter()
-            .filter(|item| !kept.iter().any(|kept| kept.name == item.name))
-        {
-            all.push(removed(format!("{list} `{}`", item.name), &item.value));
+            None => differences.push(Difference::added(name.clone(), value)),
+            Some(old) => compare_values(name, old, value, differences),
         }
     }
-    for (name, value) in from
-        .fields
-        .iter()
-        .filter(|(name, _)| to.field(name).is_none())
-    {
-        all.push(removed(name.clone(), value));
-    }
-    all
 }
 
-fn added(place: String, value: &OwnedValue) -> Difference {
-    Difference {
-        place,
-        from: None,
-        to: Some(value.encode()),
+fn collect_removed_items(from: &Document, to: &Document, differences: &mut Vec<Difference>) {
+    for (list, items) in &from.lists {
+        let new_items = to.list(list).unwrap_or_default();
+        for item in items {
+            if !new_items.iter().any(|new| new.name == item.name) {
+                let place = format!("{list} `{}`", item.name);
+                differences.push(Difference::removed(place, &item.value));
+            }
+        }
     }
 }
 
-fn removed(place: String, value: &OwnedValue) -> Difference {
-    Difference {
-        place,
-        from: Some(value.encode()),
-        to: None,
+fn collect_removed_fields(from: &Document, to: &Document, differences: &mut Vec<Difference>) {
+    for (name, value) in &from.fields {
+        if to.field(name).is_none() {
+            differences.push(Difference::removed(name.clone(), value));
+        }
     }
 }
 
-/// Objects field by field; anything else as a whole.
-fn inside(place: &str, from: &OwnedValue, to: &OwnedValue, all: &mut Vec<Difference>) {
+/// Compares objects field by field, and any other values as a whole.
+fn compare_values(
+    place: &str,
+    from: &OwnedValue,
+    to: &OwnedValue,
+    differences: &mut Vec<Difference>,
+) {
     if from == to {
         return;
     }
     let (Some(old), Some(new)) = (from.as_object(), to.as_object()) else {
-        let (from, to) = (Some(from.encode()), Some(to.encode()));
-        return all.push(Difference {
-            place: place.to_owned(),
-            from,
-            to,
-        });
+        differences.push(Difference::replaced(place.to_owned(), from, to));
+        return;
     };
     let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
     names.sort_unstable();
@@ -111,9 +139,9 @@
     for name in names {
         let place = format!("{place}.{name}");
         match (old.get(name), new.get(name)) {
-            (Some(from), Some(to)) => inside(&place, from, to, all),
-            (None, Some(to)) => all.push(added(place, to)),
-            (Some(from), None) => all.push(removed(place, from)),
+            (Some(from), Some(to)) => compare_values(&place, from, to, differences),
+            (None, Some(to)) => differences.push(Difference::added(place, to)),
+            (Some(from), None) => differences.push(Difference::removed(place, from)),
             (None, None) => {}
         }
     }
--- a/crates/sandtrack-cli/src/error.rs
+++ b/crates/sandtrack-cli/src/error.rs
@@ -1,29 +1,32 @@
-//! What went wrong, with its numbered code, and the exit code that follows from it.
+//! The error of a command, with its result code, and the exit code that follows from it.
+use crate::json::quote;
 use sandtrack_protocol::codes::Code;
 use sandtrack_protocol::document::ConfigurationError;
-use sandtrack_protocol::logs::escape;
 use sandtrack_protocol::settings::SettingsError;
 
-/// Exit code of a command line that can't be read (`EX_USAGE` of sysexits).
+/// Exit code of an invalid command line (`EX_USAGE` of sysexits.h).
 pub const EXIT_USAGE: u8 = 64;
 
-/// Why a command did not do what it was to do.
+/// Why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CliError {
-    /// The command line names what is not there; no code, as control was not asked.
+    /// The command line lacks something; there is no result code, as nothing was done.
     #[error("{0}")]
     Usage(String),
-    /// With its place, as control tells it and as a check without control finds it.
+    /// An error with a result code, found by control or by a check of the client.
     #[error("{code} {place}: {what}")]
     Coded {
+        /// The result code (docs/system/codes.md).
         code: Code,
+        /// Where the error is: an item, a field, a file or a position in it.
         place: String,
+        /// What is wrong there.
         what: String,
     },
 }
 
 impl CliError {
-    /// A code at a place, in the words of the table.
+    /// An error at `place` that is described by the meaning of its code.
     pub fn coded(code: Code, place: impl Into<String>) -> CliError {
         CliError::Coded {
             code,
@@ -32,7 +35,7 @@
         }
     }
 
-    /// The hundreds of the code: 1 settings, 2 configuration, 3 control, 4 requests, 5 disk.
+    /// The hundreds of the code: 1 settings, 2 configuration, 3 control, 4 requests, 5 disk; or [`EXIT_USAGE`].
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::Usage(_) => EXIT_USAGE,
@@ -40,24 +43,25 @@
         }
     }
 
+    /// The error as a JSON object.
     pub fn to_json(&self) -> String {
         match self {
-            CliError::Usage(what) => format!("{{\"what\":\"{}\"}}", escape(what)),
+            CliError::Usage(what) => format!("{{\"what\":{}}}", quote(what)),
             CliError::Coded { code, place, what } => format!(
-                "{{\"code\":\"{code}\",\"place\":\"{}\",\"what\":\"{}\"}}",
-                escape(place),
-                escape(what)
+                "{{\"code\":\"{code}\",\"place\":{},\"what\":{}}}",
+                quote(place),
+                quote(what)
             ),
         }
     }
 }
 
 impl From<ConfigurationError> for CliError {
-    fn from(invalid: ConfigurationError) -> CliError {
+    fn from(error: ConfigurationError) -> CliError {
         CliError::Coded {
-            code: invalid.code,
-            place: invalid.place,
-            what: invalid.what,
+            code: error.code,
+            place: error.place,
+            what: error.what,
         }
     }
 }
--- a/crates/sandtrack-cli/src/main.rs
+++ b/crates/sandtrack-cli/src/main.rs
@@ -1,9 +1,15 @@
-//! The program; all of it is in the library.
-use sandtrack_cli::program::{run, System};
+//! Entry point of `sandtrackctl`; see the library for everything else.
+use sandtrack_cli::environment::SystemEnvironment;
+use sandtrack_cli::program::run;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let control = std::env::var("SANDTRACK_CONTROL").ok();
-    ExitCode::from(run(&arguments, control.as_deref(), &mut System::default()))
+    let control_variable = std::env::var("SANDTRACK_CONTROL").ok();
+    let mut environment = SystemEnvironment::default();
+    ExitCode::from(run(
+        &arguments,
+        control_variable.as_deref(),
+        &mut environment,
+    ))
 }
--- a/crates/sandtrack-cli/src/retry.rs
+++ b/crates/sandtrack-cli/src/retry.rs
@@ -1,165 +1,201 @@
-//! What is tried next, and when a call ends: the callers' rules of PROTOCOL.md. Pure; the time comes in.
-use crate::call::surely_not;
+//! The retry policy of one call, by the callers' rules of PROTOCOL.md: which address is asked next, when, and when the call
+//! ends. The caller passes the time in and sends the attempts.
+use crate::call::is_definitely_not_applied;
 use crate::transport::TransportError;
 use crate::Millis;
 use sandtrack_sidecar_core::message::Message;
 use std::net::SocketAddr;
 
-/// Pause before the second try; it doubles up to the most (ours).
-pub const PAUSE_FIRST_MS: Millis = 50.0;
-pub const PAUSE_MOST_MS: Millis = 1000.0;
-/// 307 is followed so often.
-const REDIRECTS_MOST: u32 = 2;
-/// The call ends at this try that is answered with a 4xx of no other meaning.
-const OTHER_4XX_MOST: u32 = 3;
+/// Backoff after the first failed attempt; it doubles up to [`MAX_BACKOFF_MS`].
+pub const INITIAL_BACKOFF_MS: Millis = 50.0;
+/// Longest backoff between two attempts.
+pub const MAX_BACKOFF_MS: Millis = 1000.0;
+/// Redirects that are followed before an attempt has failed.
+const MAX_REDIRECTS: u32 = 2;
+/// The call ends with the response of this attempt that has a 4xx status without a rule of its own.
+const MAX_OTHER_4XX: u32 = 3;
 
-/// What to do now.
+/// What the caller does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Send the call; `target` where control sent it on.
-    Try {
+    /// Send the call to `address`.
+    Attempt {
+        /// The control node.
         address: SocketAddr,
+        /// The target of a redirect; `None`: that of the call.
         target: Option<String>,
     },
-    Pause(Millis),
-    /// The call has its answer.
-    Answered(Message),
-    /// Its time is over. `last`: what the last try came to; `unclear`: one of them may be in force.
-    GivenUp {
-        last: Option<Result<Message, TransportError>>,
-        unclear: bool,
+    /// Wait for so long, then ask again.
+    Backoff(Millis),
+    /// The call ends with this response.
+    Responded(Message),
+    /// The call ends as its time is over.
+    GaveUp {
+        /// The result of the last attempt; `None` where none was made.
+        last_result: Option<Result<Message, TransportError>>,
+        /// One of the attempts may have been applied, or may yet be.
+        outcome_unknown: bool,
     },
 }
 
-/// The tries of one call.
+/// The state of one call over its attempts.
 #[derive(Clone, Debug)]
 pub struct Retry {
     addresses: Vec<SocketAddr>,
-    /// Place of the address whose turn it is.
-    turn: usize,
-    /// Where control sent the call on.
+    /// Counts the failed attempts; modulo the number of addresses, the index of the address that is asked next.
+    next_address: usize,
+    /// Address and target of the redirect that is followed next.
     redirect: Option<(SocketAddr, String)>,
+    /// Redirects that were followed since the last attempt at one of `addresses`.
     redirects: u32,
-    /// Nothing is sent after this.
-    until: Millis,
-    /// No try before this.
+    /// No attempt begins after this.
+    deadline: Millis,
+    /// No attempt begins before this.
     not_before: Millis,
-    pause: Millis,
+    backoff: Millis,
     other_4xx: u32,
-    unclear: bool,
-    answered: Option<Message>,
-    last: Option<Result<Message, TransportError>>,
+    outcome_unknown: bool,
+    response: Option<Message>,
+    last_result: Option<Result<Message, TransportError>>,
 }
 
 impl Retry {
-    /// A call that may be sent until `until`; `addresses` are asked in turn.
-    pub fn new(addresses: &[SocketAddr], now: Millis, until: Millis) -> Retry {
+    /// A call that may be sent until `deadline`; `addresses` are asked in turn.
+    pub fn new(addresses: &[SocketAddr], now: Millis, deadline: Millis) -> Retry {
         Retry {
             addresses: addresses.to_vec(),
-            turn: 0,
+            next_address: 0,
             redirect: None,
             redirects: 0,
-            until,
+            deadline,
             not_before: now,
-            pause: PAUSE_FIRST_MS,
+            backoff: INITIAL_BACKOFF_MS,
             other_4xx: 0,
-            unclear: false,
-            answered: None,
-            last: None,
+            outcome_unknown: false,
+            response: None,
+            last_result: None,
         }
     }
 
     /// What to do at `now`.
     pub fn step(&self, now: Millis) -> Step {
-        if let Some(answer) = &self.answered {
-            return Step::Answered(answer.clone());
+        if let Some(response) = &self.response {
+            return Step::Responded(response.clone());
         }
-        let over = self.not_before.max(now) > self.until;
-        let address = self
-            .addresses
-            .get(self.turn % self.addresses.len().max(1))
-            .filter(|_| !over);
+        // A wait that would end after the deadline is not begun.
+        let is_over = self.not_before.max(now) > self.deadline;
+        let address = self.addresses.get(self.next_address()).filter(|_| !is_over);
         let Some(address) = address else {
-            return Step::GivenUp {
-                last: self.last.clone(),
-                unclear: self.unclear,
+            return Step::GaveUp {
+                last_result: self.last_result.clone(),
+                outcome_unknown: self.outcome_unknown,
             };
         };
         if now < self.not_before {
-            return Step::Pause(self.not_before - now);
+            return Step::Backoff(self.not_before - now);
         }
         match &self.redirect {
-            Some((address, target)) => Step::Try {
+            Some((address, target)) => Step::Attempt {
                 address: *address,
                 target: Some(target.clone()),
             },
-            None => Step::Try {
+            None => Step::Attempt {
                 address: *address,
                 target: None,
             },
         }
     }
 
-    /// Whether an earlier try may be in force though its answer did not say so.
-    pub fn is_unclear(&self) -> bool {
-        self.unclear
+    /// Whether an attempt may have been applied though its result did not say so.
+    pub fn is_outcome_unknown(&self) -> bool {
+        self.outcome_unknown
     }
 
-    /// The address that would be asked next, first of those that were given: where the next call begins.
-    pub fn turn(&self) -> usize {
-        self.turn % self.addresses.len().max(1)
+    /// Index, in the addresses that were given, of the one to ask next: after a response, still the one of that
+    /// attempt.
+    pub fn next_address(&self) -> usize {
+        self.next_address % self.addresses.len().max(1)
     }
 
-    /// A try came to this at `now`.
-    pub fn came(&mut self, now: Millis, result: Result<Message, TransportError>) {
+    /// Records the result of the last attempt, which ended at `now`.
+    pub fn record_result(&mut self, now: Millis, result: Result<Message, TransportError>) {
         self.redirect = None;
-        if let Ok(answer) = &result {
-            match answer.head.status {
-                200..=299 | 400 | 409 | 412 | 413 | 422 => {
-                    self.answered = Some(answer.clone());
-                    return;
-                }
-                307 if self.redirects < REDIRECTS_MOST => {
-                    if let Some(redirect) = answer.head.headers.get("location").and_then(location) {
-                        self.redirects += 1;
-                        (self.redirect, self.last) = (Some(redirect), Some(result));
-                        return;
-                    }
-                }
-                408 | 429 => {}
-                401..=499 => {
-                    self.other_4xx += 1;
-                    if self.other_4xx >= OTHER_4XX_MOST {
-                        self.answered = Some(answer.clone());
-                        return;
-                    }
-                }
-                _ => {}
+        if let Ok(response) = &result {
+            if self.ends_with(response.head.status) {
+                self.response = Some(response.clone());
+                return;
+            }
+            if let Some(redirect) = self.redirect_to_follow(response) {
+                self.redirects += 1;
+                self.redirect = Some(redirect);
+                self.last_result = Some(result);
+                return;
             }
         }
-        self.unclear |= match &result {
-            Ok(answer) => !surely_not(answer),
-            Err(TransportError::NotConnected(_)) => false,
-            Err(_) => true,
-        };
-        let again = result
-            .as_ref()
-            .ok()
-            .and_then(|answer| answer.head.headers.get("retry-after"));
-        let again = again.and_then(|seconds| seconds.trim().parse::<f64>().ok());
-        let again = again.filter(|seconds| seconds.is_finite()).unwrap_or(0.0) * 1000.0;
-        self.not_before = now + again.clamp(self.pause, PAUSE_MOST_MS);
-        self.pause = (self.pause * 2.0).min(PAUSE_MOST_MS);
-        (self.turn, self.redirects) = (self.turn + 1, 0);
-        self.last = Some(result);
+        self.record_failure(now, result);
+    }
+
+    /// Whether a response of this status ends the call; counts those that do so only after some attempts.
+    fn ends_with(&mut self, status: u16) -> bool {
+        match status {
+            200..=299 | 400 | 409 | 412 | 413 | 422 => true,
+            408 | 429 => false,
+            401..=499 => {
+                self.other_4xx += 1;
+                self.other_4xx >= MAX_OTHER_4XX
+            }
+            _ => false,
+        }
+    }
+
+    fn redirect_to_follow(&self, response: &Message) -> Option<(SocketAddr, String)> {
+        if response.head.status != 307 || self.redirects >= MAX_REDIRECTS {
+            return None;
+        }
+        parse_location(response.head.headers.get("location")?)
+    }
+
+    /// Moves on to the next address, after a backoff that `Retry-After` may extend.
+    fn record_failure(&mut self, now: Millis, result: Result<Message, TransportError>) {
+        self.outcome_unknown |= may_be_applied(&result);
+        let retry_after = result.as_ref().map_or(0.0, retry_after);
+        self.not_before = now + retry_after.clamp(self.backoff, MAX_BACKOFF_MS);
+        self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF_MS);
+        self.next_address += 1;
+        self.redirects = 0;
+        self.last_result = Some(result);
+    }
+}
+
+/// Whether a failed attempt may have been applied all the same.
+fn may_be_applied(result: &Result<Message, TransportError>) -> bool {
+    match result {
+        Ok(response) => !is_definitely_not_applied(response),
+        Err(TransportError::NotConnected(_)) => false,
+        Err(_) => true,
     }
 }
 
-/// `http://ip:port/path`: the address and the target. No names: nothing is looked up.
-fn location(value: &str) -> Option<(SocketAddr, String)> {
+/// The `Retry-After` of a response in ms, 0 where it has none. Fractions of a second are accepted, dates are not (RFC 9110,
+/// section 10.2.3).
+fn retry_after(response: &Message) -> Millis {
+    response
+        .head
+        .headers
+        .get("retry-after")
+        .and_then(|value| value.trim().parse::<f64>().ok())
+        .filter(|seconds| seconds.is_finite())
+        .unwrap_or(0.0)
+        * 1000.0
+}
+
+/// Address and target of `http://ip:port/path`. Host names are rejected: the client resolves none.
+fn parse_location(value: &str) -> Option<(SocketAddr, String)> {
     let rest = value.trim().strip_prefix("http://")?;
-    let at = rest.find('/').unwrap_or(rest.len());
-    let target = if at < rest.len() { &rest[at..] } else { "/" };
-    let visible = target.bytes().all(|byte| byte.is_ascii_graphic());
-    Some((rest[..at].parse().ok()?, target.to_owned())).filter(|_| visible)
+    let path_start = rest.find('/').unwrap_or(rest.len());
+    let (authority, path) = rest.split_at(path_start);
+    let target = if path.is_empty() { "/" } else { path };
+    let is_printable = target.bytes().all(|byte| byte.is_ascii_graphic());
+    let address = authority.parse().ok()?;
+    is_printable.then(|| (address, target.to_owned()))
 }
--- a/crates/sandtrack-cli/src/status.rs
+++ b/crates/sandtrack-cli/src/status.rs
@@ -1,252 +1,152 @@
-//! What control says of itself and of the members (`GET /v1/status`), and what changed between two looks. Pure.
+//! The status of a control node (`GET /v1/status`).
+mod facts;
+mod report;
+
+pub use facts::{changed_facts, FactChange, Facts};
+
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use std::collections::BTreeMap;
 
 /// A proxy: a member of the data plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Proxy {
+pub struct ProxyStatus {
+    /// Name of the node.
     pub node: String,
+    /// Zone of the node.
     pub zone: String,
-    pub front: String,
+    /// Address at which the proxy accepts requests (`front`).
+    pub listen_address: String,
+    /// Version of the configuration that the proxy has applied.
     pub version: u64,
+    /// The proxy accepts requests.
     pub ready: bool,
-    pub leaving: bool,
-    /// Requests in hand.
-    pub open: u64,
+    /// The proxy is shutting down (`leaving`).
+    pub draining: bool,
+    /// Requests in flight (`open`).
+    pub open_requests: u64,
+}
+
+/// Another control node, as the one that responded sees it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ControlNodeStatus {
+    /// Address of its operators' interface.
+    pub address: String,
+    /// Its name; empty where it is not known.
+    pub node: String,
+    /// A connection with it is established.
+    pub linked: bool,
 }
 
-/// The status as one control node sees it.
+/// The upstreams of a service.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ServiceStatus {
+    /// Name of the service.
+    pub service: String,
+    /// Number of its upstreams.
+    pub upstreams: u64,
+    /// How many of these are draining.
+    pub draining: u64,
+}
+
+/// The status of the system, as one control node sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Who answered.
+    /// Name of the control node that responded.
     pub node: String,
+    /// Address of the control node that responded.
     pub address: String,
-    /// It hears a majority of those who agree on the view.
-    pub attached: bool,
+    /// The node hears from a majority of the voters (`attached`).
+    pub has_majority: bool,
+    /// The node is in the chain and has applied all committed changes that it knows of.
     pub caught_up: bool,
+    /// Version of the configuration in force.
     pub version: u64,
-    /// Counts committed changes.
-    pub number: u64,
-    pub evacuated: Vec<String>,
+    /// Number of committed changes (`configuration_number`).
+    pub change_number: u64,
+    /// Zones that are evacuated (`evacuated`).
+    pub evacuated_zones: Vec<String>,
+    /// Epoch of the view: the chain's configuration.
     pub epoch: u64,
-    /// From the head to the tail.
+    /// Names of the replicas, from the head to the tail of the chain.
     pub chain: Vec<String>,
+    /// Names of the nodes that vote on the next view.
     pub voters: Vec<String>,
-    /// Other control nodes: address, name, whether the one that answered has a link with it.
-    pub control_nodes: Vec<(String, String, bool)>,
-    pub proxies: Vec<Proxy>,
-    /// Who reads the platform's list; empty: nobody yet.
-    pub reader: String,
-    pub readings: u64,
-    /// Services with their upstreams, and how many of these are draining.
-    pub services: Vec<(String, u64, u64)>,
+    /// The other control nodes.
+    pub control_nodes: Vec<ControlNodeStatus>,
+    /// The proxies.
+    pub proxies: Vec<ProxyStatus>,
+    /// The node that polls the platform's endpoint list (`reader`); empty where there is none yet.
+    pub endpoint_poller: String,
+    /// The services with their upstreams.
+    pub services: Vec<ServiceStatus>,
 }
 
 impl Status {
-    /// Reads the answer; `None` where it is none. What it leaves out is empty.
+    /// Reads a response body; `None` where it is no status. Missing fields that are not essential are empty.
     pub fn parse(body: &[u8]) -> Option<Status> {
-        let mut bytes = body.to_vec();
-        let value = simd_json::to_owned_value(&mut bytes).ok()?;
+        // The parser works in place and overwrites its input.
+        let mut scratch = body.to_vec();
+        let value = simd_json::to_owned_value(&mut scratch).ok()?;
         let view = value.get("view")?;
         Some(Status {
             node: text(&value, "node"),
             address: text(&value, "address"),
-            attached: value.get_bool("attached")?,
+            has_majority: value.get_bool("attached")?,
             caught_up: value.get_bool("caught_up").unwrap_or(true),
             version: value.get_u64("version_number")?,
-            number: number(&value, "configuration_number"),
-            evacuated: texts(&value, "evacuated"),
+            change_number: number(&value, "configuration_number"),
+            evacuated_zones: texts(&value, "evacuated"),
             epoch: number(view, "epoch"),
             chain: texts(view, "chain"),
             voters: texts(view, "voters"),
-            control_nodes: each(&value, "control_nodes", |one| {
-                (
-                    text(one, "address"),
-                    text(one, "node"),
-                    one.get_bool("linked").unwrap_or(false),
-                )
-            }),
-            proxies: each(&value, "proxies", |one| Proxy {
-                node: text(one, "node"),
-                zone: text(one, "zone"),
-                front: text(one, "front"),
-                version: number(one, "version_number"),
-                ready: one.get_bool("ready").unwrap_or(false),
-                leaving: one.get_bool("leaving").unwrap_or(false),
-                open: number(one, "open"),
-            }),
-            reader: text(&value, "reader"),
-            readings: number(&value, "readings"),
-            services: each(&value, "services", |one| {
-                (
-                    text(one, "service"),
-                    number(one, "upstreams"),
-                    number(one, "draining"),
-                )
-            }),
+            control_nodes: objects(&value, "control_nodes", ControlNodeStatus::from_json),
+            proxies: objects(&value, "proxies", ProxyStatus::from_json),
+            endpoint_poller: text(&value, "reader"),
+            services: objects(&value, "services", ServiceStatus::from_json),
         })
     }
 
-    /// The evacuated zones, for people.
-    pub fn evacuated_line(&self) -> String {
-        or_none(&self.evacuated, ", ")
-    }
-
-    /// For people.
-    pub fn lines(&self) -> Vec<String> {
-        let mut lines = vec![
-            format!("told by     {} {}", self.node, self.address),
-            format!("version     {} (change {})", self.version, self.number),
-            format!("view        {}", self.epoch),
-            format!("chain       {}", or_none(&self.chain, " > ")),
-            format!("voters      {}", or_none(&self.voters, " ")),
-            format!(
-                "reader      {}",
-                if self.reader.is_empty() {
-                    "none"
-                } else {
-                    &self.reader
-                }
-            ),
-            format!("evacuated   {}", self.evacuated_line()),
-        ];
-        lines.extend(
-            self.warning()
-                .map(|warning| format!("warning     {warning}")),
-        );
-        for (address, node, linked) in &self.control_nodes {
-            let linked = if *linked { "linked" } else { "not linked" };
-            let node = if node.is_empty() {
-                "of unknown name"
-            } else {
-                node
-            };
-            lines.push(format!("control node  {address} {node}, {linked}"));
-        }
-        let ready = self.proxies.iter().filter(|proxy| proxy.ready).count();
-        let current = self
-            .proxies
-            .iter()
-            .filter(|proxy| proxy.version == self.version)
-            .count();
-        lines.push(format!(
-            "proxies    {}: {ready} ready, {current} with version {}",
-            self.proxies.len(),
-            self.version
-        ));
-        for proxy in &self.proxies {
-            let Proxy {
-                node,
-                zone,
-                front,
-                open,
-                ..
-            } = proxy;
-            let state = state(proxy);
-            lines.push(format!(
-                "proxy     {node} in {zone} at {front}: {state}, {open} requests in hand"
-            ));
-        }
-        for (service, upstreams, draining) in &self.services {
-            lines.push(format!(
-                "service     {service}: {upstreams} upstreams, {draining} draining"
-            ));
-        }
-        lines
-    }
-
-    /// Why what it says may be old.
-    pub fn warning(&self) -> Option<&'static str> {
-        match (self.attached, self.caught_up) {
+    /// Why the status may be stale; `None` where it is not.
+    pub fn staleness_warning(&self) -> Option<&'static str> {
+        match (self.has_majority, self.caught_up) {
             (false, _) => Some("the one that answered hears no majority: what it says may be old"),
             (true, false) => Some("the one that answered is not in the chain or still catches up"),
             (true, true) => None,
         }
     }
+}
 
-    /// What is so, by name: the same whichever control node answers, but for what each of them hears.
-    pub fn facts(&self) -> BTreeMap<String, String> {
-        let mut facts = BTreeMap::from([
-            ("version".to_owned(), self.version.to_string()),
-            ("view".to_owned(), self.epoch.to_string()),
-            ("chain".to_owned(), or_none(&self.chain, " > ")),
-            ("voters".to_owned(), or_none(&self.voters, " ")),
-            (
-                "reader".to_owned(),
-                if self.reader.is_empty() {
-                    "none"
-                } else {
-                    &self.reader
-                }
-                .to_owned(),
-            ),
-            ("evacuated".to_owned(), self.evacuated_line()),
-            (
-                "majority".to_owned(),
-                if self.attached { "heard" } else { "not heard" }.to_owned(),
-            ),
-            (
-                format!("control node {}", self.address),
-                "linked".to_owned(),
-            ),
-        ]);
-        for (address, _, linked) in &self.control_nodes {
-            let linked = if *linked { "linked" } else { "not linked" };
-            facts.insert(format!("control node {address}"), linked.to_owned());
-        }
-        for proxy in &self.proxies {
-            facts.insert(format!("proxy {}", proxy.node), state(proxy));
+impl ProxyStatus {
+    fn from_json(value: &OwnedValue) -> ProxyStatus {
+        ProxyStatus {
+            node: text(value, "node"),
+            zone: text(value, "zone"),
+            listen_address: text(value, "front"),
+            version: number(value, "version_number"),
+            ready: flag(value, "ready"),
+            draining: flag(value, "leaving"),
+            open_requests: number(value, "open"),
         }
-        for (service, upstreams, draining) in &self.services {
-            let counts = format!("{upstreams} upstreams, {draining} draining");
-            facts.insert(format!("service {service}"), counts);
-        }
-        facts
     }
 }
 
-/// A fact that changed; `None`: it is not there.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Changed {
-    pub what: String,
-    pub from: Option<String>,
-    pub to: Option<String>,
-}
-
-/// What is another way now.
-pub fn changed(
-    before: &BTreeMap<String, String>,
-    after: &BTreeMap<String, String>,
-) -> Vec<Changed> {
-    let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
-    names.sort_unstable();
-    names.dedup();
-    let change = |name: &String| {
-        let (from, to) = (before.get(name).cloned(), after.get(name).cloned());
-        (from != to).then(|| Changed {
-            what: name.clone(),
-            from,
-            to,
-        })
-    };
-    names.into_iter().filter_map(change).collect()
-}
-
-fn state(proxy: &Proxy) -> String {
-    let ready = match (proxy.leaving, proxy.ready) {
-        (true, _) => "leaving",
-        (false, true) => "ready",
-        (false, false) => "not ready",
-    };
-    format!("{ready}, version {}", proxy.version)
+impl ControlNodeStatus {
+    fn from_json(value: &OwnedValue) -> ControlNodeStatus {
+        ControlNodeStatus {
+            address: text(value, "address"),
+            node: text(value, "node"),
+            linked: flag(value, "linked"),
+        }
+    }
 }
 
-fn or_none(words: &[String], between: &str) -> String {
-    if words.is_empty() {
-        "none".to_owned()
-    } else {
-        words.join(between)
+impl ServiceStatus {
+    fn from_json(value: &OwnedValue) -> ServiceStatus {
+        ServiceStatus {
+            service: text(value, "service"),
+            upstreams: number(value, "upstreams"),
+            draining: number(value, "draining"),
+        }
     }
 }
 
@@ -258,7 +158,11 @@
     value.get_u64(field).unwrap_or(0)
 }
 
-fn each<T>(value: &OwnedValue, field: &str, read: impl Fn(&OwnedValue) -> T) -> Vec<T> {
+fn flag(value: &OwnedValue, field: &str) -> bool {
+    value.get_bool(field).unwrap_or(false)
+}
+
+fn objects<T>(value: &OwnedValue, field: &str, read: impl Fn(&OwnedValue) -> T) -> Vec<T> {
     value
         .get_array(field)
         .map(|items| items.iter().map(read).collect())
@@ -266,7 +170,7 @@
 }
 
 fn texts(value: &OwnedValue, field: &str) -> Vec<String> {
-    each(value, field, |one| {
-        one.as_str().unwrap_or_default().to_owned()
+    objects(value, field, |item| {
+        item.as_str().unwrap_or_default().to_owned()
     })
 }
--- a/crates/sandtrack-cli/src/transport.rs
+++ b/crates/sandtrack-cli/src/transport.rs
@@ -1,4 +1,4 @@
-//! One call over one connection: blocking sockets of the standard library. It owns that socket.
+//! One attempt over one connection, with blocking sockets of the standard library.
 use crate::Millis;
 use sandtrack_net::http::{Parser, Part, Side, READ_RING};
 use sandtrack_net::ring::Ring;
@@ -7,104 +7,126 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// An answer may be this long: more than the configuration of the largest deployment.
-const ANSWER_MAX: usize = 64 << 20;
+/// Longest response body: more than the configuration of the largest deployment.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Shortest time-out that is passed to a socket, which accepts no time-out of zero.
+const MIN_TIMEOUT_MS: Millis = 1.0;
 
-/// Why there is no answer.
+/// Why an attempt got no response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransportError {
-    /// Nothing was sent.
+    /// There was no connection, so nothing was sent.
     #[error("no connection: {0}")]
     NotConnected(ErrorKind),
+    /// No byte arrived for as long as the time-out.
     #[error("silence")]
-    Silent,
+    TimedOut,
+    /// The connection was closed or reset within the response.
     #[error("the connection ended before the whole answer")]
-    Broken,
+    ConnectionClosed,
+    /// What arrived is no HTTP response, or is too long.
     #[error("what came is no answer")]
-    Garbled,
+    InvalidResponse,
 }
 
-/// Sends `request` to `address` and reads the answer; `silence` is the longest time without a byte.
+/// Sends `request` to `address` and reads the response. `timeout` is the longest time without a byte.
 ///
 /// # Errors
-/// Where no whole answer came.
+/// Where no complete response arrived.
 pub fn exchange(
     address: SocketAddr,
     request: &[u8],
-    silence: Millis,
+    timeout: Millis,
 ) -> Result<Message, TransportError> {
-    let silence = Duration::from_secs_f64(silence.max(1.0) / 1000.0);
-    let not_connected = |error: std::io::Error| TransportError::NotConnected(error.kind());
-    let mut stream = TcpStream::connect_timeout(&address, silence).map_err(not_connected)?;
-    stream
-        .set_read_timeout(Some(silence))
-        .map_err(not_connected)?;
-    stream
-        .set_write_timeout(Some(silence))
-        .map_err(not_connected)?;
-    // An answer may come before the request was taken whole (413), and is read all the same.
+    let mut stream =
+        connect(address, timeout).map_err(|error| TransportError::NotConnected(error.kind()))?;
+    // The server may respond before it has read the complete request (413), and that response counts.
     let written = stream.write_all(request);
-    let mut answer = Answer::default();
-    let (mut parser, mut ring) = (Parser::new(Side::Response), Ring::new(READ_RING));
-    let mut bytes = vec![0; READ_RING];
+    let mut reader = ResponseReader::new();
+    let mut buffer = vec![0; READ_RING];
     loop {
-        if let Some(message) = answer.take(&mut parser, &mut ring)? {
-            return Ok(message);
+        if let Some(response) = reader.parse()? {
+            return Ok(response);
         }
-        let room = ring.room().min(bytes.len());
-        let count = match stream.read(&mut bytes[..room]) {
+        let capacity = reader.ring.room().min(buffer.len());
+        let count = match stream.read(&mut buffer[..capacity]) {
             Ok(count) => count,
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return Err(TransportError::Silent);
+                return Err(TransportError::TimedOut);
             }
-            Err(_) => return Err(TransportError::Broken),
+            Err(_) => return Err(TransportError::ConnectionClosed),
         };
         if count == 0 {
-            let over = written.is_ok() && parser.ended(&ring);
-            let message = if over {
-                answer.take(&mut parser, &mut ring)?
+            let response = if written.is_ok() {
+                reader.finish()?
             } else {
                 None
             };
-            return message.ok_or(TransportError::Broken);
+            return response.ok_or(TransportError::ConnectionClosed);
         }
-        if !ring.push(&bytes[..count]) {
-            return Err(TransportError::Garbled);
+        if !reader.ring.push(&buffer[..count]) {
+            return Err(TransportError::InvalidResponse);
         }
     }
 }
 
-/// An answer as it comes.
-#[derive(Default)]
-struct Answer {
-    message: Option<Message>,
+fn connect(address: SocketAddr, timeout: Millis) -> std::io::Result<TcpStream> {
+    let timeout = Duration::from_secs_f64(timeout.max(MIN_TIMEOUT_MS) / 1000.0);
+    let stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
+    Ok(stream)
 }
 
-impl Answer {
-    /// Takes what has come; the whole answer once it is there.
-    fn take(
-        &mut self,
-        parser: &mut Parser,
-        ring: &mut Ring,
-    ) -> Result<Option<Message>, TransportError> {
-        while let Some(part) = parser.next(ring).map_err(|_| TransportError::Garbled)? {
-            match (part, &mut self.message) {
+/// Assembles a response from the bytes that arrive.
+struct ResponseReader {
+    parser: Parser,
+    ring: Ring,
+    response: Option<Message>,
+}
+
+impl ResponseReader {
+    fn new() -> ResponseReader {
+        ResponseReader {
+            parser: Parser::new(Side::Response),
+            ring: Ring::new(READ_RING),
+            response: None,
+        }
+    }
+
+    /// Parses the bytes in the ring; the response once it is complete.
+    fn parse(&mut self) -> Result<Option<Message>, TransportError> {
+        loop {
+            let part = self
+                .parser
+                .next(&mut self.ring)
+                .map_err(|_| TransportError::InvalidResponse)?;
+            let Some(part) = part else {
+                return Ok(None);
+            };
+            match (part, &mut self.response) {
                 (Part::Head(head), _) => {
-                    self.message = Some(Message {
-                        head,
-                        body: Vec::new(),
-                    })
+                    let body = Vec::new();
+                    self.response = Some(Message { head, body });
                 }
-                (Part::Data(data), Some(message))
-                    if message.body.len() + data.len() <= ANSWER_MAX =>
+                (Part::Data(data), Some(response))
+                    if response.body.len() + data.len() <= MAX_RESPONSE_BYTES =>
                 {
-                    message.body.extend(data);
+                    response.body.extend(data);
                 }
-                (Part::Data(_), _) => return Err(TransportError::Garbled),
-                (Part::End, message) => return Ok(message.take()),
+                (Part::Data(_), _) => return Err(TransportError::InvalidResponse),
+                (Part::End, response) => return Ok(response.take()),
             }
         }
-        Ok(None)
+    }
+
+    /// The response where the end of the connection completes it.
+    fn finish(&mut self) -> Result<Option<Message>, TransportError> {
+        if self.parser.ended(&self.ring) {
+            self.parse()
+        } else {
+            Ok(None)
+        }
     }
 }
--- a/crates/sandtrack-cli/tests/pages.rs
+++ b/crates/sandtrack-cli/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages, as far as a test can tell whether they are true: commands can be read, and log lines are logged.
+//! The operators' pages against the code: their commands parse, and their log events stand in the sources.
 use sandtrack_cli::cli::parser;
 use std::path::{Path, PathBuf};
 
@@ -15,12 +15,12 @@
     text.split('`').skip(1).step_by(2)
 }
 
-fn is_command_line(words: &[&str]) -> bool {
+fn parses(words: &[&str]) -> bool {
     parser().run_inner(words).is_ok()
 }
 
 #[test]
-fn every_command_of_the_pages_can_be_read() {
+fn documented_commands_parse() {
     let mut commands = Vec::new();
     for path in ["docs/system/operations.md", "examples/system/README.md"] {
         let page = page(path);
@@ -45,21 +45,22 @@
             .unwrap_or_default()
             .split_whitespace()
             .collect();
-        assert!(is_command_line(&words), "sandtrackctl {command}");
+        assert!(parses(&words), "sandtrackctl {command}");
     }
-    assert!(!is_command_line(&["configuration", "write", "FILE"]));
+    assert!(!parses(&["configuration", "write", "FILE"]));
 }
 
-/// What stands in the sources of an event of the page: all but the words that stand for something.
+/// The constant parts of a documented event: all but placeholders (single capitals) and result codes.
 fn fragments(event: &str) -> Vec<String> {
     let mut fragments = vec![String::new()];
     for word in event.split_inclusive([' ', ':']) {
         let bare = word.trim_end_matches([' ', ':']);
-        let stands_for = bare.len() == 1 && bare.chars().all(|letter| letter.is_ascii_uppercase());
+        let is_placeholder =
+            bare.len() == 1 && bare.chars().all(|character| character.is_ascii_uppercase());
         let is_code = bare
             .strip_prefix('E')
             .is_some_and(|code| code.len() == 3 && code.parse::<u16>().is_ok());
-        if stands_for || is_code {
+        if is_placeholder || is_code {
             fragments.push(word[bare.len()..].to_owned());
         } else if let Some(last) = fragments.last_mut() {
             last.push_str(word);
@@ -69,10 +70,10 @@
     fragments
 }
 
-/// The text of all files below a folder.
-fn read_all(folder: &Path) -> String {
+/// The text of all files below a directory.
+fn read_all(directory: &Path) -> String {
     let mut text = String::new();
-    for entry in std::fs::read_dir(folder).expect("a folder") {
+    for entry in std::fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             text.push_str(&read_all(&path));
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn every_log_line_of_the_page_is_logged() {
+fn documented_log_events_are_in_the_sources() {
     let sources = |package: &str| read_all(&root().join(format!("crates/sandtrack-{package}/src")));
     let sources = ["control", "proxy", "invariants"].map(sources).concat();
     let page = page("docs/system/operations.md");
--- a/crates/sandtrack-cli/tests/retry.rs
+++ b/crates/sandtrack-cli/tests/retry.rs
@@ -1,8 +1,8 @@
-//! What is tried next, with a played clock: no socket, no waiting.
+//! The retry policy with a simulated clock: no sockets, no waiting.
 use assert_matches::assert_matches;
-use sandtrack_cli::call::{told, Call, ORDER_MS, REPEAT_MS};
+use sandtrack_cli::call::{error_from_response, Call, DEFAULT_RETRY_MS, MAX_EVACUATION_RETRY_MS};
 use sandtrack_cli::error::CliError;
-use sandtrack_cli::retry::{Retry, Step, PAUSE_FIRST_MS, PAUSE_MOST_MS};
+use sandtrack_cli::retry::{Retry, Step, INITIAL_BACKOFF_MS, MAX_BACKOFF_MS};
 use sandtrack_cli::transport::TransportError;
 use sandtrack_protocol::codes;
 use sandtrack_sidecar_core::message::{Head, Headers, Message};
@@ -12,7 +12,7 @@
     SocketAddr::from(([10, 1, 0, last], 8166))
 }
 
-fn answer(status: u16, headers: &[(&str, &str)], body: &str) -> Message {
+fn response(status: u16, headers: &[(&str, &str)], body: &str) -> Message {
     let headers = headers
         .iter()
         .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
@@ -31,43 +31,43 @@
     }
 }
 
-fn plain(status: u16) -> Result<Message, TransportError> {
-    Ok(answer(status, &[], ""))
+fn status_only(status: u16) -> Result<Message, TransportError> {
+    Ok(response(status, &[], ""))
 }
 
-/// Plays a call whose every try comes to the same, each taking `takes` ms: when each try began and where it went, how it
-/// ended and when.
-fn play(
+/// Runs a call whose attempts all have the same result after `attempt_ms` each. Returns start and address of each attempt,
+/// the last step and its time.
+fn run_call(
     addresses: &[SocketAddr],
     length: f64,
-    takes: f64,
+    attempt_ms: f64,
     result: &Result<Message, TransportError>,
 ) -> (Vec<(f64, SocketAddr)>, Step, f64) {
-    let (mut now, mut tries) = (1000.0, Vec::new());
+    let (mut now, mut attempts) = (1000.0, Vec::new());
     let mut retry = Retry::new(addresses, now, now + length);
     loop {
         match retry.step(now) {
-            Step::Pause(pause) => now += pause,
-            Step::Try { address, .. } => {
-                tries.push((now, address));
-                now += takes;
-                retry.came(now, result.clone());
+            Step::Backoff(pause) => now += pause,
+            Step::Attempt { address, .. } => {
+                attempts.push((now, address));
+                now += attempt_ms;
+                retry.record_result(now, result.clone());
             }
-            end => return (tries, end, now),
+            end => return (attempts, end, now),
         }
-        assert!(tries.len() < 1000, "it never ends");
+        assert!(attempts.len() < 1000, "it never ends");
     }
 }
 
 #[test]
-fn each_failure_moves_on_to_the_next_address_after_a_pause_that_grows_up_to_a_bound() {
+fn each_failure_moves_on_to_the_next_address_with_bounded_exponential_backoff() {
     let addresses = [address(1), address(2), address(3)];
-    let silent = Err(TransportError::Silent);
-    let (tries, end, _) = play(&addresses, REPEAT_MS, 1000.0, &silent);
-    for (at, (_, address)) in tries.iter().enumerate() {
+    let timed_out = Err(TransportError::TimedOut);
+    let (attempts, end, _) = run_call(&addresses, DEFAULT_RETRY_MS, 1000.0, &timed_out);
+    for (at, (_, address)) in attempts.iter().enumerate() {
         assert_eq!(*address, addresses[at % 3]);
     }
-    let pauses: Vec<f64> = tries
+    let pauses: Vec<f64> = attempts
         .windows(2)
         .map(|pair| pair[1].0 - pair[0].0 - 1000.0)
         .collect();
@@ -75,110 +75,141 @@
     assert!(
         pauses
             .iter()
-            .all(|pause| (PAUSE_FIRST_MS..=PAUSE_MOST_MS).contains(pause)),
+            .all(|pause| (INITIAL_BACKOFF_MS..=MAX_BACKOFF_MS).contains(pause)),
         "{pauses:?}"
     );
     assert_matches!(
         end,
-        Step::GivenUp {
-            unclear: true,
-            last: Some(Err(TransportError::Silent))
+        Step::GaveUp {
+            outcome_unknown: true,
+            last_result: Some(Err(TransportError::TimedOut))
         }
     );
 }
 
 #[test]
-fn nothing_is_sent_after_its_time_and_the_rest_of_it_is_not_waited_for() {
-    for takes in [0.0, 7.0, 130.0, 999.0, 1000.0, 4999.0, 5000.0, 9000.0] {
-        let (tries, end, over) = play(&[address(1), address(2)], ORDER_MS, takes, &plain(503));
+fn no_attempt_or_backoff_begins_after_the_deadline() {
+    for attempt_ms in [0.0, 7.0, 130.0, 999.0, 1000.0, 4999.0, 5000.0, 9000.0] {
+        let (attempts, end, over) = run_call(
+            &[address(1), address(2)],
+            MAX_EVACUATION_RETRY_MS,
+            attempt_ms,
+            &status_only(503),
+        );
+        assert!(
+            attempts
+                .iter()
+                .all(|(at, _)| *at <= 1000.0 + MAX_EVACUATION_RETRY_MS),
+            "{attempt_ms}: {attempts:?}"
+        );
+        assert_matches!(end, Step::GaveUp { .. });
         assert!(
-            tries.iter().all(|(at, _)| *at <= 1000.0 + ORDER_MS),
-            "{takes}: {tries:?}"
+            over <= 1000.0 + MAX_EVACUATION_RETRY_MS + attempt_ms,
+            "{attempt_ms}: over at {over}"
         );
-        assert_matches!(end, Step::GivenUp { .. });
-        assert!(over <= 1000.0 + ORDER_MS + takes, "{takes}: over at {over}");
     }
 }
 
 #[test]
-fn these_answers_end_a_call_at_once() {
+fn definite_responses_end_the_call_at_once() {
     for status in [200, 201, 204, 400, 409, 412, 413, 422] {
-        let (tries, end, _) = play(&[address(1), address(2)], REPEAT_MS, 1.0, &plain(status));
-        assert_eq!(tries.len(), 1, "{status}");
-        assert_matches!(end, Step::Answered(answer) if answer.head.status == status);
+        let (attempts, end, _) = run_call(
+            &[address(1), address(2)],
+            DEFAULT_RETRY_MS,
+            1.0,
+            &status_only(status),
+        );
+        assert_eq!(attempts.len(), 1, "{status}");
+        assert_matches!(end, Step::Responded(response) if response.head.status == status);
     }
 }
 
 #[test]
-fn any_other_4xx_ends_it_at_the_third_try() {
+fn any_other_4xx_ends_the_call_at_the_third_attempt() {
     for status in [401, 403, 404, 405, 410, 421, 431, 451] {
-        let (tries, end, _) = play(&[address(1), address(2)], REPEAT_MS, 1.0, &plain(status));
+        let (attempts, end, _) = run_call(
+            &[address(1), address(2)],
+            DEFAULT_RETRY_MS,
+            1.0,
+            &status_only(status),
+        );
         assert_eq!(
-            tries
+            attempts
                 .iter()
                 .map(|(_, address)| *address)
                 .collect::<Vec<_>>(),
             [1, 2, 1].map(address)
         );
-        assert_matches!(end, Step::Answered(answer) if answer.head.status == status);
+        assert_matches!(end, Step::Responded(response) if response.head.status == status);
     }
 }
 
 #[test]
-fn these_answers_and_every_failure_are_repeated_until_the_time_is_over() {
+fn transient_responses_and_transport_errors_are_retried_until_the_deadline() {
     let failures = [
         Err(TransportError::NotConnected(
             std::io::ErrorKind::ConnectionRefused,
         )),
-        Err(TransportError::Silent),
-        Err(TransportError::Broken),
-        Err(TransportError::Garbled),
+        Err(TransportError::TimedOut),
+        Err(TransportError::ConnectionClosed),
+        Err(TransportError::InvalidResponse),
     ];
-    let statuses = [408, 429, 500, 501, 502, 503, 504, 302].map(plain);
+    let statuses = [408, 429, 500, 501, 502, 503, 504, 302].map(status_only);
     for result in failures.iter().chain(&statuses) {
-        let (tries, end, _) = play(&[address(1)], REPEAT_MS, 1.0, result);
-        assert!(tries.len() > 15, "{result:?}: {} tries", tries.len());
-        assert_matches!(end, Step::GivenUp { last: Some(last), .. } if last == *result);
+        let (attempts, end, _) = run_call(&[address(1)], DEFAULT_RETRY_MS, 1.0, result);
+        assert!(
+            attempts.len() > 15,
+            "{result:?}: {} attempts",
+            attempts.len()
+        );
+        assert_matches!(end, Step::GaveUp { last_result: Some(last), .. } if last == *result);
     }
 }
 
 #[test]
-fn whether_it_may_be_in_force_is_told_by_every_try() {
-    let coded = |code: &str| Ok(answer(503, &[], &format!("{{\"code\":\"{code}\"}}")));
-    let clear = [
+fn outcome_is_unknown_after_any_indefinite_attempt() {
+    let coded = |code: &str| Ok(response(503, &[], &format!("{{\"code\":\"{code}\"}}")));
+    let definite = [
         Err(TransportError::NotConnected(
             std::io::ErrorKind::ConnectionRefused,
         )),
         coded("E303"),
         coded("E502"),
-        plain(429),
-        plain(408),
+        status_only(429),
+        status_only(408),
     ];
-    for result in &clear {
-        let (_, end, _) = play(&[address(1)], REPEAT_MS, 1.0, result);
-        assert_matches!(end, Step::GivenUp { unclear: false, .. }, "{result:?}");
+    for result in &definite {
+        let (_, end, _) = run_call(&[address(1)], DEFAULT_RETRY_MS, 1.0, result);
+        assert_matches!(
+            end,
+            Step::GaveUp {
+                outcome_unknown: false,
+                ..
+            },
+            "{result:?}"
+        );
     }
-    let unclear = [
-        Err(TransportError::Silent),
-        Err(TransportError::Broken),
-        Err(TransportError::Garbled),
+    let indefinite = [
+        Err(TransportError::TimedOut),
+        Err(TransportError::ConnectionClosed),
+        Err(TransportError::InvalidResponse),
         coded("E304"),
-        plain(500),
-        plain(504),
+        status_only(500),
+        status_only(504),
     ];
-    for result in &unclear {
+    for result in &indefinite {
         let mut retry = Retry::new(&[address(1)], 0.0, 1000.0);
-        retry.came(0.0, result.clone());
-        retry.came(100.0, coded("E303"));
+        retry.record_result(0.0, result.clone());
+        retry.record_result(100.0, coded("E303"));
         assert!(
-            retry.is_unclear(),
-            "{result:?}: a later clear no does not undo it"
+            retry.is_outcome_unknown(),
+            "{result:?}: a later definite refusal does not undo it"
         );
     }
 }
 
 #[test]
-fn retry_after_stretches_a_pause_up_to_its_bound() {
+fn retry_after_extends_the_backoff_up_to_its_maximum() {
     for (value, pause) in [
         ("0.2", 200.0),
         ("0", 50.0),
@@ -187,37 +218,40 @@
         ("-1", 50.0),
         ("NaN", 50.0),
     ] {
-        let mut retry = Retry::new(&[address(1)], 0.0, REPEAT_MS);
-        retry.came(10.0, Ok(answer(503, &[("Retry-After", value)], "")));
-        assert_eq!(retry.step(10.0), Step::Pause(pause), "{value}");
+        let mut retry = Retry::new(&[address(1)], 0.0, DEFAULT_RETRY_MS);
+        retry.record_result(10.0, Ok(response(503, &[("Retry-After", value)], "")));
+        assert_eq!(retry.step(10.0), Step::Backoff(pause), "{value}");
     }
 }
 
 #[test]
-fn a_redirect_is_followed_at_once_and_twice_for_each_address_asked() {
-    let sent_on = |to: &str| Ok(answer(307, &[("Location", to)], ""));
-    let mut retry = Retry::new(&[address(1), address(2)], 0.0, REPEAT_MS);
+fn redirects_are_followed_at_once_and_twice_for_each_address() {
+    let redirect_to = |to: &str| Ok(response(307, &[("Location", to)], ""));
+    let mut retry = Retry::new(&[address(1), address(2)], 0.0, DEFAULT_RETRY_MS);
     for (at, target) in [(7, "/v1/configuration/read"), (8, "/other")] {
-        retry.came(0.0, sent_on(&format!("http://10.1.0.{at}:8166{target}")));
-        let expected = Step::Try {
+        retry.record_result(
+            0.0,
+            redirect_to(&format!("http://10.1.0.{at}:8166{target}")),
+        );
+        let expected = Step::Attempt {
             address: address(at),
             target: Some(target.to_owned()),
         };
         assert_eq!(retry.step(0.0), expected);
     }
-    retry.came(0.0, sent_on("http://10.1.0.9:8166/"));
-    assert_eq!(retry.step(0.0), Step::Pause(PAUSE_FIRST_MS));
+    retry.record_result(0.0, redirect_to("http://10.1.0.9:8166/"));
+    assert_eq!(retry.step(0.0), Step::Backoff(INITIAL_BACKOFF_MS));
     assert_eq!(
-        retry.step(PAUSE_FIRST_MS),
-        Step::Try {
+        retry.step(INITIAL_BACKOFF_MS),
+        Step::Attempt {
             address: address(2),
             target: None
         }
     );
-    retry.came(60.0, sent_on("http://10.1.0.9:8166"));
+    retry.record_result(60.0, redirect_to("http://10.1.0.9:8166"));
     assert_eq!(
         retry.step(60.0),
-        Step::Try {
+        Step::Attempt {
             address: address(9),
             target: Some("/".to_owned())
         }
@@ -225,7 +259,7 @@
 }
 
 #[test]
-fn a_redirect_that_names_no_address_is_a_failure() {
+fn redirects_without_an_ip_address_are_failures() {
     for to in [
         "",
         "/path",
@@ -234,36 +268,45 @@
         "http://10.1.0.9/",
         "http://10.1.0.9:8166/a b",
     ] {
-        let mut retry = Retry::new(&[address(1), address(2)], 0.0, REPEAT_MS);
-        retry.came(0.0, Ok(answer(307, &[("Location", to)], "")));
-        assert_eq!(retry.step(0.0), Step::Pause(PAUSE_FIRST_MS), "{to}");
+        let mut retry = Retry::new(&[address(1), address(2)], 0.0, DEFAULT_RETRY_MS);
+        retry.record_result(0.0, Ok(response(307, &[("Location", to)], "")));
+        assert_eq!(retry.step(0.0), Step::Backoff(INITIAL_BACKOFF_MS), "{to}");
     }
 }
 
 #[test]
-fn orders_that_are_no_configurations_are_sent_again_only_for_a_limited_time() {
-    assert_eq!(Call::evacuate("a", true).repeat_for(None), ORDER_MS);
+fn evacuations_are_retried_only_for_a_limited_time() {
+    assert_eq!(
+        Call::evacuate("a", true).retry_period(None),
+        MAX_EVACUATION_RETRY_MS
+    );
     assert_eq!(
-        Call::evacuate("a", false).repeat_for(Some(60_000.0)),
-        ORDER_MS
+        Call::evacuate("a", false).retry_period(Some(60_000.0)),
+        MAX_EVACUATION_RETRY_MS
     );
-    assert_eq!(Call::evacuate("a", false).repeat_for(Some(100.0)), 100.0);
-    assert_eq!(Call::replace(0, Vec::new()).repeat_for(None), REPEAT_MS);
+    assert_eq!(Call::evacuate("a", false).retry_period(Some(100.0)), 100.0);
     assert_eq!(
-        Call::update(1, Vec::new()).repeat_for(Some(60_000.0)),
+        Call::replace(0, Vec::new()).retry_period(None),
+        DEFAULT_RETRY_MS
+    );
+    assert_eq!(
+        Call::update(1, Vec::new()).retry_period(Some(60_000.0)),
         60_000.0
     );
-    assert_eq!(Call::read().repeat_for(Some(60_000.0)), 60_000.0);
+    assert_eq!(Call::read().retry_period(Some(60_000.0)), 60_000.0);
 }
 
 #[test]
-fn a_second_of_silence_is_a_failure_and_a_large_body_has_more() {
-    assert_eq!(Call::read().silence(), 1000.0);
-    assert_eq!(Call::replace(0, vec![b' '; 4_000_000]).silence(), 5000.0);
+fn response_timeout_grows_with_the_body() {
+    assert_eq!(Call::read().response_timeout(), 1000.0);
+    assert_eq!(
+        Call::replace(0, vec![b' '; 4_000_000]).response_timeout(),
+        5000.0
+    );
 }
 
 #[test]
-fn an_answer_without_a_code_of_its_own_has_one_by_its_status() {
+fn responses_without_a_code_get_one_by_their_status() {
     let cases = [
         (400, "", codes::CONFIGURATION_UNREADABLE),
         (413, "<html>", codes::CONFIGURATION_UNREADABLE),
@@ -274,6 +317,6 @@
         (400, "{\"code\":\"E206\"}", codes::NO_TIMEOUT),
     ];
     for (status, body, expected) in cases {
-        assert_matches!(told(&answer(status, &[], body)), CliError::Coded { code, .. } if code == expected, "{status} {body}");
+        assert_matches!(error_from_response(&response(status, &[], body)), CliError::Coded { code, .. } if code == expected, "{status} {body}");
     }
 }
--- a/crates/sandtrack-cli/tests/settings.rs
+++ b/crates/sandtrack-cli/tests/settings.rs
@@ -1,8 +1,8 @@
-//! The fields of the settings file, as the page tells them and as the programs read them.
+//! The fields of the settings file: the documented table against what the programs read.
 use assert_matches::assert_matches;
 use sandtrack_cli::error::CliError;
 use sandtrack_cli::settings::{
-    check, value_at, Field, FieldKind, IfAbsent, FIELDS, IGNORED_FIELDS,
+    check, value_at, CheckedSettings, Field, FieldKind, IfAbsent, FIELDS, IGNORED_FIELDS,
 };
 use sandtrack_protocol::codes;
 use sandtrack_protocol::settings::Settings;
@@ -20,24 +20,24 @@
 }
 
 /// Settings with every field of a deployment, as the platform writes them.
-fn whole() -> OwnedValue {
+fn complete_settings() -> OwnedValue {
     json(include_str!("files/settings.json"))
 }
 
 /// The settings with a field set, or removed.
 fn with(path: &str, value: Option<OwnedValue>) -> OwnedValue {
-    let mut whole = whole();
+    let mut settings = complete_settings();
     let (parent, name) = path.rsplit_once('.').unwrap_or(("", path));
     let within = if parent.is_empty() {
-        &mut whole
+        &mut settings
     } else {
-        whole.get_mut(parent).expect("an object")
+        settings.get_mut(parent).expect("an object")
     };
     match value {
         Some(value) => within.try_insert(name.to_owned(), value),
         None => within.try_remove(name),
     };
-    whole
+    settings
 }
 
 fn parsed(value: &OwnedValue) -> Settings {
@@ -58,22 +58,22 @@
 }
 
 #[test]
-fn every_field_of_the_page_is_read() {
+fn every_documented_field_is_read() {
     for Field { path, kind, .. } in FIELDS {
         assert!(
-            value_at(&whole(), path).is_some(),
+            value_at(&complete_settings(), path).is_some(),
             "`{path}` is in no deployment"
         );
         assert_ne!(
             parsed(&with(path, Some(another(*kind)))),
-            parsed(&whole()),
+            parsed(&complete_settings()),
             "`{path}` is not read"
         );
     }
 }
 
 #[test]
-fn what_a_missing_field_stands_for_is_as_the_page_says() {
+fn missing_fields_have_the_documented_defaults() {
     for Field {
         path, if_absent, ..
     } in FIELDS
@@ -103,12 +103,16 @@
 fn every_other_field_of_a_deployment_is_ignored() {
     for path in IGNORED_FIELDS {
         assert!(
-            value_at(&whole(), path).is_some(),
+            value_at(&complete_settings(), path).is_some(),
             "`{path}` is in no deployment"
         );
-        assert_eq!(parsed(&with(path, None)), parsed(&whole()), "`{path}`");
+        assert_eq!(
+            parsed(&with(path, None)),
+            parsed(&complete_settings()),
+            "`{path}`"
+        );
     }
-    for (name, value) in whole().as_object().expect("an object").iter() {
+    for (name, value) in complete_settings().as_object().expect("an object").iter() {
         let read = |path: &str| {
             FIELDS.iter().any(|field| field.path == path) || IGNORED_FIELDS.contains(&path)
         };
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn a_value_of_another_type_or_out_of_range_is_told() {
+fn values_of_another_type_or_out_of_range_are_reported() {
     for Field {
         path,
         kind,
@@ -150,9 +154,11 @@
         for value in wrong {
             let settings = with(path, Some(json(value)));
             match check(settings.encode().into_bytes()) {
-                Ok((_, notes)) => {
-                    let told = notes.iter().any(|note| note.contains(&format!("`{path}`")));
-                    assert!(told, "`{path}`: {value}: {notes:?}");
+                Ok(CheckedSettings { warnings, .. }) => {
+                    let is_reported = warnings
+                        .iter()
+                        .any(|warning| warning.contains(&format!("`{path}`")));
+                    assert!(is_reported, "`{path}`: {value}: {warnings:?}");
                 }
                 Err(error) => {
                     assert_eq!(*if_absent, IfAbsent::Error, "`{path}`: {value}: {error}");
@@ -167,8 +173,8 @@
             }
         }
     }
-    let (_, notes) = check(whole().encode().into_bytes()).expect("good settings");
-    assert_eq!(notes, [""; 0]);
+    let checked = check(complete_settings().encode().into_bytes()).expect("good settings");
+    assert_eq!(checked.warnings, [""; 0]);
 }
 
 /// The table of the page.
@@ -201,7 +207,7 @@
 }
 
 #[test]
-fn the_page_has_the_table() {
+fn settings_page_contains_the_field_table() {
     let page = std::fs::read_to_string(root().join("docs/system/settings.md")).expect("the page");
     let table = table();
     assert!(
@@ -211,18 +217,19 @@
 }
 
 #[test]
-fn the_examples_can_be_used() {
-    let folder = root().join("examples/system");
+fn example_files_are_valid() {
+    let directory = root().join("examples/system");
     let mut names: Vec<String> = Vec::new();
-    for file in std::fs::read_dir(&folder).expect("the folder") {
+    for file in std::fs::read_dir(&directory).expect("the directory") {
         let path = file.expect("a file").path();
         let name = path
             .file_name()
             .map(|name| name.to_string_lossy().into_owned())
             .unwrap_or_default();
         if name.ends_with(".settings.json") {
-            let (settings, notes) = check(std::fs::read(&path).expect("a file")).expect(&name);
-            assert_eq!(notes, [""; 0], "{name}");
+            let content = std::fs::read(&path).expect("a file");
+            let CheckedSettings { settings, warnings } = check(content).expect(&name);
+            assert_eq!(warnings, [""; 0], "{name}");
             assert_eq!(format!("{}.settings.json", settings.node_name), name);
             let addresses = settings.listen.values().chain(&settings.seed_nodes);
             for address in addresses.chain([&settings.cloud_api.address, &settings.ip_address]) {
@@ -236,12 +243,12 @@
     }
     assert!(!names.is_empty());
     for name in ["configuration.json", "change.json"] {
-        let path = folder.join(name);
+        let path = directory.join(name);
         let words = ["configuration", "check", path.to_str().expect("text")].map(str::to_owned);
         let code = sandtrack_cli::program::run(
             &words,
             None,
-            &mut sandtrack_cli::program::System::default(),
+            &mut sandtrack_cli::environment::SystemEnvironment::default(),
         );
         assert_eq!(code, 0, "{name}");
     }
--- a/crates/sandtrack-cli/tests/transcripts.rs
+++ b/crates/sandtrack-cli/tests/transcripts.rs
@@ -1,10 +1,13 @@
-//! Approved transcripts of whole exchanges: a command line goes in; the bytes on the wire both ways, the pauses, the output and
-//! the exit code are compared with `tests/transcripts/NAME.txt`. The same file is the script of the stand-in for control: a
-//! block of `A<` lines is what A, a listener on loopback, answers to the next call, and then it closes; `A< (nothing)` is no
-//! byte, `A< (silence)` no byte and no close. `Z` is an address where nobody listens. Time is played: a pause takes none.
+//! Approval tests of complete runs: the bytes on the wire both ways, the backoffs, the output and the exit code of command
+//! lines are compared with `tests/transcripts/NAME.txt`. The same file is the script of a fake control node: a block of `A<`
+//! lines is the response of A, a listener on loopback, to the next request, after which it closes the connection; for
+//! `A< (nothing)` it closes without a response, for `A< (silence)` it keeps the connection open. `Z` is an address without
+//! a listener. The clock is simulated: a backoff takes no time.
 //!
-//! Where one differs, what was received is in the target's tmp folder, to be read and, if it is right, copied over.
-use sandtrack_cli::program::{run, World};
+//! Where a run differs, its transcript is written to the target's tmp directory, to be read and, if it is right, copied
+//! over.
+use sandtrack_cli::environment::Environment;
+use sandtrack_cli::program::run;
 use sandtrack_cli::transport::{exchange, TransportError};
 use sandtrack_cli::Millis;
 use sandtrack_sidecar_core::message::Message;
@@ -13,23 +16,23 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 
-/// What a stand-in does when it has read a call.
+/// What the fake control node does when it has read a request.
 #[derive(Clone, Debug)]
-enum Answer {
+enum ScriptedResponse {
     Bytes(Vec<u8>),
-    Silence,
+    NoResponse,
 }
 
-struct Stage {
+struct ScriptedEnvironment {
     listeners: Vec<(&'static str, TcpListener)>,
     names: Vec<(&'static str, String)>,
-    script: VecDeque<(String, Answer)>,
+    script: VecDeque<(String, ScriptedResponse)>,
     transcript: String,
     now: Millis,
 }
 
-impl Stage {
-    fn new(script: VecDeque<(String, Answer)>) -> Stage {
+impl ScriptedEnvironment {
+    fn new(script: VecDeque<(String, ScriptedResponse)>) -> ScriptedEnvironment {
         let open = |name| {
             (
                 name,
@@ -45,7 +48,7 @@
         };
         let mut names: Vec<_> = listeners.iter().map(address).collect();
         names.push(("Z", "127.0.0.1:1".to_owned()));
-        Stage {
+        ScriptedEnvironment {
             listeners,
             names,
             script,
@@ -54,13 +57,13 @@
         }
     }
 
-    fn note(&mut self, line: &str) {
+    fn record(&mut self, line: &str) {
         self.transcript.push_str(line.trim_end_matches('\n'));
         self.transcript.push('\n');
     }
 
-    /// Addresses as they are for names in braces, or the other way round.
-    fn real(&self, text: &str) -> String {
+    /// Replaces names in braces by the addresses that they stand for.
+    fn with_real_addresses(&self, text: &str) -> String {
         self.names
             .iter()
             .fold(text.to_owned(), |text, (name, real)| {
@@ -68,7 +71,8 @@
             })
     }
 
-    fn named(&self, text: &str) -> String {
+    /// Replaces addresses by their names in braces.
+    fn with_names(&self, text: &str) -> String {
         self.names
             .iter()
             .fold(text.to_owned(), |text, (name, real)| {
@@ -77,8 +81,8 @@
     }
 
     /// Lines of bytes on the wire; every line of a head ends with CR LF, and a body is as it is.
-    fn wire(&mut self, mark: &str, bytes: &[u8]) {
-        let text = self.named(std::str::from_utf8(bytes).expect("text"));
+    fn record_message(&mut self, prefix: &str, bytes: &[u8]) {
+        let text = self.with_names(std::str::from_utf8(bytes).expect("text"));
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let mut lines: Vec<&str> = head.split("\r\n").collect();
         assert!(
@@ -93,26 +97,26 @@
                 .flatten(),
         );
         for line in lines {
-            self.note(format!("{mark} {line}").trim_end());
+            self.record(format!("{prefix} {line}").trim_end());
         }
     }
 }
 
-impl World for Stage {
+impl Environment for ScriptedEnvironment {
     fn now(&mut self) -> Millis {
         self.now
     }
 
-    fn pause(&mut self, length: Millis) {
-        self.note(&format!("-- pause {length:.0} ms"));
-        self.now += length;
+    fn sleep(&mut self, duration: Millis) {
+        self.record(&format!("-- pause {duration:.0} ms"));
+        self.now += duration;
     }
 
     fn exchange(
         &mut self,
         address: SocketAddr,
         request: &[u8],
-        silence: Millis,
+        timeout: Millis,
     ) -> Result<Message, TransportError> {
         let name = self
             .names
@@ -124,14 +128,14 @@
             .iter()
             .position(|(listening, _)| *listening == name)
         else {
-            let result = exchange(address, request, silence);
-            self.note(&format!(
+            let result = exchange(address, request, timeout);
+            self.record(&format!(
                 "{name}! {}",
                 result.as_ref().expect_err("nobody listens")
             ));
             return result;
         };
-        let (scripted, answer) = self.script.pop_front().unwrap_or_else(|| {
+        let (scripted, response) = self.script.pop_front().unwrap_or_else(|| {
             panic!(
                 "a call that is not in the script, to {name}, after:\n{}",
                 self.transcript
@@ -142,21 +146,21 @@
             "another address is called, after:\n{}",
             self.transcript
         );
-        let answer = match answer {
-            Answer::Bytes(bytes) => Some(
-                self.real(std::str::from_utf8(&bytes).expect("text"))
+        let response = match response {
+            ScriptedResponse::Bytes(bytes) => Some(
+                self.with_real_addresses(std::str::from_utf8(&bytes).expect("text"))
                     .into_bytes(),
             ),
-            Answer::Silence => None,
+            ScriptedResponse::NoResponse => None,
         };
         let listener = self.listeners[at].1.try_clone().expect("the listener");
         let (received, result) = std::thread::scope(|scope| {
-            let standing_in = scope.spawn(|| {
+            let server = scope.spawn(|| {
                 let (mut stream, _) = listener.accept().expect("a connection");
                 let mut received = vec![0; request.len()];
                 stream.read_exact(&mut received).expect("the whole request");
-                match &answer {
-                    Some(bytes) => stream.write_all(bytes).expect("the answer is taken"),
+                match &response {
+                    Some(bytes) => stream.write_all(bytes).expect("the response is taken"),
                     None => assert_eq!(
                         stream.read(&mut [0]).expect("the end"),
                         0,
@@ -165,41 +169,41 @@
                 }
                 received
             });
-            let patience = if answer.is_some() { 10_000.0 } else { 5.0 };
-            let result = exchange(address, request, patience);
-            (standing_in.join().expect("the stand-in"), result)
+            let real_timeout = if response.is_some() { 10_000.0 } else { 5.0 };
+            let result = exchange(address, request, real_timeout);
+            (server.join().expect("the server thread"), result)
         });
-        self.wire(&format!("{name}>"), &received);
-        match &answer {
-            Some(bytes) if bytes.is_empty() => self.note(&format!("{name}< (nothing)")),
-            Some(bytes) => self.wire(&format!("{name}<"), bytes),
+        self.record_message(&format!("{name}>"), &received);
+        match &response {
+            Some(bytes) if bytes.is_empty() => self.record(&format!("{name}< (nothing)")),
+            Some(bytes) => self.record_message(&format!("{name}<"), bytes),
             None => {
-                self.note(&format!("{name}< (silence)"));
-                self.now += silence;
+                self.record(&format!("{name}< (silence)"));
+                self.now += timeout;
             }
         }
         if let Err(error) = &result {
-            self.note(&format!("{name}! {error}"));
+            self.record(&format!("{name}! {error}"));
         }
         result
     }
 
     fn print(&mut self, line: &str) {
-        let line = self.named(line);
+        let line = self.with_names(line);
         line.split('\n')
-            .for_each(|line| self.note(format!("out: {line}").trim_end()));
+            .for_each(|line| self.record(format!("out: {line}").trim_end()));
     }
 
-    fn complain(&mut self, line: &str) {
-        let line = self.named(line);
+    fn print_error(&mut self, line: &str) {
+        let line = self.with_names(line);
         line.split('\n')
-            .for_each(|line| self.note(format!("err: {line}").trim_end()));
+            .for_each(|line| self.record(format!("err: {line}").trim_end()));
     }
 }
 
-/// The answers that a transcript holds, in order.
-fn script(approved: &str) -> VecDeque<(String, Answer)> {
-    let mut answers: VecDeque<(String, Answer)> = VecDeque::new();
+/// The responses that a transcript contains, in order.
+fn script(approved: &str) -> VecDeque<(String, ScriptedResponse)> {
+    let mut responses: VecDeque<(String, ScriptedResponse)> = VecDeque::new();
     let mut block: Option<(String, Vec<&str>)> = None;
     for line in approved.lines().chain([""]) {
         let (name, rest) = line
@@ -213,9 +217,9 @@
             continue;
         }
         if let Some((of, lines)) = block.take() {
-            let answer = match lines.as_slice() {
-                ["(nothing)"] => Answer::Bytes(Vec::new()),
-                ["(silence)"] => Answer::Silence,
+            let response = match lines.as_slice() {
+                ["(nothing)"] => ScriptedResponse::Bytes(Vec::new()),
+                ["(silence)"] => ScriptedResponse::NoResponse,
                 lines => {
                     let end = lines
                         .iter()
@@ -223,48 +227,52 @@
                         .unwrap_or(lines.len());
                     let head = lines[..end].join("\r\n");
                     let body = lines.get(end + 1..).unwrap_or_default().join("\n");
-                    Answer::Bytes(format!("{head}\r\n\r\n{body}").into_bytes())
+                    ScriptedResponse::Bytes(format!("{head}\r\n\r\n{body}").into_bytes())
                 }
             };
-            answers.push_back((of, answer));
+            responses.push_back((of, response));
         }
         if !name.is_empty() {
             block = Some((name.to_owned(), vec![rest]));
         }
     }
-    answers
+    responses
 }
 
-/// Plays a transcript and compares.
-fn play(name: &str) {
+/// Runs the commands of a transcript and compares.
+fn check_transcript(name: &str) {
     let path = Path::new("tests/transcripts").join(format!("{name}.txt"));
     let approved = std::fs::read_to_string(&path).expect("the approved transcript");
-    let mut stage = Stage::new(script(&approved));
-    let mut environment = None;
+    let mut environment = ScriptedEnvironment::new(script(&approved));
+    let mut control_variable = None;
     for line in approved.lines() {
         if line.starts_with('#') || line.is_empty() {
-            stage.note(line);
+            environment.record(line);
         } else if let Some(value) = line.strip_prefix("env SANDTRACK_CONTROL=") {
-            stage.note(line);
-            environment = Some(stage.real(value));
+            environment.record(line);
+            control_variable = Some(environment.with_real_addresses(value));
         } else if let Some(words) = line.strip_prefix("$ sandtrackctl") {
-            stage.note(line);
-            let words = stage.real(words);
+            environment.record(line);
+            let words = environment.with_real_addresses(words);
             let words: Vec<String> = words.split_whitespace().map(str::to_owned).collect();
-            let code = run(&words, environment.as_deref(), &mut stage);
-            stage.note(&format!("exit: {code}"));
+            let code = run(&words, control_variable.as_deref(), &mut environment);
+            environment.record(&format!("exit: {code}"));
         }
     }
-    let left: Vec<&str> = stage.script.iter().map(|(name, _)| name.as_str()).collect();
+    let unused: Vec<&str> = environment
+        .script
+        .iter()
+        .map(|(name, _)| name.as_str())
+        .collect();
     assert!(
-        left.is_empty(),
-        "answers that nobody asked for, of {left:?}, after:\n{}",
-        stage.transcript
+        unused.is_empty(),
+        "answers that nobody asked for, of {unused:?}, after:\n{}",
+        environment.transcript
     );
-    if stage.transcript != approved {
+    if environment.transcript != approved {
         let received = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.txt"));
-        std::fs::write(&received, &stage.transcript).expect("the target's folder");
-        let differs = stage
+        std::fs::write(&received, &environment.transcript).expect("the target's directory");
+        let differs = environment
             .transcript
             .lines()
             .zip(approved.lines())
@@ -278,18 +286,18 @@
 
 macro_rules! transcripts {
     ($($name:ident)*) => {
-        $(#[test] fn $name() { play(stringify!($name)); })*
+        $(#[test] fn $name() { check_transcript(stringify!($name)); })*
 
         #[test]
-        fn every_transcript_is_played() {
+        fn every_transcript_file_has_a_test() {
             let mut files: Vec<String> = std::fs::read_dir("tests/transcripts")
-                .expect("the folder")
+                .expect("the directory")
                 .map(|file| file.expect("a file").file_name().to_string_lossy().into_owned())
                 .collect();
             files.sort_unstable();
-            let mut played = vec![$(concat!(stringify!($name), ".txt")),*];
-            played.sort_unstable();
-            assert_eq!(files, played);
+            let mut tested = vec![$(concat!(stringify!($name), ".txt")),*];
+            tested.sort_unstable();
+            assert_eq!(files, tested);
         }
     };
 }
--- a/crates/sandtrack-fault-tests/src/system/operator.rs
+++ b/crates/sandtrack-fault-tests/src/system/operator.rs
@@ -80,16 +80,16 @@
         let mut retry = Retry::new(&addresses, now, now + limit.as_secs_f64() * 1000.0);
         loop {
             match retry.step(self.now()) {
-                Step::Try { address, target } => {
+                Step::Attempt { address, target } => {
                     let target = target.unwrap_or_else(|| call.target.clone());
                     let came = self.exchange(call, address, &target).await;
-                    retry.came(self.now(), came);
+                    retry.record_result(self.now(), came);
                 }
-                Step::Pause(time) => {
+                Step::Backoff(time) => {
                     Timer::after(Duration::from_secs_f64(time / 1000.0)).await;
                 }
-                Step::Answered(answer) => return Some(answer),
-                Step::GivenUp { .. } => return None,
+                Step::Responded(answer) => return Some(answer),
+                Step::GaveUp { .. } => return None,
             }
         }
     }
@@ -109,17 +109,17 @@
     let SocketAddr::V4(to) = address else {
         return Err(TransportError::NotConnected(ErrorKind::InvalidInput));
     };
-    let silence = Duration::from_secs_f64(call.silence() / 1000.0);
+    let silence = Duration::from_secs_f64(call.response_timeout() / 1000.0);
     let connected = within(silence, Wire::connect(to)).await;
     let mut wire = connected.ok_or(TransportError::NotConnected(ErrorKind::ConnectionRefused))?;
     let answered = async {
         // An answer may come before the request was taken whole.
-        wire.write(&call.bytes(address, target)).await;
+        wire.write(&call.encode(address, target)).await;
         Some(wire.read().await)
     };
     match within(silence, answered).await {
-        None => Err(TransportError::Silent),
-        Some(None) => Err(TransportError::Broken),
+        None => Err(TransportError::TimedOut),
+        Some(None) => Err(TransportError::ConnectionClosed),
         Some(Some(answer)) => Ok(answer),
     }
 }
--- a/crates/sandtrack-fault-tests/src/system/scenarios/cut_off.rs
+++ b/crates/sandtrack-fault-tests/src/system/scenarios/cut_off.rs
@@ -6,7 +6,7 @@
 use super::super::documents::{configuration, replace, route, Kind};
 use super::super::links::{End, Passage};
 use super::super::report::Stopped;
-use sandtrack_cli::call::{surely_not, Call};
+use sandtrack_cli::call::{is_definitely_not_applied, Call};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -168,7 +168,7 @@
         400..=499 => refused.push(said),
         _ => {}
     }
-    surely_not(&answer)
+    is_definitely_not_applied(&answer)
 }
 
 async fn note_read(cluster: &Cluster, read: &mut Vec<String>) {
