--- a/crates/sandtrack-cli/tests/settings.rs
+++ b/crates/sandtrack-cli/tests/settings.rs
@@ -112,7 +112,7 @@
             "`{path}`"
         );
     }
-    for (name, value) in complete_settings().as_object().expect("an object").iter() {
+    for (name, value) in complete_settings().as_object().expect("an object") {
         let read = |path: &str| {
             FIELDS.iter().any(|field| field.path == path) || IGNORED_FIELDS.contains(&path)
         };
