--- a/crates/sandtrack-control/src/endpoint_poller.rs
+++ b/crates/sandtrack-control/src/endpoint_poller.rs
@@ -8,10 +8,10 @@
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-/// The part of the time within which draining has to be seen that lies between the begins of two whole readings. Besides that a
-/// change waits for a holder that dies to be replaced, for the reading, and for the way to all proxies: 1.5 s at most.
+/// Fraction of the bound on draining that lies between the starts of two polls. The rest of the bound covers the replacement
+/// of a failed holder, the poll itself and the way to all proxies: 1.5 s at most.
 const POLL_FRACTION_OF_DRAIN_BOUND: f64 = 0.175;
-/// The same pause at least and at most, in ms: new upstreams are to be seen soon.
+/// Bounds of that interval, in ms: new upstreams have to be seen soon, whatever the bound on draining.
 const MIN_POLL_INTERVAL_MS: Millis = 400.0;
 const MAX_POLL_INTERVAL_MS: Millis = 1000.0;
 /// A control node that polls as a fallback, since it hears no holder of the lease, does so at this multiple of the interval.
@@ -98,25 +98,25 @@
 /// The state of the current poll. Times are in ms of the monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointPoller {
-    /// Pause from the begin of one whole reading to the next, in ms; never less than [`MIN_POLL_INTERVAL_MS`].
+    /// Interval between the starts of two polls, in ms; never less than [`MIN_POLL_INTERVAL_MS`].
     every: Millis,
-    /// When the call under way began.
+    /// When the pending call began.
     calling: Option<Millis>,
-    /// When the reading under way began; the token of its next page, and how many it has had.
+    /// When the current poll began; the token of its next page, and how many pages it has.
     began: Option<Millis>,
     token: Option<String>,
     pages: usize,
     seen: BTreeSet<String>,
-    /// What the reading before did not show either.
+    /// Upstreams that the last poll did not show either.
     missed: BTreeSet<String>,
     next_call: Millis,
     backoff: Millis,
-    /// How often the page that is wanted failed in a row.
+    /// Consecutive failures of the current page.
     failures: u32,
 }
 
 impl EndpointPoller {
-    /// One that reads often enough for draining to be heeded everywhere within `drain_ms`.
+    /// A poller whose interval is short enough for draining to take effect everywhere within `drain_ms`.
     #[must_use]
     pub fn for_drain_bound(drain_ms: Millis) -> EndpointPoller {
         EndpointPoller {
@@ -150,18 +150,18 @@
         Some(self.token.clone())
     }
 
-    /// When a call may be due.
+    /// When the next call may be due.
     pub fn next_due(&self) -> Option<Millis> {
         self.calling.is_none().then_some(self.next_call)
     }
 
-    /// Others read from now on.
+    /// Forgets the current poll: another node polls from now on.
     pub fn reset(&mut self) {
         (self.began, self.token, self.failures) = (None, None, 0);
         self.missed.clear();
     }
 
-    /// The same page is called for once more, so that each call that comes through brings the reading on.
+    /// The same page is requested again, so that each successful call makes progress.
     fn page_failed(&mut self) {
         self.failures += 1;
         if self.token.is_none() || self.failures >= MAX_PAGE_ATTEMPTS {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A call is over. Yes where a whole reading ended with it.
+    /// A call ended; returns whether the poll is finished with it.
     pub fn page_fetched(
         &mut self,
         now: Millis,
--- a/crates/sandtrack-control/src/node/endpoint_polling.rs
+++ b/crates/sandtrack-control/src/node/endpoint_polling.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl ControlNode {
-    /// A peer says who reads the list.
+    /// A peer reported the lease of the poller.
     pub(super) fn peer_lease(&mut self, now: Millis, peer: &str, lease: &PollerLease) {
         let was_holder = self.election.is_holder();
         self.election.observe_lease(now, peer, lease);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Takes over the reading where its holder is silent, or nobody has begun.
+    /// Takes over polling if the holder of the lease timed out, or if there is none yet.
     pub(super) fn take_over_polling(&mut self, now: Millis) {
         let is_needed = self.election.is_holder_timed_out(now) || self.election.lease().term == 0;
         if self.leaving_since.is_some() || !is_needed {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Hands the reading to another control node, if there is one.
+    /// Hands the lease to another control node, if there is one.
     pub(super) fn hand_over_polling(&mut self, now: Millis) {
         let candidates = self.poller_candidates();
         let live = self.peers.live(now, HOLDER_TIMEOUT_MS);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Who may read the list, in turn: the chain first, then all others that are known of; each once.
+    /// Candidates for the lease, in order: the members of the chain, then all other known control nodes.
     fn poller_candidates(&self) -> Vec<Address> {
         let view = self.replica.view();
         let members = view.chain.iter().chain(&view.voters);
@@ -65,7 +65,7 @@
         candidates
     }
 
-    /// A call to the platform is over: its page is taken in if it is still read here.
+    /// A call to the platform ended: its page is applied if this node still polls.
     pub(super) fn page_fetched(&mut self, now: Millis, call: PageResult, out: &mut Vec<Effect>) {
         let is_fallback = !self.election.is_holder();
         if !self.election.is_polling(now) {
@@ -76,7 +76,7 @@
         self.fetch_page_if_due(now, out);
     }
 
-    /// Calls for the next page of the list, if that is due here.
+    /// Requests the next page of the list, if this node polls and it is due.
     pub(super) fn fetch_page_if_due(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let has_platform = !self.settings.cloud_api.address.is_empty();
         if self.leaving_since.is_some() || !has_platform || !self.election.is_polling(now) {
--- a/crates/sandtrack-control/src/node/operator_calls.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls in a control node: what one of them needs next is carried out here.
+//! Operators' calls in a control node: carries out the next step of each.
 use super::quorum::VOTER_SEEN_MS;
 use super::{ControlNode, Effect};
 use crate::node::call_context::NodeCallContext;
@@ -10,11 +10,12 @@
 use sandtrack_protocol::settings::Settings;
 use sandtrack_replication as replication;
 
-/// Callers are sent on to one that was heard so lately, in ms: three of its heartbeats. One that froze just now is not asked.
+/// Callers are redirected only to a peer that was seen within this time, in ms: three heartbeat intervals, so that a peer
+/// that was paused just now is not chosen.
 const REDIRECT_TARGET_SEEN_MS: Millis = 450.0;
 
 impl ControlNode {
-    /// Looks at the operators' calls with what is known here, and carries out what one of them needs next.
+    /// Runs a step of the pending calls with this node's context, and carries out its result.
     pub(super) fn advance_calls(
         &mut self,
         now: Millis,
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Answers a call, and tells the log of it. A refusal is told with what this control node knew: without that nobody can
-    /// say afterwards why an order was not taken.
+    /// Answers a call and logs it. A refusal is logged with what this control node knew, so that it can be explained
+    /// afterwards.
     fn reply(&mut self, now: Millis, call: u64, reply: Reply, out: &mut Vec<Effect>) {
         let reply = self.redirect_if_unacknowledged(now, call, reply);
         match self.call_log.answered(now, call, &reply) {
@@ -49,10 +50,9 @@
         out.push(Effect::Reply { call, reply });
     }
 
-    /// An order for a zone that found no acknowledgement while the chain is repaired goes on at a control node that is heard.
-    /// Left to itself its caller pauses, and may then ask the one that is silent, for a second; and such an order is sent
-    /// again for a few seconds only, unlike a configuration. Only where a majority is heard: the others of a minority can't
-    /// do better.
+    /// Redirects an evacuation order that was not acknowledged while the chain is repaired. Otherwise its caller would back
+    /// off and might then spend a second on the node that failed; and, unlike a configuration, such an order is repeated
+    /// for a few seconds only. Only with a quorum: the other nodes of a minority could not acknowledge it either.
     fn redirect_if_unacknowledged(&self, now: Millis, call: u64, reply: Reply) -> Reply {
         let is_open = matches!(reply.code, Some(codes::UNSURE | codes::NOT_NOW));
         let target = self
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Where another control node takes calls that is heard and stays: the first of the chain, else any.
+    /// Where another control node takes calls that was seen lately and is not shutting down: the first of the chain, else any.
     fn redirect_target(&self, now: Millis) -> Option<String> {
         let chain = &self.replica.view().chain;
         let rank = |address: &str| chain.iter().position(|member| member.address == address);
@@ -80,7 +80,7 @@
         hello.map(control_address)
     }
 
-    /// What an answer to an operator rests on here.
+    /// What a response to an operator is based on, for the log.
     fn node_summary(&self, now: Millis) -> String {
         let view = self.replica.view();
         let head = view
--- a/crates/sandtrack-control/src/node/peer_links.rs
+++ b/crates/sandtrack-control/src/node/peer_links.rs
@@ -10,9 +10,9 @@
 /// Positions up to which all links were brought; while they are unchanged, the links need not be looked through.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AnnouncedPositions {
-    /// Place in the journal of the membership.
+    /// Position in the log of the membership.
     membership: u64,
-    /// Place in the journal of the platform's list.
+    /// Position in the log of the endpoints.
     endpoints: u64,
 }
 
@@ -22,7 +22,7 @@
     settings.seed_nodes.iter().map(link).collect()
 }
 
-/// Who a control node with these settings is: the first frame on each of its links.
+/// How a control node with these settings introduces itself: the first frame on each of its links.
 pub(super) fn hello(settings: &Settings, incarnation: u64) -> Hello {
     let listen = |name: &str| settings.listen.get(name).cloned().unwrap_or_default();
     Hello {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A frame came over a link. Nothing counts before the other end has said who it is.
+    /// A frame arrived on a link. Frames before the hello of the other end are ignored.
     pub(super) fn link_frame(
         &mut self,
         now: Millis,
@@ -168,7 +168,8 @@
             .record(now, peer, self.replica.view_attestation_of(peer));
     }
 
-    /// A peer says that it is there, and what it knows: whatever differs from what it told before is asked for.
+    /// A heartbeat arrived from a peer, with digests of what it knows: where a digest differs from what is known of it here,
+    /// its complete state is requested.
     fn heartbeat(
         &mut self,
         now: Millis,
@@ -283,7 +284,7 @@
             out.push(Effect::Link(LinkAction::Send { link, frame }));
         }
         if !tells_list {
-            // Another one reads and tells it: the place is one in a journal that is not continued from here.
+            // Another node polls and announces the endpoints: positions in the log here mean nothing to the peers.
             *list = None;
         }
     }
--- a/crates/sandtrack-control/src/node/proxy_sessions.rs
+++ b/crates/sandtrack-control/src/node/proxy_sessions.rs
@@ -6,11 +6,11 @@
 use crate::Millis;
 use sandtrack_protocol::frames::{self, ProxyInfo, ProxyState, ToControl, ToProxy};
 
-/// This long after its start, in ms, a control node takes the proxies that it knows of for all of them; sooner where a peer does.
+/// After this time since its start, in ms, a control node assumes that it knows all proxies; earlier if a peer does.
 const PROXY_DISCOVERY_MS: Millis = 2500.0;
 
 impl ControlNode {
-    /// A frame came over a session. Nothing counts before the proxy has said who it is.
+    /// A frame arrived on a session. Frames before the hello of the proxy are ignored.
     pub(super) fn session_frame(
         &mut self,
         now: Millis,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Ends silent sessions and sends heartbeats over the others.
+    /// Closes sessions that timed out and sends heartbeats on the others.
     pub(super) fn tick_sessions(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let attached = self.has_quorum(now);
         if attached && !self.knows_all_proxies {
@@ -109,7 +109,7 @@
         out.extend(actions.into_iter().map(Effect::Session));
     }
 
-    /// Tells proxies and the other control nodes which long prompts were sent where.
+    /// Relays to proxies and the other control nodes which long prompts were sent to which upstreams.
     pub(super) fn relay_prompts(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let Some(due) = self.prompts.take_due(now) else {
             return;
--- a/crates/sandtrack-control/src/peers.rs
+++ b/crates/sandtrack-control/src/peers.rs
@@ -148,7 +148,7 @@
         self.next_link
     }
 
-    /// The connection of a link is established: who is here is said first.
+    /// The connection of a link is established: the hello is sent first.
     pub fn opened(&mut self, now: Millis, link: u64, actions: &mut Vec<LinkAction>) {
         match self.links.get_mut(&link) {
             Some(known) => {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Something came over a link. Whose it is, where the other end has said so.
+    /// A frame arrived on a link; returns the peer, once it has introduced itself.
     pub fn frame_received(&mut self, now: Millis, link: u64) -> Option<Address> {
         let known = self.links.get_mut(&link)?;
         known.last_heard = now;
@@ -210,7 +210,7 @@
                 .links
                 .get(&rival)
                 .is_some_and(|rival| rival.dialed.is_some());
-            // The same end opened both: the newer one stands, as the other end has given up the older.
+            // The same end opened both: the newer one is kept, as the other end has given up the older.
             if same_incarnation && !preferred && rival_dialed_here != dialed_here {
                 self.drop_link(now, link, actions);
                 return None;
@@ -271,7 +271,7 @@
         self.closed(now, link)
     }
 
-    /// Takes over what a heartbeat says of its sender.
+    /// Updates the report of a peer from its heartbeat.
     pub fn update_report(
         &mut self,
         peer: &str,
@@ -285,14 +285,14 @@
         }
     }
 
-    /// Whether one that is linked knows how many proxies there are.
+    /// Whether a linked peer knows all proxies.
     pub fn any_peer_knows_all_proxies(&self) -> bool {
         self.known
             .values()
             .any(|known| known.link.is_some() && known.knows_all_proxies)
     }
 
-    /// This process did not run for a while: what the others said meanwhile is still to be read.
+    /// The process was paused: frames that arrived meanwhile are still to be read, so no peer has timed out yet.
     pub fn resumed(&mut self, now: Millis) {
         self.links
             .values_mut()
@@ -337,7 +337,7 @@
         self.next_heartbeat
     }
 
-    /// The link in use with another one.
+    /// The link in use with a peer.
     pub fn link_to(&self, peer: &str) -> Option<u64> {
         self.known.get(peer)?.link
     }
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -37,9 +37,9 @@
     configuration: u64,
     /// Number of the evacuations.
     evacuation: u64,
-    /// Place in the journal of the list.
+    /// Position in the endpoint log.
     list: u64,
-    /// The list was read at least once.
+    /// Whether the list was polled at least once.
     list_is_known: bool,
 }
 
@@ -70,20 +70,20 @@
     pub knows_all_proxies: bool,
 }
 
-/// All sessions.
+/// The sessions of all proxies.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     sessions: BTreeMap<u64, Session>,
     /// The session of each proxy, by name.
     names: BTreeMap<String, u64>,
-    /// Those that are to be looked at although nothing is new to all.
+    /// Sessions that lack something although nothing changed for all of them.
     pending: BTreeSet<u64>,
     /// Those that lack a configuration or evacuations which are held back until the quorum lease is valid.
     held_back: BTreeSet<u64>,
     next_session: u64,
     next_heartbeat: Millis,
     next_census: Millis,
-    /// What all sessions were brought up to; while it is unchanged, the sessions need not be looked through.
+    /// Positions that all sessions were brought up to; while they are unchanged, no session needs to be visited.
     sent_to_all: Positions,
     census_revision: u64,
     /// The whole configuration as a frame, by its number.
@@ -114,7 +114,7 @@
 }
 
 impl Session {
-    /// Whether it was not told all of the committed state.
+    /// Whether it was not sent all of the committed state.
     fn lacks(&self, control_state: &ControlState) -> bool {
         let configuration = control_state.configuration_number();
         let evacuation = control_state.evacuation_number();
@@ -123,7 +123,7 @@
             || ordered && self.evacuation != Some(evacuation)
     }
 
-    /// Brings it up to the committed state. Frames that others get as well are made once: `whole`, `changes` (by the
+    /// Brings it up to the committed state. Frames that several sessions get are encoded once: `whole`, `changes` (by the
     /// number that they lead from) and `evacuated`.
     fn push_state(
         &mut self,
@@ -165,7 +165,7 @@
 }
 
 impl Sessions {
-    /// A number for a session whose socket was accepted.
+    /// Assigns a number to a session whose connection was accepted.
     pub fn accepted(&mut self, now: Millis) -> u64 {
         self.next_session += 1;
         self.sessions.insert(
@@ -178,14 +178,14 @@
         self.next_session
     }
 
-    /// Something came over a session; whose it is, where it said so.
+    /// A frame arrived on a session; returns the proxy, once it has introduced itself.
     pub fn frame_received(&mut self, now: Millis, session: u64) -> Option<&ProxyInfo> {
         let session = self.sessions.get_mut(&session)?;
         session.last_heard = now;
         session.info.as_ref()
     }
 
-    /// A proxy says who it is: it takes the place of an earlier session of the same name, which is closed.
+    /// A proxy introduces itself: an earlier session of the same name is closed and replaced.
     pub fn hello(&mut self, session: u64, info: ProxyInfo, actions: &mut Vec<SessionAction>) {
         if let Some(before) = self.names.insert(info.node_name.clone(), session) {
             if before != session && self.sessions.remove(&before).is_some() {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// It wants the whole configuration.
+    /// The proxy asked for the complete configuration.
     pub fn want_configuration(&mut self, session: u64) {
         if let Some(known) = self.sessions.get_mut(&session) {
             known.configuration = None;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The socket is gone; whose it was, where that is a member by this session.
+    /// The connection is closed; returns the proxy, if it was a member by this session.
     pub fn closed(&mut self, session: u64) -> Option<ProxyInfo> {
         self.pending.remove(&session);
         self.held_back.remove(&session);
@@ -218,14 +218,14 @@
         Some(info)
     }
 
-    /// This process did not run for a while: what proxies said meanwhile is still to be read.
+    /// The process was paused: frames that arrived meanwhile are still to be read, so no session has timed out yet.
     pub fn resumed(&mut self, now: Millis) {
         self.sessions
             .values_mut()
             .for_each(|session| session.last_heard = now);
     }
 
-    /// Ends silent sessions, and beats on the others.
+    /// Closes sessions that timed out, and sends heartbeats on the others.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -251,7 +251,7 @@
         gone
     }
 
-    /// Tells all of them.
+    /// Sends a frame on all sessions.
     pub fn broadcast(&self, frame: &ToProxy, actions: &mut Vec<SessionAction>) {
         let bytes = bytes(frame);
         for (session, known) in &self.sessions {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Tells each which long prompts others sent.
+    /// Sends each proxy the long prompts that other proxies sent.
     pub fn relay_prompts(&self, due: &DuePrompts, actions: &mut Vec<SessionAction>) {
         let to_others = bytes(&ToProxy::PromptsSent(due.to_sessions.clone()));
         let welcomed = self.sessions.iter().filter(|(_, known)| known.welcomed);
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Closes all: they go elsewhere.
+    /// Closes all sessions, so that the proxies connect to other control nodes.
     pub fn close_all(&mut self, actions: &mut Vec<SessionAction>) {
         actions.extend(
             self.sessions
@@ -298,12 +298,12 @@
             && self.census_revision != membership.revision()
     }
 
-    /// Whether some session is to get a configuration or evacuations that it was not told yet.
+    /// Whether some session lacks a configuration or evacuations.
     pub fn is_holding_back(&self) -> bool {
         !self.held_back.is_empty()
     }
 
-    /// Whether there is anything to tell.
+    /// Whether any session lacks an update.
     pub fn is_due(&self, now: Millis, shared: &SharedState<'_>) -> bool {
         let new = !self.pending.is_empty()
             || shared.may_push && self.is_holding_back()
@@ -311,7 +311,7 @@
         new || self.census_due(now, shared.membership, shared.knows_all_proxies)
     }
 
-    /// Brings each session up to what is committed and known.
+    /// Brings each session up to the committed state, the endpoints and the census.
     pub fn push_updates(
         &mut self,
         now: Millis,
@@ -396,13 +396,13 @@
                 session.endpoint_position = Some(shared.upstreams.end());
             }
         }
-        // Nobody is told of a share in what holds over all before all are known.
+        // No proxy count is sent before all proxies are known: a count that is too low would raise every quota.
         if census {
             self.census(now, me, others, shared, actions);
         }
     }
 
-    /// Tells who is there to those for whom that has changed.
+    /// Sends a census to the sessions for which it changed.
     fn census(
         &mut self,
         now: Millis,
@@ -418,7 +418,7 @@
             .map(|(rank, name)| (*name, rank as u32))
             .collect();
         let count = members.len() as u32;
-        // Cut off from the others, it does not hear of members that are there all the same: their shares stay theirs.
+        // Without a quorum this node does not learn of all members: proxies that it no longer sees keep their quota.
         self.proxies = if shared.attached {
             count
         } else {
@@ -446,13 +446,14 @@
         (self.census_revision, self.next_census) = (shared.membership.revision(), now + CENSUS_MS);
     }
 
-    /// Who is there changed in another way than by sessions.
+    /// The membership changed in another way than by sessions.
     pub fn invalidate_census(&mut self) {
         self.census_revision = u64::MAX;
     }
 }
 
-/// The addresses for sessions, the nearest first; those alike in turn by the proxy's rank, so that not all go to one.
+/// Session addresses of the control nodes, the nearest first; equally near ones are rotated by the proxy's rank, so that
+/// the sessions spread over them.
 fn nearest(info: &ProxyInfo, rank: u32, me: &Hello, others: &[&Hello]) -> Vec<String> {
     let mut all: Vec<&Hello> = std::iter::once(me).chain(others.iter().copied()).collect();
     all.sort_by_key(|hello| &hello.address);
--- a/crates/sandtrack-control/src/upstreams.rs
+++ b/crates/sandtrack-control/src/upstreams.rs
@@ -10,10 +10,10 @@
 
 /// Most changes that the log keeps.
 const MAX_EVENTS: usize = 4096;
-/// Remaining times that differ by less than this, in ms, are the same time: the list tells them at different ages.
+/// Remaining times that differ by less than this, in ms, are taken for the same: they are reported at different ages.
 const TIME_TOLERANCE_MS: Millis = 600.0;
 
-/// An upstream, with its remaining times as moments of the steady clock.
+/// An upstream, with its remaining times as points in time of the monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 struct TrackedUpstream {
     entry: UpstreamEntry,
@@ -73,15 +73,15 @@
     }
 }
 
-/// The upstreams by identifier, with their remaining times as moments of the steady clock.
+/// The upstreams by identifier, and the log of their changes.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
     table: BTreeMap<String, TrackedUpstream>,
-    /// Identifiers of those of which something changed.
+    /// Identifiers of the upstreams that changed, in the order of the changes.
     event_log: EventLog<String>,
-    /// Rises with each reading.
+    /// Number of the last poll; rises with each.
     polls: u64,
-    /// Sum of the digests of all.
+    /// Sum of the digests of all upstreams.
     sum: u64,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A reading is over, as the `polls` before it at least.
+    /// A poll is finished; its number is above `polls`.
     pub fn poll_finished(&mut self, polls: u64) {
         self.polls = self.polls.max(polls);
     }
@@ -157,12 +157,12 @@
         gone.iter().for_each(|identifier| self.remove(identifier));
     }
 
-    /// Place of the newest event.
+    /// Position of the newest event.
     pub fn end(&self) -> u64 {
         self.event_log.end()
     }
 
-    /// What one is to be told that was told up to `place`; all where it was told nothing yet.
+    /// The update for a receiver that is at `place` of the log; a complete one if it received nothing yet.
     pub fn update_since(&self, now: Millis, place: Option<u64>) -> EndpointUpdate {
         let Some(events) = place.and_then(|place| self.event_log.since(place)) else {
             let entries = self.table.values().map(|kept| kept.now(now)).collect();
@@ -188,7 +188,7 @@
         update
     }
 
-    /// How many readings were heard of; 0: nothing is known.
+    /// Number of the last poll that is known; 0: none yet.
     pub fn polls(&self) -> u64 {
         self.polls
     }
@@ -211,7 +211,7 @@
         self.table.values().any(|kept| kept.entry.zone == zone)
     }
 
-    /// For each service: how many upstreams, and how many of them drain.
+    /// For each service: how many upstreams, and how many of them are draining.
     pub fn counts(&self) -> BTreeMap<&str, (usize, usize)> {
         let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for kept in self.table.values() {
