--- a/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
@@ -45,11 +45,11 @@
         match connect(pool, &address.identifier, &address.address, timeout).await {
             Ok(connection) => {
                 self.connection = Some(connection);
-                let connected_at = self.context.clock.now();
+                let elapsed = self.context.clock.now() - now;
                 self.context.balancer.borrow_mut().record_round_trip(
-                    connected_at,
+                    self.context.clock.now(),
                     self.upstream(),
-                    connected_at - now,
+                    elapsed,
                 );
                 AttemptEvent::Connected { reused: false }
             }
@@ -163,23 +163,30 @@
 
     /// Lets the balancer know that the upstream is alive, or that a connection that was idle broke without a byte.
     fn observe_read(&self, result: &WaitResult) {
-        let now = self.context.clock.now();
-        let mut balancer = self.context.balancer.borrow_mut();
         match result {
-            WaitResult::Part(_) => balancer.upstream_seen(now, self.upstream()),
-            WaitResult::Failed(ResponseError::ConnectionLost) => {
-                let reused = self
-                    .connection
-                    .as_ref()
-                    .is_some_and(|connection| connection.reused);
-                if reused && self.head.is_none() {
-                    balancer.idle_connection_failed(now, self.upstream());
-                }
+            WaitResult::Part(_) => {
+                let now = self.context.clock.now();
+                let mut balancer = self.context.balancer.borrow_mut();
+                balancer.upstream_seen(now, self.upstream());
+            }
+            WaitResult::Failed(ResponseError::ConnectionLost) if self.is_unanswered_reuse() => {
+                let now = self.context.clock.now();
+                let mut balancer = self.context.balancer.borrow_mut();
+                balancer.idle_connection_failed(now, self.upstream());
             }
             WaitResult::Failed(_) | WaitResult::TimedOut => {}
         }
     }
 
+    /// Whether the connection was used before and no byte of a response came on it since.
+    fn is_unanswered_reuse(&self) -> bool {
+        let is_reused = self
+            .connection
+            .as_ref()
+            .is_some_and(|connection| connection.reused);
+        is_reused && self.head.is_none()
+    }
+
     fn is_relayed(&self) -> bool {
         self.head
             .as_ref()
