--- a/crates/sandtrack-control/tests/frame_bytes.rs
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -1,40 +1,21 @@
 //! Frames between control nodes, and commands and answers of the control state, keep their bytes: they go to processes of
-//! other builds and stand on disks. Logs and snapshots of format 1 are in `formats.rs`.
+//! other builds and stand on disks. Logs and snapshots of format 1 are in `state_formats.rs`.
 #[path = "../../sandtrack-protocol/tests/common/fixtures.rs"]
 mod fixtures;
+#[path = "../../sandtrack-protocol/tests/common/frame_fixtures.rs"]
+mod frame_fixtures;
 
-use borsh::{BorshDeserialize, BorshSerialize};
 use sandtrack_control::peer_frames::{
     Digest, EndpointUpdate, Heartbeat, Hello, Member, PeerFrame, PollerLease, FORMAT,
 };
 use sandtrack_control::state_machine::{ChangeKind, Command, Outcome, Query, QueryResult};
-use sandtrack_protocol::frames::{
-    decode, encode, PromptSent, ProxyInfo, ProxyState, UpstreamEntry,
-};
+use sandtrack_protocol::frames::{PromptSent, ProxyInfo, ProxyState, UpstreamEntry};
 use sandtrack_replication::Message;
-use std::fmt::Debug;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 /// A message of a replica, from the fixtures of its package.
 const REPLICATION: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../sandtrack-replication");
 
-/// Each value as it is encoded equals the fixture, and the fixture as it is decoded equals the value.
-fn compare<T: BorshSerialize + BorshDeserialize + PartialEq + Debug>(
-    file: &str,
-    values: &[(&str, T)],
-) {
-    let encoded: Vec<_> = values
-        .iter()
-        .map(|(name, value)| ((*name).to_owned(), encode(value)))
-        .collect();
-    fixtures::compare(PACKAGE, file, &encoded);
-    for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
-        let (decoded, length) = decode::<T>(bytes).expect("a frame").expect("a whole frame");
-        assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
-        assert_eq!(&encode(&decoded), bytes, "{name}");
-    }
-}
-
 fn hello() -> Hello {
     Hello {
         format: FORMAT,
@@ -135,7 +116,7 @@
             }]),
         ),
     ];
-    compare("peer-frames.hex", &values);
+    frame_fixtures::compare(PACKAGE, "peer-frames.hex", &values);
 }
 
 #[test]
@@ -173,7 +154,7 @@
             },
         ),
     ];
-    compare("commands.hex", &values);
+    frame_fixtures::compare(PACKAGE, "commands.hex", &values);
 }
 
 #[test]
@@ -192,15 +173,17 @@
         ("superseded", Outcome::Superseded { number: 9 }),
         ("forgotten", Outcome::Unknown),
     ];
-    compare("outcomes.hex", &outcomes);
-    compare(
+    frame_fixtures::compare(PACKAGE, "outcomes.hex", &outcomes);
+    frame_fixtures::compare(
+        PACKAGE,
         "questions.hex",
         &[
             ("configuration", Query::Configuration),
             ("contact", Query::Liveness),
         ],
     );
-    compare::<QueryResult>(
+    frame_fixtures::compare::<QueryResult>(
+        PACKAGE,
         "answers.hex",
         &[("none", None), ("some", Some("{}".to_owned()))],
     );
--- a/crates/sandtrack-protocol/tests/frame_bytes.rs
+++ b/crates/sandtrack-protocol/tests/frame_bytes.rs
@@ -1,33 +1,15 @@
 //! Frames between proxies and control nodes keep their bytes: processes of different builds exchange them.
 #[path = "common/fixtures.rs"]
 mod fixtures;
+#[path = "common/frame_fixtures.rs"]
+mod frame_fixtures;
 
-use borsh::{BorshDeserialize, BorshSerialize};
 use sandtrack_protocol::frames::{
-    decode, encode, ItemChange, PromptSent, ProxyInfo, ProxyState, ToControl, ToProxy,
-    UpstreamEntry, FORMAT,
+    ItemChange, PromptSent, ProxyInfo, ProxyState, ToControl, ToProxy, UpstreamEntry, FORMAT,
 };
-use std::fmt::Debug;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 
-/// Each variant as it is encoded equals the fixture, and the fixture as it is decoded equals the variant.
-fn compare<T: BorshSerialize + BorshDeserialize + PartialEq + Debug>(
-    file: &str,
-    values: &[(&str, T)],
-) {
-    let encoded: Vec<_> = values
-        .iter()
-        .map(|(name, value)| ((*name).to_owned(), encode(value)))
-        .collect();
-    fixtures::compare(PACKAGE, file, &encoded);
-    for ((name, bytes), (_, value)) in fixtures::read(PACKAGE, file).iter().zip(values) {
-        let (decoded, length) = decode::<T>(bytes).expect("a frame").expect("a whole frame");
-        assert_eq!((&decoded, length), (value, bytes.len()), "{name}");
-        assert_eq!(&encode(&decoded), bytes, "{name}");
-    }
-}
-
 fn proxy_state() -> ProxyState {
     ProxyState {
         ready: true,
@@ -74,7 +56,7 @@
         ("want_configuration", ToControl::WantConfiguration),
         ("prompts_sent", ToControl::PromptsSent(prompts())),
     ];
-    compare("to-control.hex", &values);
+    frame_fixtures::compare(PACKAGE, "to-control.hex", &values);
 }
 
 #[test]
@@ -155,5 +137,5 @@
         ("beat", ToProxy::Heartbeat { attached: true }),
         ("prompts_sent", ToProxy::PromptsSent(prompts())),
     ];
-    compare("to-proxy.hex", &values);
+    frame_fixtures::compare(PACKAGE, "to-proxy.hex", &values);
 }
