--- a/crates/sandtrack-balancer/src/interface.rs
+++ b/crates/sandtrack-balancer/src/interface.rs
@@ -28,7 +28,7 @@
 
 /// Where the upstreams that discard repeats of one keyed request are found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -36,31 +36,31 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Repeatable,
-    /// Repeats are discarded within the group for `window` from the send of the first attempt that may have run.
+pub enum Idempotency {
+    Idempotent,
+    /// Repeats are discarded within the scope for `window` from the send of the first attempt that may have run.
     Keyed {
-        group: Group,
+        scope: DedupScope,
         window: Millis,
     },
-    Once,
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// The aim extends by this multiple of the request's own work, not beyond the deadline.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     pub deadline: Millis,
-    pub effect: Effect,
-    pub worth: f64,
+    pub idempotency: Idempotency,
+    pub value: f64,
     /// Fraction of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     pub stream: bool,
     /// Its requests with one key run one at a time, in the order in which they came; all such classes share keys.
     pub in_order: bool,
     /// New requests may come under it; `false`: its terms are kept for those that are open.
-    pub offered: bool,
+    pub enabled: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
     /// Requests a second, over all balancers, that are within its share.
     pub quota_rps: f64,
     /// New requests may come from it.
-    pub offered: bool,
+    pub enabled: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,24 +92,24 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub zone: ZoneId,
-    pub me: u32,
-    pub siblings: u32,
+    pub balancer_index: u32,
+    pub balancer_count: u32,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
     /// Worth of a request past its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Discovery answers only when asked (subscribe or fetch).
     pub discovery_on_request: bool,
     pub feedback: Feedback,
     pub weights: Weights,
     /// Upstreams need less work for a key they met recently.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     pub goal: Goal,
     pub limits: Limits,
     pub penalties: Penalties,
     pub rules: Rules,
     /// Shortest gap between two rounds of events.
-    pub step: Millis,
+    pub event_interval: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +118,7 @@
     pub probes: bool,
     pub peers: bool,
     /// Two attempts of one request may be out together.
-    pub parallel_tries: bool,
+    pub parallel_attempts: bool,
     pub max_attempts: u32,
     pub max_open: u32,
     /// `None`: a refusal carries no advice when to come back.
@@ -132,7 +132,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Goal {
     /// Weight, beside the others' sum of 1 or less, of the worth that counts only while few requests miss their aim.
-    pub tail: f64,
+    pub tail_weight: f64,
     /// The part of requests that may miss: neither answered nor refused within the aim.
     pub miss_allowed: f64,
 }
@@ -151,30 +151,30 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     pub answer_slack: Millis,
-    pub ask_within: Millis,
+    pub list_retry_limit: Millis,
     /// A cold upstream starts at this fraction of its capacity or above ...
-    pub cold_share: f64,
+    pub cold_capacity: f64,
     /// ... and is warm within this time.
-    pub cold: Millis,
+    pub warmup: Millis,
     pub drain_grace: Millis,
-    /// Sent more than `fall_multiple` times its present capacity for `fall`, a cold upstream goes down.
-    pub fall: Millis,
-    pub fall_multiple: f64,
+    /// Sent more than `overload_factor` times its present capacity for `fall`, a cold upstream goes down.
+    pub overload_window: Millis,
+    pub overload_factor: f64,
     /// A key whose requests keep order rests so long after an attempt that may still run.
-    pub turn_gap: Millis,
+    pub ordered_key_gap: Millis,
     /// A request's `not_after` may be off by so much, either way: clocks differ.
-    pub deadline_error: Millis,
+    pub deadline_skew: Millis,
     /// An entry's `since` may be off by so much, either way.
-    pub start_drift: Millis,
+    pub start_time_error: Millis,
     /// Only a listing as draining binds: one that is gone without it may still be sent to.
     pub soft_removal: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Readiness {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Debug)]
@@ -182,22 +182,22 @@
     pub upstream: UpstreamId,
     /// A hash of its name: the same at every balancer.
     pub identity: u64,
-    pub standing: Standing,
+    pub readiness: Readiness,
     pub cell: u32,
     /// Machine type; equal numbers are alike.
-    pub kind: u32,
+    pub machine_type: u32,
     pub scale: f64,
     pub zone: ZoneId,
     /// Its most recent start; `None`: long past.
-    pub since: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Complete, as last held, possibly stale.
     Stale,
-    Whole,
-    Patch,
+    Full,
+    Delta,
 }
 
 /// A load report; what an upstream does not tell is `None`.
@@ -210,7 +210,7 @@
     /// Fraction of the CPU occupied.
     pub cpu: Option<f64>,
     /// Recent service time.
-    pub service: Option<Millis>,
+    pub service_time: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -269,7 +269,7 @@
         entries: Vec<Entry>,
     },
     /// A list call failed or the subscription broke.
-    ListBroken,
+    ListFailed,
     Request(Arrival),
     Probed {
         upstream: UpstreamId,
@@ -278,7 +278,7 @@
         report: Option<Report>,
     },
     /// A streamed answer has begun: the attempt belongs to the client.
-    Opened {
+    ResponseStarted {
         request: RequestId,
         attempt: u32,
     },
--- a/crates/sandtrack-balancer/src/rules.rs
+++ b/crates/sandtrack-balancer/src/rules.rs
@@ -28,12 +28,14 @@
 const SPILL: f64 = 0.28; // a tier has no room if an answer takes more than this part of the time wanted
 const CROSSING: f64 = 0.05; // of a mean worth: where crossing costs more, probe times and homes are no reason
 const RETRY_SAVED: f64 = 5.0; // attempts beyond the first saved up at most: retries amplify overload
-const ASK_FIRST: f64 = 0.05; // shortest and longest gap between list calls after a failure, of `ask_within`
+
+// Shortest and longest gap between list calls after a failure, as fractions of `list_retry_limit`.
+const ASK_FIRST: f64 = 0.05;
 const ASK_LONGEST: f64 = 0.25;
 
 impl Balancer {
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        settings.warm_keys &= settings.penalties.cross_zone <= CROSSING;
+        settings.key_affinity &= settings.penalties.cross_zone <= CROSSING;
         let traffic = Traffic::new(MEMORY, KEY_MEMORY, &settings);
         Balancer::remembering(
             settings,
@@ -49,9 +51,9 @@
             Event::Start => self.subscribe(actions),
             Event::Settings(settings) => self.adopt(now, *settings),
             Event::List { kind, entries } => self.list(now, kind, entries),
-            Event::ListBroken => {
-                // Keep the old list; ask again, ever less often but within `ask_within`, never in step.
-                let within = self.settings.rules.ask_within.max(1.0);
+            Event::ListFailed => {
+                // Keep the old list; ask again, ever less often but within `list_retry_limit`, never in step.
+                let within = self.settings.rules.list_retry_limit.max(1.0);
                 self.ask_gap = (self.ask_gap * 2.0).clamp(within * ASK_FIRST, within * ASK_LONGEST);
                 self.timers
                     .set(now + self.ask_gap * jitter(&mut self.rng), Timer::Subscribe);
@@ -63,7 +65,9 @@
                 ok,
                 report,
             } => self.probed(now, upstream, elapsed, ok, report),
-            Event::Opened { request, attempt } => self.opened(request, attempt as usize, actions),
+            Event::ResponseStarted { request, attempt } => {
+                self.opened(request, attempt as usize, actions);
+            }
             Event::Finished(end) => self.finished(now, end, actions),
             Event::ClientGone(request) => self.close(request, actions),
             Event::Message { .. } => {}
@@ -92,7 +96,7 @@
     /// Goes on by new settings; open requests keep the class and the limits that they came under.
     fn adopt(&mut self, now: Millis, mut settings: Settings) {
         self.traffic.fit(&settings);
-        settings.warm_keys &= settings.penalties.cross_zone <= CROSSING;
+        settings.key_affinity &= settings.penalties.cross_zone <= CROSSING;
         self.settings = settings;
         self.choose_part(now);
     }
--- a/crates/sandtrack-balancer/src/rules/admission.rs
+++ b/crates/sandtrack-balancer/src/rules/admission.rs
@@ -18,7 +18,7 @@
     /// The latest end of a request's time that is sure to be in time. Where clocks differ what is told may
     /// have passed before the request came; its client was there then, so the rule allows that much more.
     pub fn latest(settings: &Settings, class: ClassId, now: Millis, told: Millis) -> Millis {
-        match settings.rules.deadline_error {
+        match settings.rules.deadline_skew {
             error if error > 0.0 => told
                 .max(now + error)
                 .min(now + settings.classes[class.0].deadline),
@@ -29,7 +29,7 @@
     pub(super) fn arrive(&mut self, now: Millis, mut arrival: Arrival, actions: &mut Vec<Action>) {
         let id = arrival.request;
         arrival.not_after = Self::latest(&self.settings, arrival.class, now, arrival.not_after);
-        let key = arrival.key.filter(|_| self.settings.warm_keys);
+        let key = arrival.key.filter(|_| self.settings.key_affinity);
         self.traffic.came(now, arrival.tenant, key);
         if now - self.part_at > PART_EVERY {
             self.choose_part(now);
@@ -40,7 +40,7 @@
         let request = Request::new(arrival, self.settings.limits, began);
         let ends = self.late_work_ends(&request);
         let expiry = if ends {
-            self.useful_until(&request) - self.settings.step
+            self.useful_until(&request) - self.settings.event_interval
         } else {
             request.arrival.not_after
         };
@@ -67,9 +67,9 @@
         let time = self
             .traffic
             .class_time(class)
-            .unwrap_or(self.settings.classes[class].aim * SPILL);
+            .unwrap_or(self.settings.classes[class].target_latency * SPILL);
         let last = self.useful_until(request) - time * (ahead + 1) as f64 - (rests - now).max(0.0);
-        if last > now + self.settings.step.max(PROBE_MIN) {
+        if last > now + self.settings.event_interval.max(PROBE_MIN) {
             self.timers.set(last, Timer::Waits(id));
         } else {
             self.give_up(id, actions);
@@ -107,8 +107,8 @@
             request.limits,
             &self.settings.classes[request.arrival.class.0],
         );
-        let gains = limits.parallel_tries || limits.answer_buffers.is_some();
-        limits.cancel && gains && class.late_worth <= 0.0 && !class.stream
+        let gains = limits.parallel_attempts || limits.answer_buffers.is_some();
+        limits.cancel && gains && class.late_value <= 0.0 && !class.stream
     }
 
     /// Worth of a request beside the best there is, less when its tenant is past its share.
@@ -119,7 +119,7 @@
         let worth = if starves {
             1.0
         } else {
-            self.settings.classes[class.0].worth / best.max(1e-9)
+            self.settings.classes[class.0].value / best.max(1e-9)
         };
         let over = request.arrival.tenant.is_some_and(|tenant| {
             let portion = self.settings.tenants[tenant.0].portion * self.traffic.rate(now);
@@ -127,7 +127,7 @@
         });
         worth
             * if over {
-                self.settings.over_share_worth
+                self.settings.over_share_value
             } else {
                 1.0
             }
@@ -140,14 +140,14 @@
         let share = self.class_share(request.arrival.class);
         let worthier = self
             .aims()
-            .filter(|(worth, _)| *worth > class.worth)
+            .filter(|(worth, _)| *worth > class.value)
             .map(|(_, aim)| aim);
         let left = worthier.fold((self.useful_until(request) - now) / share, f64::min);
         let admit = ADMIT_LEAST + (1.0 - ADMIT_LEAST) * self.worth(request, now);
         let ends = (1.0 - WASTE * self.settings.penalties.waste).max(1.0 - ADMIT);
         // Answers scatter: room is left where only few may miss, most where no second copy helps a late one.
-        let few = self.settings.goal.tail > 0.0;
-        let most = if few && !request.limits.parallel_tries {
+        let few = self.settings.goal.tail_weight > 0.0;
+        let most = if few && !request.limits.parallel_attempts {
             ADMIT_FEW
         } else {
             ADMIT
--- a/crates/sandtrack-balancer/src/rules/outcome.rs
+++ b/crates/sandtrack-balancer/src/rules/outcome.rs
@@ -40,12 +40,12 @@
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
         ) {
             // It may still run; the next with its key waits, this request's own further attempts do not.
-            let rests = now + self.settings.rules.turn_gap + self.settings.step;
+            let rests = now + self.settings.rules.ordered_key_gap + self.settings.event_interval;
             key.into_iter().for_each(|key| self.turns.rest(key, rests));
         }
         let usual = elapsed / self.class_share(class);
         let (rest, turns) = (
-            self.settings.classes[class.0].aim * SPILL,
+            self.settings.classes[class.0].target_latency * SPILL,
             ERROR_TURNS * turn,
         );
         let upstream = &mut self.fleet[place];
@@ -64,8 +64,13 @@
                 upstream.succeeded(now);
                 // Not forgotten at once: one that fails three of four answers the fourth.
                 upstream.learnt.turned_away = (upstream.learnt.turned_away - 1).max(0);
-                self.traffic
-                    .answered(class, upstream.entry.kind, elapsed, usual, CLASS_WEIGHT);
+                self.traffic.answered(
+                    class,
+                    upstream.entry.machine_type,
+                    elapsed,
+                    usual,
+                    CLASS_WEIGHT,
+                );
                 upstream.learn_pace(usual, held, now, memory, PACE_WEIGHT);
             }
             // Errors that come from all alike are the requests' own, or of a thing that all need: none rests
--- a/crates/sandtrack-balancer/src/rules/pick.rs
+++ b/crates/sandtrack-balancer/src/rules/pick.rs
@@ -69,7 +69,7 @@
             .filter(|place| self.fleet[**place].offered())
             .count();
         let left = usable.len() as f64 / offered.max(1) as f64;
-        let key = request.arrival.key.filter(|_| self.settings.warm_keys);
+        let key = request.arrival.key.filter(|_| self.settings.key_affinity);
         let lowest = usable
             .iter()
             .map(|place| self.rank(*place))
@@ -81,7 +81,7 @@
         let warmth = self.warmth(&self.fleet[drawn], now);
         let taken = (self.traffic.taken.get().unwrap_or(1.0) * COLD_OVER).min(1.0);
         let left = left * taken * if key.is_some() { COLD_HOME } else { 1.0 };
-        let chance = warmth * (COLD_USE * self.settings.rules.fall_multiple).min(1.0) * left;
+        let chance = warmth * (COLD_USE * self.settings.rules.overload_factor).min(1.0) * left;
         let (far, tier) = self.rank(drawn);
         let is_of = |lowest: (bool, _)| far == lowest.0 && (tier.is_none() || tier == lowest.1);
         let near = key.is_some() || lowest.is_none_or(is_of);
@@ -133,7 +133,7 @@
         let own = |n: usize| self.fleet[usable[n]].out.len();
         let crowd = overload_limit((0..usable.len()).map(own));
         let class = request.arrival.class;
-        let aim = self.settings.classes[class.0].aim / self.class_share(class);
+        let aim = self.settings.classes[class.0].target_latency / self.class_share(class);
         let most = self.room(now, request);
         // A tier in which every upstream is full has none to offer: the next is asked, and when all are
         // full, the lowest from which an answer would still be in time.
--- a/crates/sandtrack-balancer/src/rules/prediction.rs
+++ b/crates/sandtrack-balancer/src/rules/prediction.rs
@@ -7,13 +7,17 @@
 impl Balancer {
     /// The wanted time of each class, in time of the mean class.
     pub(super) fn aims(&self) -> impl Iterator<Item = (f64, Millis)> + '_ {
-        let aim =
-            |(n, class): (usize, &Class)| (class.worth, class.aim / self.class_share(ClassId(n)));
+        let aim = |(n, class): (usize, &Class)| {
+            (
+                class.value,
+                class.target_latency / self.class_share(ClassId(n)),
+            )
+        };
         self.settings
             .classes
             .iter()
             .enumerate()
-            .filter(|(_, class)| class.offered)
+            .filter(|(_, class)| class.enabled)
             .map(aim)
     }
 
@@ -27,7 +31,7 @@
 
     /// How long what was learnt counts: where all are in use, some turns, or it would be forgotten between.
     pub(super) fn memory(&self, now: Millis) -> Millis {
-        let turns = if self.settings.warm_keys {
+        let turns = if self.settings.key_affinity {
             self.turn(now) * PACE_TURNS
         } else {
             MEMORY
--- a/crates/sandtrack-balancer/src/rules/probing.rs
+++ b/crates/sandtrack-balancer/src/rules/probing.rs
@@ -17,12 +17,12 @@
             .filter(|place| self.fleet[*place].listed)
             .collect();
         order.sort_unstable_by_key(|place| self.fleet[*place].rank);
-        let covered = order.len() as f64 * COVER / f64::from(self.settings.siblings.max(1));
+        let covered = order.len() as f64 * COVER / f64::from(self.settings.balancer_count.max(1));
         self.part_size = covered.clamp(PART_LEAST, PART_MOST);
         let rested = self.rested();
         // The homes of keys are anywhere, the same for all balancers: all are in use, a part is probed.
         for (n, &place) in order.iter().enumerate() {
-            self.fleet[place].probed = !self.settings.warm_keys || (n as f64) < self.part_size;
+            self.fleet[place].probed = !self.settings.key_affinity || (n as f64) < self.part_size;
             // Its listed size, unless that moves with load, at the speed that its machine type has shown.
             let entry = &self.fleet[place].entry;
             let listed = if self.settings.weights == Weights::Live {
@@ -30,10 +30,10 @@
             } else {
                 entry.scale.max(1e-3)
             };
-            let time = self.traffic.kind_time(entry.kind).unwrap_or(rested);
+            let time = self.traffic.kind_time(entry.machine_type).unwrap_or(rested);
             self.fleet[place].size = listed / time.max(1e-3);
         }
-        let size = if self.settings.warm_keys {
+        let size = if self.settings.key_affinity {
             f64::INFINITY
         } else {
             self.part_size
@@ -75,7 +75,7 @@
 
     /// Gap between probes of one upstream: as short as the price allows for the traffic seen.
     fn probe_gap(&self, now: Millis) -> Millis {
-        let most = if self.settings.warm_keys {
+        let most = if self.settings.key_affinity {
             self.part_size
         } else {
             f64::INFINITY
@@ -161,7 +161,7 @@
     ) -> Option<Millis> {
         let told = self.settings.feedback == Feedback::OnProbe && self.settings.limits.probes;
         // Where few balancers send, own attempts are most of the load: one for each balancer is enough.
-        let enough = f64::from(self.settings.siblings);
+        let enough = f64::from(self.settings.balancer_count);
         let asks = (ASK_SPEND / self.settings.penalties.probe.max(1e-9)).min(enough);
         if asks < 2.0 || !told {
             return None;
@@ -178,7 +178,7 @@
             wait = wait.max(upstream.average.get()? * 2.0);
             upstream.probe(now, actions);
         }
-        let aim = self.settings.classes[request.arrival.class.0].aim;
-        Some(wait + self.settings.step).filter(|wait| *wait < aim * ASK_WAIT)
+        let aim = self.settings.classes[request.arrival.class.0].target_latency;
+        Some(wait + self.settings.event_interval).filter(|wait| *wait < aim * ASK_WAIT)
     }
 }
--- a/crates/sandtrack-balancer/src/rules/retry.rs
+++ b/crates/sandtrack-balancer/src/rules/retry.rs
@@ -63,15 +63,15 @@
         let class = &self.settings.classes[request.arrival.class.0];
         if request.limits.answer_buffers.is_some() {
             self.timers.set(
-                now + self.overdue(request.arrival.class) + self.settings.step,
+                now + self.overdue(request.arrival.class) + self.settings.event_interval,
                 Timer::Blocked,
             );
         }
-        let again = class.effect != Effect::Once && !class.stream;
-        let late = (predicted * HEDGE).max(class.aim * HEDGE_LEAST);
+        let again = class.idempotency != Idempotency::NonIdempotent && !class.stream;
+        let late = (predicted * HEDGE).max(class.target_latency * HEDGE_LEAST);
         let in_time = now + late < self.useful_until(request);
         let last = number as u32 + 1 >= request.limits.max_attempts;
-        if again && in_time && !last && request.limits.parallel_tries {
+        if again && in_time && !last && request.limits.parallel_attempts {
             self.timers.set(now + late, Timer::Hedge(id, number));
         }
         let upstream = &mut self.fleet[place];
@@ -139,27 +139,28 @@
             &self.fleet[place].entry,
             self.settings.limits.connect_timeout,
         );
-        match self.settings.classes[request.arrival.class.0].effect {
-            Effect::Repeatable => true,
-            Effect::Once => request.may_have_run().next().is_none(),
-            Effect::Keyed { group, window } => request.may_have_run().all(|attempt| {
+        match self.settings.classes[request.arrival.class.0].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => request.may_have_run().next().is_none(),
+            Idempotency::Keyed { scope, window } => request.may_have_run().all(|attempt| {
                 let earlier = &self.fleet[attempt.upstream].entry;
-                let same = match group {
-                    Group::All => true,
-                    Group::Zone => earlier.zone == own.zone,
-                    Group::Cell => earlier.cell == own.cell,
+                let same = match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => earlier.zone == own.zone,
+                    DedupScope::Cell => earlier.cell == own.cell,
                 };
-                same && now + self.settings.step + late < attempt.sent + window
+                same && now + self.settings.event_interval + late < attempt.sent + window
             }),
         }
     }
 
     /// Rule 2: whether a refusal, which tells the client that a retry is harmless, would be true.
     fn may_refuse(&self, request: &Request) -> bool {
-        match self.settings.classes[request.arrival.class.0].effect {
-            Effect::Repeatable
-            | Effect::Keyed {
-                group: Group::All, ..
+        match self.settings.classes[request.arrival.class.0].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DedupScope::All,
+                ..
             } => true,
             _ => request.may_have_run().next().is_none(),
         }
@@ -171,7 +172,7 @@
             return;
         };
         if self.may_refuse(request) {
-            let aim = self.settings.classes[request.arrival.class.0].aim;
+            let aim = self.settings.classes[request.arrival.class.0].target_latency;
             let soon = aim * COME_BACK * jitter(&mut self.rng);
             let retry_after = self
                 .settings
--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -85,28 +85,29 @@
     /// classes, and one that waits on others for long must not look like a queue to the rest.
     pub(crate) fn class_share(&self, class: ClassId) -> f64 {
         self.traffic
-            .class_share(class, |n| self.settings.classes[n].offered)
+            .class_share(class, |n| self.settings.classes[n].enabled)
     }
 
     /// When its answer is worth nothing any more.
     pub(crate) fn useful_until(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.arrival.class.0];
-        if class.late_worth > 0.0 {
+        if class.late_value > 0.0 {
             return request.arrival.not_after;
         }
-        let stretch = class.aim_stretch * request.arrival.cost.unwrap_or(0.0);
-        let aim = (class.aim + stretch).min(class.deadline.max(class.aim));
+        let stretch = class.target_stretch * request.arrival.cost.unwrap_or(0.0);
+        let aim = (class.target_latency + stretch).min(class.deadline.max(class.target_latency));
         request.arrival.not_after.min(request.began + aim)
     }
 
     /// The part of its capacity that a cold upstream has at least; 1 when it is warm.
     pub(crate) fn warmth(&self, upstream: &Upstream, now: Millis) -> f64 {
         let rules = &self.settings.rules;
-        let Some(since) = upstream.entry.since else {
+        let Some(since) = upstream.entry.started_at else {
             return 1.0;
         };
-        let climb = ((now - since - rules.start_drift) / rules.cold.max(1.0)).clamp(0.0, 1.0);
-        rules.cold_share + (1.0 - rules.cold_share) * climb
+        let climb =
+            ((now - since - rules.start_time_error) / rules.warmup.max(1.0)).clamp(0.0, 1.0);
+        rules.cold_capacity + (1.0 - rules.cold_capacity) * climb
     }
 
     /// Forgets a request that has its answer and of which nothing is out; the next with its key may go.
@@ -140,7 +141,7 @@
     pub used: bool,
     pub probed: bool,
     pub timed: bool,
-    /// Smoothed probe time and the group of upstreams (tier) it belongs to.
+    /// Smoothed probe time and the scope of upstreams (tier) it belongs to.
     pub average: SmoothedLatency,
     pub membership: TierMembership,
     pub failures: ConsecutiveFailures,
@@ -309,7 +310,7 @@
         let mut vacant: Vec<usize> = (0..self.upstreams.len()).filter(free).collect();
         self.places
             .retain(|_, place| vacant.binary_search(place).is_err());
-        if kind != ListKind::Patch {
+        if kind != ListKind::Delta {
             let named: HashSet<UpstreamId> = entries.iter().map(|entry| entry.upstream).collect();
             let missing = self
                 .upstreams
@@ -329,11 +330,11 @@
                 continue;
             };
             let upstream = &mut self.upstreams[place];
-            if entry.standing == Standing::Gone {
+            if entry.readiness == Readiness::Removed {
                 upstream.gone(soft);
                 continue;
             }
-            if entry.since != upstream.entry.since {
+            if entry.started_at != upstream.entry.started_at {
                 // A new process: what the old one taught is void, and it may be cold.
                 upstream.learnt = Learnt::default();
                 upstream.failures.succeeded();
@@ -360,7 +361,7 @@
 impl Upstream {
     pub fn new(entry: Entry, rank: u32, now: Millis) -> Self {
         Upstream {
-            listed: entry.standing != Standing::Gone,
+            listed: entry.readiness != Readiness::Removed,
             entry,
             rank,
             size: 1.0,
@@ -380,7 +381,7 @@
 
     /// New work may go there: rule 3 is kept from the moment a drain or removal is told.
     pub fn offered(&self) -> bool {
-        self.listed && self.entry.standing == Standing::Ready
+        self.listed && self.entry.readiness == Readiness::Ready
     }
 
     pub fn healthy(&self) -> bool {
@@ -413,7 +414,7 @@
 
     /// The list has it no more. Where only draining binds that is one sign of failure; it is left with the next.
     pub fn gone(&mut self, soft: bool) {
-        self.doubted = soft && self.listed && self.entry.standing == Standing::Ready;
+        self.doubted = soft && self.listed && self.entry.readiness == Readiness::Ready;
         self.listed = self.doubted;
         if self.doubted && self.failures.is_empty() {
             self.failures.failed();
--- a/crates/sandtrack-balancer/tests/common/mod.rs
+++ b/crates/sandtrack-balancer/tests/common/mod.rs
@@ -3,41 +3,41 @@
 use sandtrack_balancer::interface::*;
 use sandtrack_balancer::Balancer;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 400.0,
-        aim_stretch: 0.0,
+        target_latency: 400.0,
+        target_stretch: 0.0,
         deadline: 1000.0,
-        effect,
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency: effect,
+        value: 1.0,
+        late_value: 0.0,
         stream: false,
         in_order: false,
-        offered: true,
+        enabled: true,
     }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     Settings {
         zone: ZoneId(0),
-        me: 0,
-        siblings: 2,
+        balancer_index: 0,
+        balancer_count: 2,
         classes: vec![class(effect)],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
+        over_share_value: 0.1,
         discovery_on_request: true,
         feedback: Feedback::OnProbe,
         weights: Weights::Off,
-        warm_keys: false,
+        key_affinity: false,
         goal: Goal {
-            tail: 0.0,
+            tail_weight: 0.0,
             miss_allowed: 0.0,
         },
         limits: Limits {
             cancel: true,
             probes: true,
             peers: false,
-            parallel_tries: false,
+            parallel_attempts: false,
             max_attempts: 4,
             max_open: 1000,
             max_retry_after: Some(500.0),
@@ -53,18 +53,18 @@
         },
         rules: Rules {
             answer_slack: 5.0,
-            ask_within: 10_000.0,
-            cold_share: 0.3,
-            cold: 8000.0,
+            list_retry_limit: 10_000.0,
+            cold_capacity: 0.3,
+            warmup: 8000.0,
             drain_grace: 500.0,
-            fall: 2000.0,
-            fall_multiple: 2.5,
-            turn_gap: 0.0,
-            deadline_error: 0.0,
-            start_drift: 0.0,
+            overload_window: 2000.0,
+            overload_factor: 2.5,
+            ordered_key_gap: 0.0,
+            deadline_skew: 0.0,
+            start_time_error: 0.0,
             soft_removal: false,
         },
-        step: 1.0,
+        event_interval: 1.0,
     }
 }
 
@@ -72,12 +72,12 @@
     Entry {
         upstream: UpstreamId(id),
         identity: u64::from(id),
-        standing: Standing::Ready,
+        readiness: Readiness::Ready,
         cell: id,
-        kind: 0,
+        machine_type: 0,
         scale: 1.0,
         zone: ZoneId(id),
-        since: None,
+        started_at: None,
     }
 }
 
--- a/crates/sandtrack-balancer/tests/decisions.rs
+++ b/crates/sandtrack-balancer/tests/decisions.rs
@@ -3,22 +3,22 @@
 use common::*;
 use sandtrack_balancer::interface::*;
 
-const KEYED_ALL: Effect = Effect::Keyed {
-    group: Group::All,
+const KEYED_ALL: Idempotency = Idempotency::Keyed {
+    scope: DedupScope::All,
     window: 300.0,
 };
-const KEYED_ZONE: Effect = Effect::Keyed {
-    group: Group::Zone,
+const KEYED_ZONE: Idempotency = Idempotency::Keyed {
+    scope: DedupScope::Zone,
     window: 300.0,
 };
-const KEYED_CELL: Effect = Effect::Keyed {
-    group: Group::Cell,
+const KEYED_CELL: Idempotency = Idempotency::Keyed {
+    scope: DedupScope::Cell,
     window: 300.0,
 };
 
 #[test]
 fn probes_start_at_once_and_stay_within_five_seconds() {
-    let mut front = Front::new(settings(Effect::Repeatable), 3);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 3);
     assert_eq!(probes(&front.seen), [0, 1, 2]);
     (0..3).for_each(|id| drop(front.probe(id, 1.0, true)));
     let mut last = [front.now; 3];
@@ -34,7 +34,7 @@
 
 #[test]
 fn the_pick_is_random_within_the_nearest_tier_and_among_unsampled() {
-    let mut front = Front::new(settings(Effect::Repeatable), 4);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 4);
     for (id, elapsed) in [(0, 1.0), (1, 2.5), (2, 9.0)] {
         front.probe(id, elapsed, true);
     }
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_lost_tier_hands_over_to_the_next_and_gets_its_work_back() {
-    let mut front = Front::new(settings(Effect::Repeatable), 4);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 4);
     for (id, elapsed) in [(0, 1.0), (1, 1.0), (2, 9.0), (3, 9.0)] {
         front.probe(id, elapsed, true);
     }
@@ -75,7 +75,7 @@
 
 #[test]
 fn two_failed_sends_in_a_row_make_an_upstream_unhealthy() {
-    let mut front = Front::new(settings(Effect::Repeatable), 2);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 2);
     let mut failed = 0;
     for _ in 0..100 {
         // Long enough for the rest after a refused connection to be over.
@@ -99,19 +99,19 @@
 
 #[test]
 fn a_draining_upstream_gets_nothing_from_the_moment_it_is_told() {
-    for standing in [Standing::Draining, Standing::Gone] {
-        let mut front = Front::new(settings(Effect::Repeatable), 2);
+    for readiness in [Readiness::Draining, Readiness::Removed] {
+        let mut front = Front::new(settings(Idempotency::Idempotent), 2);
         let entries = vec![Entry {
-            standing,
+            readiness,
             ..entry(0)
         }];
         front.feed(Event::List {
-            kind: ListKind::Patch,
+            kind: ListKind::Delta,
             entries,
         });
         assert!(front.spread(50).iter().all(|id| *id == 1));
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries: vec![entry(0)],
         });
         assert!(front.spread(50).iter().all(|id| *id == 0));
@@ -120,15 +120,15 @@
 
 #[test]
 fn with_no_upstream_or_only_draining_ones_a_request_is_refused_at_once() {
-    let mut front = Front::new(settings(Effect::Once), 0);
+    let mut front = Front::new(settings(Idempotency::NonIdempotent), 0);
     let (_, actions) = front.request();
     assert!(refused(&actions) && final_answers(&actions) == 1);
     let entries = vec![Entry {
-        standing: Standing::Draining,
+        readiness: Readiness::Draining,
         ..entry(0)
     }];
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries,
     });
     let (_, actions) = front.request();
@@ -145,8 +145,8 @@
         let proof = outcome.never_ran();
         assert_eq!(proof, matches!(outcome, Full | ConnectFailed | Moot));
         for effect in [
-            Effect::Repeatable,
-            Effect::Once,
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
             KEYED_ALL,
             KEYED_ZONE,
             KEYED_CELL,
@@ -157,10 +157,12 @@
             front.now += 10.0;
             let actions = front.finish(request, 0, outcome, 10.0);
             match effect {
-                Effect::Once if !proof => assert_eq!(actions, [Action::Fail { request }]),
+                Idempotency::NonIdempotent if !proof => {
+                    assert_eq!(actions, [Action::Fail { request }]);
+                }
                 // Every upstream of the test is a zone and a cell of its own.
-                Effect::Keyed {
-                    group: Group::Zone | Group::Cell,
+                Idempotency::Keyed {
+                    scope: DedupScope::Zone | DedupScope::Cell,
                     ..
                 } if !proof => {
                     assert_eq!(sent_to(&actions), Some(first));
@@ -201,7 +203,7 @@
 
 #[test]
 fn attempts_end_at_the_limit_with_one_final_answer() {
-    let mut front = Front::new(settings(Effect::Once), 9);
+    let mut front = Front::new(settings(Idempotency::NonIdempotent), 9);
     let (request, _) = front.request();
     for attempt in 0..3 {
         assert!(sent_to(&front.finish(request, attempt, Outcome::Full, 1.0)).is_some());
@@ -214,7 +216,7 @@
 #[test]
 fn a_timer_and_an_outcome_in_one_batch_give_one_answer() {
     for timer_first in [true, false] {
-        let mut front = Front::new(settings(Effect::Repeatable), 2);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 2);
         let (request, _) = front.request();
         front.now += 1000.0;
         let timeout = Event::Finished(Finished {
@@ -240,7 +242,7 @@
 
 #[test]
 fn a_client_that_left_gets_no_answer_and_its_attempt_is_called_off() {
-    let mut front = Front::new(settings(Effect::Repeatable), 2);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 2);
     let (request, _) = front.request();
     let actions = front.feed(Event::ClientGone(request));
     assert_eq!(
@@ -263,20 +265,20 @@
     let mut sends = vec![0; upstreams as usize];
     for me in 0..balancers {
         let one_of_many = Settings {
-            me,
-            siblings: balancers,
-            ..settings(Effect::Repeatable)
+            balancer_index: me,
+            balancer_count: balancers,
+            ..settings(Idempotency::Idempotent)
         };
         let mut front = Front::seeded(one_of_many, u64::from(me), 0);
         let entries = (0..upstreams)
             .map(|id| Entry {
                 zone: ZoneId(0),
-                since: since(id),
+                started_at: since(id),
                 ..entry(id)
             })
             .collect();
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries,
         });
         if let Some(to) = sent_to(&front.request().1) {
@@ -288,7 +290,7 @@
 
 #[test]
 fn all_balancers_together_neither_push_over_nor_starve_a_cold_upstream() {
-    // Unlearnt, an answer is taken to cost half the aim: 2.5 x the share x 2 s / 200 ms is what it may be sent.
+    // Unlearnt, an answer is taken to cost half the target_latency: 2.5 x the share x 2 s / 200 ms is what it may be sent.
     let allowance = (2.5 * 0.3 * 2000.0 / 200.0) as usize;
     let sends = sends_of_all(400, 40, |id| (id == 0).then_some(1000.0));
     assert!((1..=allowance).contains(&sends[0]), "{sends:?}");
@@ -325,8 +327,8 @@
 /// A quiet balancer among hundreds, before a fleet of 60, half of it in its own zone; what it uses is probed.
 fn one_of_hundreds(seed: u64) -> Front {
     let quiet = Settings {
-        siblings: 500,
-        ..settings(Effect::Repeatable)
+        balancer_count: 500,
+        ..settings(Idempotency::Idempotent)
     };
     let mut front = Front::seeded(quiet, seed, 0);
     let entries = (0..60)
@@ -336,7 +338,7 @@
         })
         .collect();
     let asked = probes(&front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries,
     }));
     for id in asked {
@@ -362,21 +364,21 @@
 
 #[test]
 fn a_part_with_few_siblings_is_the_whole_fleet() {
-    let front = Front::new(settings(Effect::Repeatable), 40);
+    let front = Front::new(settings(Idempotency::Idempotent), 40);
     let asked: std::collections::BTreeSet<u32> = probes(&front.seen).into_iter().collect();
     assert_eq!(asked.len(), 40);
 }
 
 #[test]
 fn an_upstream_that_leaves_and_comes_back_has_one_probe_timer() {
-    let mut front = Front::new(settings(Effect::Repeatable), 1);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 1);
     front.probe(0, 1.0, true);
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: Vec::new(),
     });
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: vec![entry(0)],
     });
     let mut probed = 0;
@@ -393,7 +395,7 @@
 
 #[test]
 fn discovery_is_asked_at_start_and_again_after_each_failure_ever_later() {
-    let mut balancer = sandtrack_balancer::Balancer::new(settings(Effect::Repeatable), 1);
+    let mut balancer = sandtrack_balancer::Balancer::new(settings(Idempotency::Idempotent), 1);
     let mut actions = Vec::new();
     balancer.handle(0.0, Event::Start, &mut actions);
     assert_eq!(actions, [Action::Subscribe]);
@@ -401,7 +403,7 @@
     let mut gaps = Vec::new();
     for _ in 0..6 {
         actions.clear();
-        balancer.handle(now, Event::ListBroken, &mut actions);
+        balancer.handle(now, Event::ListFailed, &mut actions);
         let Some(Action::Wake { at }) = actions.pop() else {
             panic!("no timer")
         };
@@ -416,8 +418,8 @@
 
 #[test]
 fn a_late_outcome_of_a_closed_request_closes_nothing_anew() {
-    let mut both = settings(Effect::Repeatable);
-    both.limits.parallel_tries = true;
+    let mut both = settings(Idempotency::Idempotent);
+    both.limits.parallel_attempts = true;
     let mut front = Front::new(both, 3);
     let (request, _) = front.request();
     let copy = front.at(front.now + 200.0, Event::Wake);
@@ -448,18 +450,18 @@
 
 #[test]
 fn odd_settings_and_lists_lead_to_sane_decisions() {
-    let mut odd = settings(Effect::Repeatable);
-    (odd.siblings, odd.penalties.probe) = (0, 0.0);
+    let mut odd = settings(Idempotency::Idempotent);
+    (odd.balancer_count, odd.penalties.probe) = (0, 0.0);
     odd.rules = Rules {
-        cold: 0.0,
-        cold_share: 0.0,
-        fall: 0.0,
-        fall_multiple: 0.0,
+        warmup: 0.0,
+        cold_capacity: 0.0,
+        overload_window: 0.0,
+        overload_factor: 0.0,
         ..odd.rules
     };
     let mut front = Front::new(odd, 0);
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: Vec::new(),
     });
     assert!(refused(&front.request().1));
@@ -467,12 +469,12 @@
     let since = |id: u32| id.is_multiple_of(2).then_some(front.now);
     let entries: Vec<Entry> = (0..6000)
         .map(|id| Entry {
-            since: since(id / 2),
+            started_at: since(id / 2),
             ..entry(id / 2)
         })
         .collect();
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries,
     });
     front.now += 10.0;
@@ -482,12 +484,12 @@
         content: vec![0xff; 300],
     });
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: Vec::new(),
     });
     assert!(refused(&front.request().1));
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries: vec![entry(9)],
     });
     assert!(front.spread(20).iter().all(|to| *to == 9));
@@ -495,11 +497,11 @@
 
 #[test]
 fn a_begun_stream_outlives_the_deadline_and_is_answered_by_its_end() {
-    let mut streamed = settings(Effect::Repeatable);
+    let mut streamed = settings(Idempotency::Idempotent);
     streamed.classes[0].stream = true;
     let mut front = Front::new(streamed, 2);
     let (request, _) = front.request();
-    front.feed(Event::Opened {
+    front.feed(Event::ResponseStarted {
         request,
         attempt: 0,
     });
@@ -519,7 +521,7 @@
 
 #[test]
 fn one_that_answers_with_errors_at_once_rests_from_the_first_on() {
-    let mut front = Front::new(settings(Effect::Repeatable), 2);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 2);
     let mut errors = 0;
     for _ in 0..200 {
         let (request, actions) = front.request();
@@ -542,9 +544,9 @@
     let (mut errors, mut answers) = (0, 0);
     for me in 0..balancers {
         let one_of_many = Settings {
-            me,
-            siblings: balancers,
-            ..settings(Effect::Once)
+            balancer_index: me,
+            balancer_count: balancers,
+            ..settings(Idempotency::NonIdempotent)
         };
         let mut front = Front::seeded(one_of_many, u64::from(me), 4);
         for n in 0..requests {
@@ -569,7 +571,7 @@
 #[test]
 fn a_try_after_an_error_is_free_and_one_after_a_time_out_is_paid_for() {
     for (outcome, free) in [(Outcome::Error, true), (Outcome::Reset, false)] {
-        let mut front = Front::new(settings(Effect::Repeatable), 200);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 200);
         let again = (0..60).filter(|_| {
             let (request, _) = front.request();
             let again = front.finish(request, 0, outcome, 5.0);
@@ -594,7 +596,7 @@
 
 #[test]
 fn all_slow_once_is_not_all_shut_out_for_ever() {
-    let mut front = Front::new(settings(Effect::Repeatable), 3);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 3);
     teach(&mut front, 1, 900.0);
     assert!(refused(&front.request().1));
     front.now += 30_000.0;
@@ -603,17 +605,17 @@
 
 #[test]
 fn one_slow_answer_does_not_shut_out_for_ever_those_that_taught_nothing() {
-    let mut front = Front::new(settings(Effect::Repeatable), 3);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 3);
     let (request, actions) = front.request();
     let slow = sent_to(&actions).unwrap();
     front.now += 900.0;
     front.finish(request, 0, Outcome::Ok, 900.0);
     let entries = vec![Entry {
-        standing: Standing::Draining,
+        readiness: Readiness::Draining,
         ..entry(slow)
     }];
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries,
     });
     assert!(refused(&front.request().1));
@@ -624,7 +626,7 @@
 #[test]
 fn one_that_turned_work_away_rests() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut front = Front::new(settings(Effect::Repeatable), 2);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 2);
         let (request, actions) = front.request();
         let full = sent_to(&actions).unwrap();
         front.finish(request, 0, outcome, 1.0);
@@ -638,11 +640,11 @@
 #[test]
 fn a_patient_class_gets_no_more_room_than_a_worthier_one() {
     for (worth, sent) in [(1.0, true), (9.0, false)] {
-        let mut both = settings(Effect::Repeatable);
+        let mut both = settings(Idempotency::Idempotent);
         both.classes.push(Class {
-            aim: 100.0,
-            worth,
-            ..class(Effect::Repeatable)
+            target_latency: 100.0,
+            value: worth,
+            ..class(Idempotency::Idempotent)
         });
         let mut front = Front::new(both, 1);
         teach(&mut front, 1, 120.0);
@@ -654,11 +656,11 @@
 /// users were refused beside upstreams that had nothing to do.
 #[test]
 fn a_class_of_little_worth_is_not_starved_beside_a_worthy_one() {
-    let mut both = settings(Effect::Repeatable);
-    (both.limits.parallel_tries, both.penalties.waste) = (true, 0.2);
+    let mut both = settings(Idempotency::Idempotent);
+    (both.limits.parallel_attempts, both.penalties.waste) = (true, 0.2);
     both.classes.push(Class {
-        worth: 9.0,
-        ..class(Effect::Repeatable)
+        value: 9.0,
+        ..class(Idempotency::Idempotent)
     });
     let mut front = Front::new(both, 1);
     teach(&mut front, 1, 180.0);
@@ -681,7 +683,7 @@
 
 #[test]
 fn one_slow_probe_is_capped_and_one_quick_probe_replaces_the_average() {
-    let mut front = Front::new(settings(Effect::Repeatable), 3);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 3);
     for (id, elapsed) in [(0, 10.0), (1, 10.0), (1, 1000.0), (2, 100.0), (2, 10.0)] {
         front.probe(id, elapsed, true);
     }
@@ -691,30 +693,30 @@
 
 #[test]
 fn a_member_leaves_its_tier_only_well_past_the_limit_and_groups_outlive_a_tier_above() {
-    let mut front = Front::new(settings(Effect::Repeatable), 4);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 4);
     // The limit is 20: upstream 1 drifts to 23.8 and stays, upstream 2 starts there and is left out.
     for (id, elapsed) in [(0, 10.0), (1, 19.0), (1, 35.0), (2, 23.8), (3, 23.8)] {
         front.probe(id, elapsed, true);
     }
     let sent = front.spread(60);
     assert!(sent.contains(&1) && !sent.contains(&2) && !sent.contains(&3));
-    // A nearer tier appears, and drains: the group below is as it was.
+    // A nearer tier appears, and drains: the scope below is as it was.
     let entries = vec![Entry {
-        standing: Standing::Ready,
+        readiness: Readiness::Ready,
         ..entry(9)
     }];
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries,
     });
     front.probe(9, 1.0, true);
     assert!(front.spread(30).iter().all(|id| *id == 9));
     let entries = vec![Entry {
-        standing: Standing::Draining,
+        readiness: Readiness::Draining,
         ..entry(9)
     }];
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries,
     });
     let sent = front.spread(60);
@@ -728,16 +730,16 @@
 fn a_full_tier_offers_none_and_the_next_is_asked() {
     // Near at 150 ms is over what a near one may take while a far one has room, but not over all that is left.
     for (far, then) in [(20.0, 1), (200.0, 0)] {
-        let mut front = Front::new(settings(Effect::Repeatable), 2);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 2);
         front.probe(0, 1.0, true);
         front.probe(1, 9.0, true);
-        for (standing, elapsed) in [(Standing::Draining, far), (Standing::Ready, 150.0)] {
+        for (readiness, elapsed) in [(Readiness::Draining, far), (Readiness::Ready, 150.0)] {
             let entries = vec![Entry {
-                standing,
+                readiness,
                 ..entry(0)
             }];
             front.feed(Event::List {
-                kind: ListKind::Patch,
+                kind: ListKind::Delta,
                 entries,
             });
             teach(&mut front, 1, elapsed);
@@ -749,7 +751,7 @@
 #[test]
 fn the_longer_nothing_was_learnt_the_more_an_answer_counts() {
     for (gap, sent) in [(30_000.0, false), (0.0, true)] {
-        let mut front = Front::new(settings(Effect::Repeatable), 1);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 1);
         teach(&mut front, 1, 100.0);
         front.now += gap;
         let (request, _) = front.request();
@@ -760,7 +762,7 @@
 
 #[test]
 fn an_upstream_that_is_silent_since_a_send_is_taken_to_be_that_slow() {
-    let mut front = Front::new(settings(Effect::Repeatable), 1);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 1);
     teach(&mut front, 1, 10.0);
     assert!(sent_to(&front.request().1).is_some());
     front.now += 600.0;
@@ -771,14 +773,14 @@
 #[test]
 fn a_body_still_on_its_way_is_no_load_and_a_stream_is() {
     for stream in [false, true] {
-        let mut settings = settings(Effect::Repeatable);
+        let mut settings = settings(Idempotency::Idempotent);
         settings.classes[0].stream = stream;
         let mut front = Front::new(settings, 1);
         teach(&mut front, 1, 10.0);
         for _ in 0..12 {
             let (request, actions) = front.request();
             assert!(sent_to(&actions).is_some() || stream);
-            front.feed(Event::Opened {
+            front.feed(Event::ResponseStarted {
                 request,
                 attempt: 0,
             });
@@ -790,8 +792,8 @@
 
 #[test]
 fn where_probes_are_cheap_the_pick_waits_for_those_of_the_request() {
-    let mut cheap = settings(Effect::Repeatable);
-    (cheap.penalties.probe, cheap.siblings) = (0.002, 3);
+    let mut cheap = settings(Idempotency::Idempotent);
+    (cheap.penalties.probe, cheap.balancer_count) = (0.002, 3);
     for idle in 0..3 {
         let mut front = Front::new(cheap.clone(), 3);
         (0..3).for_each(|id| drop(front.probe(id, 1.0, true)));
@@ -819,24 +821,24 @@
 /// third of what calm days lose.
 #[test]
 fn the_fewer_the_balancers_the_fewer_are_asked_for_one_request() {
-    for (siblings, asked) in [(1, 0), (2, 2), (3, 3), (10, 5)] {
-        let mut cheap = settings(Effect::Repeatable);
-        (cheap.penalties.probe, cheap.siblings) = (0.002, siblings);
+    for (balancer_count, asked) in [(1, 0), (2, 2), (3, 3), (10, 5)] {
+        let mut cheap = settings(Idempotency::Idempotent);
+        (cheap.penalties.probe, cheap.balancer_count) = (0.002, balancer_count);
         let mut front = Front::new(cheap, 8);
         (0..8).for_each(|id| drop(front.probe(id, 1.0, true)));
         let (_, actions) = front.request();
-        assert_eq!(probes(&actions).len(), asked, "{siblings} balancers");
+        assert_eq!(probes(&actions).len(), asked, "{balancer_count} balancers");
     }
 }
 
 #[test]
 fn one_request_alone_is_not_past_its_tenants_share() {
-    let mut shared = settings(Effect::Repeatable);
+    let mut shared = settings(Idempotency::Idempotent);
     shared.tenants = [0.05, 0.95]
         .map(|portion| Tenant {
             portion,
             quota_rps: 10.0,
-            offered: true,
+            enabled: true,
         })
         .to_vec();
     let mut front = Front::new(shared, 1);
@@ -859,7 +861,7 @@
 #[test]
 fn a_marked_repeat_has_what_is_left_of_its_first_trys_time() {
     for retry in [true, false] {
-        let mut front = Front::new(settings(Effect::Repeatable), 1);
+        let mut front = Front::new(settings(Idempotency::Idempotent), 1);
         teach(&mut front, 1, 100.0);
         let first = arrival(1001, front.now);
         front.feed(Event::Request(first));
@@ -879,7 +881,7 @@
 
 #[test]
 fn if_none_is_healthy_anyone_may_be() {
-    let mut front = Front::new(settings(Effect::Repeatable), 1);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 1);
     for _ in 0..3 {
         let (request, actions) = front.request();
         assert_eq!(sent_to(&actions), Some(0));
@@ -894,8 +896,8 @@
     let mut second_asks = std::collections::BTreeSet::new();
     for seed in 0..50 {
         let quiet = Settings {
-            siblings: 500,
-            ..settings(Effect::Repeatable)
+            balancer_count: 500,
+            ..settings(Idempotency::Idempotent)
         };
         let mut front = Front::seeded(quiet, seed, 60);
         let first = probes(&front.seen);
@@ -916,7 +918,7 @@
         }
         assert!(last.values().all(|at| began + 30_000.0 - at <= 5000.0));
         second_probes.insert(next.unwrap() as u64);
-        front.feed(Event::ListBroken);
+        front.feed(Event::ListFailed);
         let broken = front.now;
         while !front
             .at(front.wake, Event::Wake)
@@ -933,7 +935,7 @@
 
 #[test]
 fn where_no_probes_are_allowed_an_unhealthy_upstream_comes_back_by_a_trial() {
-    let mut blind = settings(Effect::Repeatable);
+    let mut blind = settings(Idempotency::Idempotent);
     blind.limits.probes = false;
     let mut front = Front::new(blind, 2);
     let mut failed = 0;
@@ -953,7 +955,7 @@
 
 fn listed(front: &mut Front, entries: Vec<Entry>) {
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries,
     });
 }
@@ -961,7 +963,7 @@
 /// Each upstream ever listed kept its place: memory and every look at all of them grew all day long.
 #[test]
 fn a_long_day_of_replaced_upstreams_keeps_no_more_than_are_there() {
-    let mut front = Front::new(settings(Effect::Repeatable), 4);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 4);
     for id in 4..3000 {
         front.now += 200.0;
         front.feed(Event::Wake);
@@ -975,7 +977,7 @@
             vec![
                 entry(id),
                 Entry {
-                    standing: Standing::Gone,
+                    readiness: Readiness::Removed,
                     ..entry(id - 4)
                 },
             ],
@@ -984,7 +986,7 @@
         listed(
             &mut front,
             vec![Entry {
-                standing: Standing::Gone,
+                readiness: Readiness::Removed,
                 ..entry(id + 100_000)
             }],
         );
@@ -1016,7 +1018,7 @@
     listed(
         &mut front,
         vec![Entry {
-            standing: Standing::Gone,
+            readiness: Readiness::Removed,
             ..at(first, 0)
         }],
     );
@@ -1043,7 +1045,7 @@
     listed(
         &mut front,
         vec![Entry {
-            standing: Standing::Gone,
+            readiness: Readiness::Removed,
             ..entry(0)
         }],
     );
@@ -1066,15 +1068,15 @@
 #[test]
 fn an_attempt_ends_when_its_answer_is_worth_nothing_any_more() {
     let ends =
-        |cancel: bool, parallel_tries: bool, late_worth: f64, answer_buffers: Option<u32>| {
-            let mut settings = settings(Effect::Once);
+        |cancel: bool, parallel_attempts: bool, late_value: f64, answer_buffers: Option<u32>| {
+            let mut settings = settings(Idempotency::NonIdempotent);
             settings.limits = Limits {
                 cancel,
-                parallel_tries,
+                parallel_attempts,
                 answer_buffers,
                 ..settings.limits
             };
-            settings.classes[0].late_worth = late_worth;
+            settings.classes[0].late_value = late_value;
             let mut front = Front::new(settings, 2);
             let (request, actions) = front.request();
             assert!(sent_to(&actions).is_some());
@@ -1122,15 +1124,15 @@
 /// Answers scatter about the mean that is foretold: where late work ends by itself, one foretold just in time is tried.
 #[test]
 fn where_late_work_ends_by_itself_all_of_the_time_left_may_be_filled() {
-    for (parallel_tries, tail, tried) in
+    for (parallel_attempts, tail, tried) in
         [(true, 0.0, true), (false, 0.0, false), (true, 0.4, false)]
     {
-        let mut settings = settings(Effect::Once);
+        let mut settings = settings(Idempotency::NonIdempotent);
         settings.goal = Goal {
-            tail,
+            tail_weight: tail,
             miss_allowed: 0.02,
         };
-        settings.limits.parallel_tries = parallel_tries;
+        settings.limits.parallel_attempts = parallel_attempts;
         let mut front = Front::new(settings, 1);
         teach(&mut front, 1, 330.0);
         let (_, actions) = front.request();
@@ -1141,13 +1143,13 @@
 /// lagos-main, a release at full size: queues of late answers choked all upstreams, half of all was refused.
 #[test]
 fn where_only_few_may_miss_and_no_copy_helps_more_room_is_left() {
-    for (parallel_tries, tail, tried) in
+    for (parallel_attempts, tail, tried) in
         [(true, 0.4, true), (false, 0.4, false), (false, 0.0, true)]
     {
-        let mut settings = settings(Effect::Once);
-        settings.limits.parallel_tries = parallel_tries;
+        let mut settings = settings(Idempotency::NonIdempotent);
+        settings.limits.parallel_attempts = parallel_attempts;
         settings.goal = Goal {
-            tail,
+            tail_weight: tail,
             miss_allowed: 0.02,
         };
         let mut front = Front::new(settings, 1);
@@ -1160,9 +1162,9 @@
 /// A balancer where upstreams are warm for keys: its own seed, and its own numbers for the same upstreams.
 fn keyed(seed: u64, first: u32, upstreams: u32) -> Front {
     let warm = Settings {
-        warm_keys: true,
-        siblings: 20,
-        ..settings(Effect::Repeatable)
+        key_affinity: true,
+        balancer_count: 20,
+        ..settings(Idempotency::Idempotent)
     };
     let mut front = Front::seeded(warm, seed, 0);
     let named = |id: u32| Entry {
@@ -1174,7 +1176,7 @@
     let entries =
         (first..first + upstreams).map(|id| named(first + (id * 7 + seed as u32) % upstreams));
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: entries.collect(),
     });
     front
@@ -1227,10 +1229,10 @@
     let mut front = keyed(1, 0, 40);
     let home = ask(&mut front, 1, 7).expect("a send");
     front.feed(Event::List {
-        kind: ListKind::Patch,
+        kind: ListKind::Delta,
         entries: vec![Entry {
             identity: u64::from(home),
-            standing: Standing::Draining,
+            readiness: Readiness::Draining,
             ..entry(home)
         }],
     });
@@ -1283,17 +1285,17 @@
 fn what_full_upstreams_cannot_take_does_not_go_to_the_cold_ones() {
     let (mut cold, mut refusals) = (0, 0);
     for seed in 0..400 {
-        let mut front = Front::seeded(settings(Effect::Repeatable), seed, 0);
+        let mut front = Front::seeded(settings(Idempotency::Idempotent), seed, 0);
         let since = |id: u32| (id == 0).then_some(1000.0);
         let entries = (0..10)
             .map(|id| Entry {
                 zone: ZoneId(0),
-                since: since(id),
+                started_at: since(id),
                 ..entry(id)
             })
             .collect();
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries,
         });
         for n in 0..60 {
@@ -1319,17 +1321,20 @@
 /// One pace for all classes refused a long class of little worth beside idle upstreams: ub-calendar's quiet day 20%.
 #[test]
 fn a_long_class_is_not_taken_for_a_queue() {
-    let mut long = settings(Effect::Repeatable);
-    let (patient, worthy) = (class(Effect::Repeatable), class(Effect::Repeatable));
+    let mut long = settings(Idempotency::Idempotent);
+    let (patient, worthy) = (
+        class(Idempotency::Idempotent),
+        class(Idempotency::Idempotent),
+    );
     let patient = Class {
-        aim: 1000.0,
+        target_latency: 1000.0,
         ..patient
     };
     long.classes = vec![
         patient,
         Class {
-            aim: 250.0,
-            worth: 10.0,
+            target_latency: 250.0,
+            value: 10.0,
             ..worthy
         },
     ];
@@ -1356,9 +1361,9 @@
 /// An attempt whose second copy won is called off and taught nothing: slow upstreams kept over half of their share.
 #[test]
 fn what_was_called_off_late_teaches_that_its_upstream_is_slow() {
-    let copies = settings(Effect::Repeatable);
+    let copies = settings(Idempotency::Idempotent);
     let limits = Limits {
-        parallel_tries: true,
+        parallel_attempts: true,
         ..copies.limits
     };
     let mut front = Front::new(Settings { limits, ..copies }, 2);
@@ -1393,12 +1398,12 @@
 /// What is open goes on by the class and the limits that it came under.
 #[test]
 fn new_settings_loosen_nothing_for_a_request_that_is_open() {
-    let before = settings(Effect::Once);
+    let before = settings(Idempotency::NonIdempotent);
     let mut front = Front::new(before.clone(), 3);
     let (request, _) = front.request();
     let mut after = before.clone();
-    after.classes[0].offered = false;
-    after.classes.push(class(Effect::Repeatable));
+    after.classes[0].enabled = false;
+    after.classes.push(class(Idempotency::Idempotent));
     after.limits.max_attempts = 9;
     front.feed(Event::Settings(Box::new(after)));
     let actions = front.finish(request, 0, Outcome::Error, 5.0);
@@ -1415,10 +1420,10 @@
     assert!(sent_to(&front.feed(Event::Request(fresh))).is_some());
     front.feed(Event::Settings(Box::new(Settings {
         classes: vec![
-            class(Effect::Once),
+            class(Idempotency::NonIdempotent),
             Class {
-                offered: false,
-                ..class(Effect::Repeatable)
+                enabled: false,
+                ..class(Idempotency::Idempotent)
             },
         ],
         ..before
@@ -1434,11 +1439,11 @@
 /// A class that left with a reload, worthier and in more haste, must not go on limiting those that stay.
 #[test]
 fn a_class_that_left_limits_nobody() {
-    let mut left = settings(Effect::Repeatable);
+    let mut left = settings(Idempotency::Idempotent);
     left.classes.push(Class {
-        aim: 5.0,
-        worth: 9.0,
-        ..class(Effect::Repeatable)
+        target_latency: 5.0,
+        value: 9.0,
+        ..class(Idempotency::Idempotent)
     });
     let mut front = Front::new(left.clone(), 2);
     teach(&mut front, 6, 60.0);
@@ -1446,7 +1451,7 @@
         refused(&front.request().1),
         "the worthier would have no room"
     );
-    left.classes[1].offered = false;
+    left.classes[1].enabled = false;
     front.feed(Event::Settings(Box::new(left)));
     assert!(sent_to(&front.request().1).is_some());
 }
@@ -1455,8 +1460,8 @@
 #[test]
 fn the_dearer_wasted_work_is_the_less_room_there_is() {
     let sent = |waste: f64| {
-        let mut dear = settings(Effect::Repeatable);
-        dear.limits.parallel_tries = true;
+        let mut dear = settings(Idempotency::Idempotent);
+        dear.limits.parallel_attempts = true;
         dear.penalties.waste = waste;
         let mut front = Front::new(dear, 1);
         teach(&mut front, 10, 60.0);
@@ -1471,7 +1476,7 @@
 /// Each try at a full upstream costs a connection, and in a burst all are full: ub-calendar 2.5 attempts a request.
 #[test]
 fn a_third_try_after_two_full_upstreams_is_paid_for() {
-    let mut front = Front::new(settings(Effect::Repeatable), 300);
+    let mut front = Front::new(settings(Idempotency::Idempotent), 300);
     let mut attempts = Vec::new();
     for _ in 0..40 {
         let (request, mut actions) = front.request();
@@ -1492,9 +1497,9 @@
 
 /// Settings of a class that keeps order and must not run twice; a key rests 200 ms.
 fn ordered() -> Settings {
-    let mut settings = settings(Effect::Once);
+    let mut settings = settings(Idempotency::NonIdempotent);
     settings.classes[0].in_order = true;
-    settings.rules.turn_gap = 200.0;
+    settings.rules.ordered_key_gap = 200.0;
     settings
 }
 
@@ -1600,8 +1605,8 @@
 
 #[test]
 fn where_clocks_differ_a_request_whose_time_seems_over_is_still_served() {
-    let mut skewed = settings(Effect::Repeatable);
-    skewed.rules.deadline_error = 1500.0;
+    let mut skewed = settings(Idempotency::Idempotent);
+    skewed.rules.deadline_skew = 1500.0;
     let mut front = Front::new(skewed, 4);
     let told = front.now - 300.0;
     let sent = front.feed(Event::Request(Arrival {
@@ -1622,44 +1627,47 @@
 #[test]
 fn where_only_draining_binds_one_that_is_gone_serves_until_it_fails() {
     for soft_removal in [false, true] {
-        let mut soft = settings(Effect::Repeatable);
+        let mut soft = settings(Idempotency::Idempotent);
         soft.rules.soft_removal = soft_removal;
         let mut front = Front::new(soft, 2);
-        let list = |front: &mut Front, id, standing| {
+        let list = |front: &mut Front, id, readiness| {
             let entries = vec![Entry {
-                standing,
+                readiness,
                 ..entry(id)
             }];
             front.feed(Event::List {
-                kind: ListKind::Patch,
+                kind: ListKind::Delta,
                 entries,
             });
         };
-        list(&mut front, 1, Standing::Gone);
+        list(&mut front, 1, Readiness::Removed);
         assert_eq!(front.spread(50).contains(&1), soft_removal);
         // Left out of a full list is no more than that either.
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries: vec![entry(0)],
         });
         assert_eq!(front.spread(50).contains(&1), soft_removal);
         // A drain binds, whatever the list says after it.
-        list(&mut front, 0, Standing::Draining);
-        list(&mut front, 0, Standing::Gone);
+        list(&mut front, 0, Readiness::Draining);
+        list(&mut front, 0, Readiness::Removed);
         assert!((0..50).all(|_| sent_to(&front.request().1) != Some(0)));
     }
 }
 
 #[test]
 fn where_starts_are_told_wrongly_one_is_cold_for_longer() {
-    let sends = |start_drift| {
-        let mut drifting = settings(Effect::Repeatable);
-        drifting.rules.start_drift = start_drift;
+    let sends = |start_time_error| {
+        let mut drifting = settings(Idempotency::Idempotent);
+        drifting.rules.start_time_error = start_time_error;
         let mut front = Front::new(drifting, 2);
         let since = Some(front.now - 8000.0);
         front.feed(Event::List {
-            kind: ListKind::Patch,
-            entries: vec![Entry { since, ..entry(1) }],
+            kind: ListKind::Delta,
+            entries: vec![Entry {
+                started_at: since,
+                ..entry(1)
+            }],
         });
         front.spread(400).iter().filter(|to| **to == 1).count()
     };
@@ -1674,10 +1682,10 @@
 /// portail-rural: 83% of requests crossed zones at a fifth of a request's worth each.
 #[test]
 fn where_crossing_costs_much_near_ones_go_first_whatever_probes_say() {
-    for (cross_zone, warm_keys) in [(0.0, true), (0.2, true), (0.2, false)] {
-        let mut priced = settings(Effect::Repeatable);
+    for (cross_zone, key_affinity) in [(0.0, true), (0.2, true), (0.2, false)] {
+        let mut priced = settings(Idempotency::Idempotent);
         priced.penalties.cross_zone = cross_zone;
-        priced.warm_keys = warm_keys;
+        priced.key_affinity = key_affinity;
         let mut front = Front::new(priced, 0);
         let zoned = |id: u32| Entry {
             zone: ZoneId(id % 3),
@@ -1685,14 +1693,14 @@
         };
         let mut entries: Vec<Entry> = (0..12).map(zoned).collect();
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries: entries.clone(),
         });
         // Deep probes wait in the queues of the near ones.
         (0..12).for_each(|id| drop(front.probe(id, if id % 3 == 0 { 60.0 } else { 8.0 }, true)));
         let to = |front: &mut Front, n: u64| {
             ask(front, n, n % 40)
-                .unwrap_or_else(|| panic!("no send of {n}, {cross_zone} {warm_keys}"))
+                .unwrap_or_else(|| panic!("no send of {n}, {cross_zone} {key_affinity}"))
                 % 3
         };
         let far = (100..300).filter(|n| to(&mut front, *n) != 0).count();
@@ -1711,7 +1719,7 @@
         // None near: the far ones serve.
         entries.retain(|entry| entry.zone != ZoneId(0));
         front.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries,
         });
         assert!((300..340).all(|n| to(&mut front, n) != 0));
@@ -1722,8 +1730,8 @@
 #[test]
 fn a_part_is_no_larger_than_its_cover_by_all_balancers_asks_for() {
     let mut cheap = Settings {
-        siblings: 200,
-        ..settings(Effect::Repeatable)
+        balancer_count: 200,
+        ..settings(Idempotency::Idempotent)
     };
     cheap.penalties.probe = 0.0;
     let mut front = Front::new(cheap, 120);
@@ -1736,12 +1744,12 @@
 /// Hunted at portail-rural: of a zone with most of the traffic, a cold one was sent 5.9 times what it could do.
 #[test]
 fn a_cold_one_among_few_near_ones_gets_its_part_of_what_is_sent() {
-    let mut priced = settings(Effect::Repeatable);
+    let mut priced = settings(Idempotency::Idempotent);
     priced.penalties.cross_zone = 0.2;
     let mut front = Front::new(priced, 0);
     let since = Some(front.now - 1.0);
     let cold = Entry {
-        since,
+        started_at: since,
         zone: ZoneId(0),
         ..entry(0)
     };
@@ -1760,7 +1768,7 @@
     .chain(far)
     .collect();
     front.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries,
     });
     (0..6).for_each(|id| drop(front.probe(id, if id < 2 { 1.0 } else { 8.0 }, true)));
@@ -1794,7 +1802,7 @@
 #[test]
 fn as_many_overdue_as_buffers_and_the_eldest_is_over() {
     for (buffers, ended) in [(Some(3), true), (Some(4), false), (None, false)] {
-        let mut buffered = settings(Effect::Once);
+        let mut buffered = settings(Idempotency::NonIdempotent);
         buffered.limits.answer_buffers = buffers;
         let mut front = Front::new(buffered, 3);
         front.spread(20);
@@ -1823,7 +1831,7 @@
 /// Hunted at lagos-main: a third of all requests were bad in themselves; all upstreams rested, 72% were refused.
 #[test]
 fn errors_that_come_from_all_alike_let_none_rest() {
-    let mut front = Front::new(settings(Effect::Once), 6);
+    let mut front = Front::new(settings(Idempotency::NonIdempotent), 6);
     (0..6).for_each(|id| drop(front.probe(id, 1.0, true)));
     let mut refused_at_last = 0;
     for n in 0..600 {
--- a/crates/sandtrack-balancer/tests/invariants.rs
+++ b/crates/sandtrack-balancer/tests/invariants.rs
@@ -23,7 +23,7 @@
         (any::<u8>(), -20i8..20).prop_map(|(class, off)| Step::Arrive(class, off)),
         (any::<u8>(), 0u8..8).prop_map(|(which, outcome)| Step::Finish(which, outcome)),
         (any::<u8>(), any::<bool>()).prop_map(|(which, ok)| Step::Probe(which, ok)),
-        (0u8..6, 0u8..4).prop_map(|(which, standing)| Step::List(which, standing)),
+        (0u8..6, 0u8..4).prop_map(|(which, readiness)| Step::List(which, readiness)),
         Just(Step::Broken),
         any::<u8>().prop_map(Step::Gone),
     ]
@@ -98,24 +98,24 @@
         let ledger = self.requests.get_mut(&id).unwrap();
         assert!(!ledger.closed, "sent for a closed request");
         assert!(
-            now < ledger.not_after || settings.rules.deadline_error > 0.0,
+            now < ledger.not_after || settings.rules.deadline_skew > 0.0,
             "sent past the deadline"
         );
         assert!(ledger.sent.len() < 4, "more attempts than allowed");
         let out = ledger.sent.iter().filter(|s| s.outcome.is_none()).count();
         assert!(
-            settings.limits.parallel_tries || out == 0,
+            settings.limits.parallel_attempts || out == 0,
             "two attempts out together"
         );
         for earlier in ledger.sent.iter().filter(|s| !s.never_ran()) {
-            match settings.classes[ledger.class].effect {
-                Effect::Repeatable => {}
-                Effect::Once => panic!("an unsafe request was sent again"),
-                Effect::Keyed { group, window } => {
+            match settings.classes[ledger.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::Keyed { scope, window } => {
                     // Every upstream is a zone and a cell of its own here.
                     assert!(
-                        group == Group::All || earlier.upstream == upstream,
-                        "left its group"
+                        scope == DedupScope::All || earlier.upstream == upstream,
+                        "left its scope"
                     );
                     assert!(now <= earlier.at + window, "past its window");
                 }
@@ -153,7 +153,7 @@
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
                 );
                 assert!(
-                    !may_run || now >= at + self.settings.rules.turn_gap,
+                    !may_run || now >= at + self.settings.rules.ordered_key_gap,
                     "sent while its key rested"
                 );
             }
@@ -164,13 +164,14 @@
         let now = self.front.now;
         let ledger = self.requests.get_mut(&id).unwrap();
         assert!(!ledger.closed, "a second final answer");
-        let latest = ledger.not_after + 5.0 + self.settings.rules.deadline_error;
+        let latest = ledger.not_after + 5.0 + self.settings.rules.deadline_skew;
         assert!(now <= latest, "answered too late");
         let may_have_run = ledger.sent.iter().any(|s| !s.never_ran());
-        let harmless = match self.settings.classes[ledger.class].effect {
-            Effect::Repeatable
-            | Effect::Keyed {
-                group: Group::All, ..
+        let harmless = match self.settings.classes[ledger.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DedupScope::All,
+                ..
             } => true,
             _ => !may_have_run,
         };
@@ -234,19 +235,19 @@
     #[test]
     fn rules_hold_on_any_legal_sequence(
         steps in proptest::collection::vec(step(), 1..250), parallel: bool, on_probe: bool, cheap_probes: bool,
-        siblings in prop_oneof![1u32..8, 100u32..800], upstreams in prop_oneof![1u32..8, 100u32..400],
-        in_order: bool, soft_removal: bool, deadline_error in prop_oneof![Just(0.0), Just(500.0)],
+        balancer_count in prop_oneof![1u32..8, 100u32..800], upstreams in prop_oneof![1u32..8, 100u32..400],
+        in_order: bool, soft_removal: bool, deadline_skew in prop_oneof![Just(0.0), Just(500.0)],
     ) {
-        let keyed = |group| Effect::Keyed { group, window: 600.0 };
-        let mut settings = settings(Effect::Repeatable);
-        let effects = [Effect::Once, keyed(Group::All), keyed(Group::Zone), keyed(Group::Cell)];
+        let keyed = |scope| Idempotency::Keyed { scope, window: 600.0 };
+        let mut settings = settings(Idempotency::Idempotent);
+        let effects = [Idempotency::NonIdempotent, keyed(DedupScope::All), keyed(DedupScope::Zone), keyed(DedupScope::Cell)];
         settings.classes.extend(effects.map(class));
-        settings.limits.parallel_tries = parallel;
-        settings.siblings = siblings;
+        settings.limits.parallel_attempts = parallel;
+        settings.balancer_count = balancer_count;
         settings.feedback = if on_probe { Feedback::OnProbe } else { Feedback::Inline };
         settings.penalties.probe = if cheap_probes { 0.002 } else { 0.02 };
         settings.classes.iter_mut().for_each(|class| class.in_order = in_order);
-        settings.rules = Rules { turn_gap: 150.0, deadline_error, soft_removal, ..settings.rules };
+        settings.rules = Rules { ordered_key_gap: 150.0, deadline_skew, soft_removal, ..settings.rules };
         let mut front = Front::new(settings.clone(), upstreams);
         front.now += 1.0;
         let mut world = World {
@@ -262,7 +263,7 @@
                     let class = class as usize % world.settings.classes.len();
                     // Within the class's time, and told wrongly by as much as the settings say at most.
                     let not_after = world.front.now + 600.0 + f64::from(off) * 20.0;
-                    let told = not_after + f64::from(off) / 20.0 * deadline_error;
+                    let told = not_after + f64::from(off) / 20.0 * deadline_skew;
                     world.requests.insert(next, Ledger { class, not_after, key, ..Ledger::default() });
                     let arrival = Arrival { not_after: told, key, ..arrival(next, world.front.now) };
                     let (class, retry) = (ClassId(class), next % 3 == 0);
@@ -283,23 +284,23 @@
                     let upstream = UpstreamId(u32::from(which) % upstreams);
                     world.feed(Event::Probed { upstream, elapsed: f64::from(which), ok, report });
                 }
-                Step::List(which, standing) => {
+                Step::List(which, readiness) => {
                     let id = u32::from(which);
-                    let (standing, since) = match standing {
-                        0 => (Standing::Ready, None),
-                        1 => (Standing::Ready, Some(world.front.now - 10.0)),
-                        2 => (Standing::Draining, None),
-                        _ => (Standing::Gone, None),
+                    let (readiness, since) = match readiness {
+                        0 => (Readiness::Ready, None),
+                        1 => (Readiness::Ready, Some(world.front.now - 10.0)),
+                        2 => (Readiness::Draining, None),
+                        _ => (Readiness::Removed, None),
                     };
-                    match standing {
-                        Standing::Ready => world.closed_to_new.remove(&id),
-                        Standing::Gone if soft_removal => false,
+                    match readiness {
+                        Readiness::Ready => world.closed_to_new.remove(&id),
+                        Readiness::Removed if soft_removal => false,
                         _ => world.closed_to_new.insert(id),
                     };
-                    let entries = vec![Entry { standing, since, ..entry(id) }];
-                    world.feed(Event::List { kind: ListKind::Patch, entries });
+                    let entries = vec![Entry { readiness, started_at: since, ..entry(id) }];
+                    world.feed(Event::List { kind: ListKind::Delta, entries });
                 }
-                Step::Broken => world.feed(Event::ListBroken),
+                Step::Broken => world.feed(Event::ListFailed),
                 Step::Gone(which) => {
                     let open: Vec<u64> =
                         world.requests.iter().filter(|(_, l)| !l.closed).map(|(id, _)| *id).collect();
@@ -321,7 +322,7 @@
     #[test]
     fn the_same_events_give_the_same_actions(classes in proptest::collection::vec(0u8..8, 1..60)) {
         let run = || {
-            let mut front = Front::new(settings(Effect::Repeatable), 5);
+            let mut front = Front::new(settings(Idempotency::Idempotent), 5);
             for outcome in &classes {
                 front.now += 7.0;
                 front.probe(u32::from(*outcome % 5), f64::from(*outcome), true);
--- a/crates/sandtrack-settings/src/lib.rs
+++ b/crates/sandtrack-settings/src/lib.rs
@@ -81,10 +81,10 @@
     /// once comes back in its place, so going to and fro adds nothing.
     pub fn follow(&mut self, before: &Settings, classes: &[String], tenants: &[String]) {
         let (mut kept, mut names) = (before.classes.clone(), classes.to_vec());
-        kept.iter_mut().for_each(|class| class.offered = false);
+        kept.iter_mut().for_each(|class| class.enabled = false);
         let same = |kept: &Class, new: &Class| {
             Class {
-                offered: true,
+                enabled: true,
                 ..kept.clone()
             } == *new
         };
@@ -96,7 +96,7 @@
         );
         (self.settings.classes, self.classes) = (kept, names);
         let (mut kept, mut names) = (before.tenants.clone(), tenants.to_vec());
-        kept.iter_mut().for_each(|tenant| tenant.offered = false);
+        kept.iter_mut().for_each(|tenant| tenant.enabled = false);
         // Of a tenant no promise hangs on its terms: the new ones count for all of its requests.
         let same = |_: &Tenant, _: &Tenant| true;
         behind(
@@ -440,34 +440,34 @@
 
 fn settings(config: &Document, zone: ZoneId) -> Settings {
     let class = |class: &ClassDoc| Class {
-        aim: class.aim,
-        aim_stretch: class.aim_stretch,
+        target_latency: class.aim,
+        target_stretch: class.aim_stretch,
         deadline: class.deadline,
         // The strictest for any effect not known here, and the narrowest scope.
-        effect: match class.effect.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "by_key" => Effect::Keyed {
-                group: match class.key_scope.as_deref() {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    _ => Group::Cell,
+        idempotency: match class.effect.as_str() {
+            "repeatable" => Idempotency::Idempotent,
+            "by_key" => Idempotency::Keyed {
+                scope: match class.key_scope.as_deref() {
+                    Some("all") => DedupScope::All,
+                    Some("zone") => DedupScope::Zone,
+                    _ => DedupScope::Cell,
                 },
                 window: class.window,
             },
-            _ => Effect::Once,
+            _ => Idempotency::NonIdempotent,
         },
-        worth: class.value,
-        late_worth: class.late_worth,
+        value: class.value,
+        late_value: class.late_worth,
         stream: class.stream,
         in_order: class.fifo_by_key,
-        offered: true,
+        enabled: true,
     };
     let limits = &config.limits;
     let (prices, rules) = (&config.penalties, &config.rules);
     Settings {
         zone,
-        me: config.me,
-        siblings: config.siblings.unwrap_or(1).max(1),
+        balancer_index: config.me,
+        balancer_count: config.siblings.unwrap_or(1).max(1),
         classes: config.classes.iter().map(class).collect(),
         tenants: config
             .orgs
@@ -475,10 +475,10 @@
             .map(|org| Tenant {
                 portion: org.portion,
                 quota_rps: org.quota_rps,
-                offered: true,
+                enabled: true,
             })
             .collect(),
-        over_share_worth: config.over_share_worth.unwrap_or(1.0),
+        over_share_value: config.over_share_worth.unwrap_or(1.0),
         discovery_on_request: config.discovery.as_deref() == Some("on_request"),
         feedback: match config.feedback.how.as_deref() {
             Some("inline") => Feedback::Inline,
@@ -491,16 +491,16 @@
             Some("live") => Weights::Live,
             _ => Weights::Off,
         },
-        warm_keys: config.domain.warm_keys,
+        key_affinity: config.domain.warm_keys,
         goal: Goal {
-            tail: config.scoring_mix.tail,
+            tail_weight: config.scoring_mix.tail,
             miss_allowed: config.scoring_mix.miss_allowed,
         },
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
             peers: limits.peers,
-            parallel_tries: limits.parallel_tries,
+            parallel_attempts: limits.parallel_tries,
             max_attempts: limits.max_attempts,
             max_open: limits.max_open.unwrap_or(u32::MAX),
             max_retry_after: limits.retry_after.then_some(limits.max_retry_after),
@@ -516,17 +516,17 @@
         },
         rules: Rules {
             answer_slack: rules.answer_slack,
-            ask_within: rules.ask_within,
-            cold_share: rules.cold_share,
-            cold: rules.cold,
+            list_retry_limit: rules.ask_within,
+            cold_capacity: rules.cold_share,
+            warmup: rules.cold,
             drain_grace: rules.drain_grace,
-            fall: rules.fall,
-            fall_multiple: rules.fall_multiple,
-            turn_gap: rules.turn_gap,
-            deadline_error: rules.deadline_error,
-            start_drift: rules.start_drift,
+            overload_window: rules.fall,
+            overload_factor: rules.fall_multiple,
+            ordered_key_gap: rules.turn_gap,
+            deadline_skew: rules.deadline_error,
+            start_time_error: rules.start_drift,
             soft_removal: rules.soft_removal,
         },
-        step: config.step.unwrap_or(1.0),
+        event_interval: config.step.unwrap_or(1.0),
     }
 }
--- a/crates/sandtrack-sidecar-core/src/reducer.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer.rs
@@ -7,7 +7,7 @@
 use crate::message::{self, Flow, Head, Message};
 use crate::metrics::{End, Figures};
 use lists::Broken;
-use sandtrack_balancer::interface::Effect as Repeats;
+use sandtrack_balancer::interface::Idempotency as Repeats;
 use sandtrack_balancer::interface::*;
 use sandtrack_balancer::Balancer;
 use sandtrack_settings::{identity, Checked, Names};
--- a/crates/sandtrack-sidecar-core/src/reducer/clients.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/clients.rs
@@ -294,7 +294,7 @@
     /// The class of that name. A name may have been there with other terms before.
     fn class(&self, class: &str) -> Option<usize> {
         let mut classes = self.settings.classes.iter().zip(&self.classes);
-        classes.position(|(terms, name)| terms.offered && name == class)
+        classes.position(|(terms, name)| terms.enabled && name == class)
     }
 
     /// The request in the module's words, or the status that says what is wrong with it.
@@ -328,10 +328,10 @@
         let settings = &self.settings.classes[class];
         // The method follows from the class, and upstreams turn away what contradicts itself.
         let key = get("Idempotency-Key");
-        let (method, fits) = match settings.effect {
-            Repeats::Repeatable => ("GET", key.is_none() && message.body.is_empty() && !flows),
+        let (method, fits) = match settings.idempotency {
+            Repeats::Idempotent => ("GET", key.is_none() && message.body.is_empty() && !flows),
             Repeats::Keyed { .. } => ("POST", key.is_some_and(|key| !key.is_empty())),
-            Repeats::Once => ("POST", key.is_none()),
+            Repeats::NonIdempotent => ("POST", key.is_none()),
         };
         if head.method != method {
             return Err((405, "method"));
@@ -340,9 +340,9 @@
             return Err((400, "Idempotency-Key or a body"));
         }
         let tenant = match get("X-Caller") {
-            Some(name) if self.settings.tenants.iter().any(|tenant| tenant.offered) => {
+            Some(name) if self.settings.tenants.iter().any(|tenant| tenant.enabled) => {
                 let mut tenants = self.settings.tenants.iter().zip(&self.tenants);
-                let place = tenants.position(|(tenant, known)| tenant.offered && known == name);
+                let place = tenants.position(|(tenant, known)| tenant.enabled && known == name);
                 Some(TenantId(place.ok_or((400, "X-Caller"))?))
             }
             _ => None,
--- a/crates/sandtrack-sidecar-core/src/reducer/flows.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/flows.rs
@@ -70,7 +70,7 @@
             .extend(client.map(|conn| Effect::MoreClient { conn }));
         if first {
             self.timers.clear(Timer::Deadline(id));
-            self.events.push_back(Event::Opened {
+            self.events.push_back(Event::ResponseStarted {
                 request: id,
                 attempt: n,
             });
@@ -234,7 +234,7 @@
         self.timers.clear(Timer::Answer(conn));
         self.timers.clear(Timer::Hold(conn));
         if self.settings.classes[class].stream {
-            self.events.push_back(Event::Opened {
+            self.events.push_back(Event::ResponseStarted {
                 request: id,
                 attempt: n,
             });
--- a/crates/sandtrack-sidecar-core/src/reducer/leaving.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/leaving.rs
@@ -8,7 +8,7 @@
         if self
             .servers
             .values()
-            .any(|server| server.standing == Standing::Gone)
+            .any(|server| server.standing == Readiness::Removed)
         {
             self.forget_gone();
         }
--- a/crates/sandtrack-sidecar-core/src/reducer/links.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/links.rs
@@ -18,7 +18,7 @@
             self.attempt_ended(id, n, Outcome::Moot, self.now, None);
             return;
         }
-        let once = self.settings.classes[request.class].effect == Repeats::Once;
+        let once = self.settings.classes[request.class].idempotency == Repeats::NonIdempotent;
         let fresh = self.conn_idle * if once { DOUBTFUL } else { RETIRE };
         self.dispatch(Job::Attempt(id, n), server, Some(fresh));
     }
@@ -521,7 +521,7 @@
             "inflight" | "active" => &mut report.active,
             "queue" | "waiting" => &mut report.waiting,
             "util" | "cpu" => &mut report.cpu,
-            "latency_ms" | "avg_ms" => &mut report.service,
+            "latency_ms" | "avg_ms" => &mut report.service_time,
             _ => continue,
         };
         let value = value
--- a/crates/sandtrack-sidecar-core/src/reducer/lists.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/lists.rs
@@ -26,7 +26,7 @@
         let gone = self
             .servers
             .iter()
-            .filter(|(number, s)| s.told.standing == Standing::Gone && !waits(number));
+            .filter(|(number, s)| s.told.readiness == Readiness::Removed && !waits(number));
         let gone = gone.filter(|(number, _)| !self.is_open(**number));
         let gone: Vec<u32> = gone.map(|(number, _)| *number).collect();
         for server in gone.iter().filter_map(|number| self.servers.remove(number)) {
@@ -39,7 +39,7 @@
         let standing = self.servers.get(&number).map(|server| server.standing);
         let kept =
             || self.settings.rules.soft_removal && self.balancer.fleet().offers(UpstreamId(number));
-        standing == Some(Standing::Ready) || standing == Some(Standing::Gone) && kept()
+        standing == Some(Readiness::Ready) || standing == Some(Readiness::Removed) && kept()
     }
 
     pub(super) fn subscribe(&mut self) {
@@ -66,7 +66,7 @@
         (self.conn_idle, self.connect_timeout, self.pushed) = on_sockets(&mut checked);
         let mut settings = checked.settings;
         settings.zone = ZoneId(self.zones.intern(checked.zones.name(settings.zone.0)));
-        settings.siblings = self.siblings(settings.siblings);
+        settings.balancer_count = self.siblings(settings.balancer_count);
         (self.classes, self.tenants) = (checked.classes, checked.tenants);
         self.settings = settings.clone();
         self.events.push_back(Event::Settings(Box::new(settings)));
@@ -95,9 +95,9 @@
         self.watch_heard();
         self.generation = Some(catalog.generation);
         let kind = if catalog.reset {
-            ListKind::Whole
+            ListKind::Full
         } else {
-            ListKind::Patch
+            ListKind::Delta
         };
         tracing::info!(
             generation = catalog.generation,
@@ -137,7 +137,7 @@
         } else if self.watch_heard || self.pushed {
             self.timers.set(Timer::Reopen, self.reopen_at());
         } else {
-            self.events.push_back(Event::ListBroken);
+            self.events.push_back(Event::ListFailed);
         }
     }
 
@@ -147,16 +147,18 @@
         let soon = self.now + (rules.drain_grace * REOPEN).clamp(REOPEN_RANGE[0], REOPEN_RANGE[1]);
         match self.pushed {
             true => soon,
-            false => soon.max(self.watch_called + rules.ask_within * CALLS_APART),
+            false => soon.max(self.watch_called + rules.list_retry_limit * CALLS_APART),
         }
     }
 
     pub(super) fn list(&mut self, kind: ListKind, instances: Vec<Instance>) {
         let mut before = Vec::new();
-        if kind != ListKind::Patch {
+        if kind != ListKind::Delta {
             for (number, server) in &mut self.servers {
-                server.standing = Standing::Gone;
-                if std::mem::replace(&mut server.told.standing, Standing::Gone) != Standing::Gone {
+                server.standing = Readiness::Removed;
+                if std::mem::replace(&mut server.told.readiness, Readiness::Removed)
+                    != Readiness::Removed
+                {
                     before.push(*number);
                 }
             }
@@ -169,7 +171,7 @@
             let left = self
                 .servers
                 .get(&number)
-                .filter(|server| server.told.standing == Standing::Gone);
+                .filter(|server| server.told.readiness == Readiness::Removed);
             if let Some(server) = left {
                 tracing::info!(upstream = server.name, "left the list");
                 self.drop_idle(number);
@@ -181,9 +183,9 @@
     pub(super) fn entry(&mut self, instance: Instance) -> Entry {
         let address: Option<SocketAddr> = instance.host_port.parse().ok();
         let standing = match instance.lifecycle {
-            Lifecycle::Serving => Standing::Ready,
-            Lifecycle::Draining => Standing::Draining,
-            Lifecycle::Deleted => Standing::Gone,
+            Lifecycle::Serving => Readiness::Ready,
+            Lifecycle::Draining => Readiness::Draining,
+            Lifecycle::Deleted => Readiness::Removed,
         };
         // Wall time is mapped to the clock by its zero alone, so that one start always gives one figure.
         let started = instance.started_at_ms;
@@ -200,15 +202,15 @@
         let told = Entry {
             upstream: UpstreamId(number),
             identity: told_as,
-            standing,
+            readiness: standing,
             cell: instance.cell,
-            kind: self.kinds.intern(&instance.machine_type),
+            machine_type: self.kinds.intern(&instance.machine_type),
             scale: instance
                 .weight
                 .filter(|w| w.is_finite() && *w > 0.0)
                 .unwrap_or(scale),
             zone: ZoneId(self.zones.intern(&instance.zone)),
-            since,
+            started_at: since,
         };
         let kept = told.clone();
         let new = || Server {
@@ -237,11 +239,11 @@
         if let Some(back) = self.by_hand.back.get(&server.name) {
             server.back = Some(*back as f64 - self.epoch);
         }
-        let standing = match server.told.standing {
-            Standing::Ready if self.by_hand.out.contains(&server.name) => Standing::Draining,
+        let standing = match server.told.readiness {
+            Readiness::Ready if self.by_hand.out.contains(&server.name) => Readiness::Draining,
             told => told,
         };
-        let since = [server.told.since, server.back]
+        let since = [server.told.started_at, server.back]
             .into_iter()
             .flatten()
             .reduce(f64::max);
@@ -251,12 +253,12 @@
         }
         (server.since, server.standing) = (since, standing);
         let entry = Entry {
-            standing,
-            since,
+            readiness: standing,
+            started_at: since,
             ..server.told.clone()
         };
         // Connections to a former process, or to one that takes nothing more, are of no use.
-        if restarted || standing != Standing::Ready {
+        if restarted || standing != Readiness::Ready {
             self.drop_idle(number);
         }
         Some(entry)
--- a/crates/sandtrack-sidecar-core/src/reducer/members.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/members.rs
@@ -30,7 +30,7 @@
     /// It is a member of a fleet. `identity` was checked.
     pub fn with_fleet(mut self, identity: Identity, seed: u64) -> Self {
         let now = whole(self.now);
-        let budget = Budget::new(self.settings.siblings, now);
+        let budget = Budget::new(self.settings.balancer_count, now);
         let fleet = Fleet::new(identity, seed, now);
         self.members = Some(Members {
             fleet,
@@ -143,9 +143,13 @@
             return;
         };
         let siblings = members.budget.follow(&members.fleet, whole(self.now));
-        if siblings != self.settings.siblings {
-            tracing::info!(siblings, before = self.settings.siblings, "members counted");
-            self.settings.siblings = siblings;
+        if siblings != self.settings.balancer_count {
+            tracing::info!(
+                siblings,
+                before = self.settings.balancer_count,
+                "members counted"
+            );
+            self.settings.balancer_count = siblings;
             self.events
                 .push_back(Event::Settings(Box::new(self.settings.clone())));
         }
@@ -169,7 +173,7 @@
             "view": view.word(),
             "reason": reason,
             "view_since_ms": since,
-            "siblings": self.settings.siblings,
+            "siblings": self.settings.balancer_count,
             "members": list,
         });
         Some(text.to_string() + "\n")
@@ -194,7 +198,7 @@
             ("fleet_failed", state(State::Failed)),
             ("fleet_left", state(State::Left)),
             ("fleet_view", view),
-            ("fleet_siblings", u64::from(self.settings.siblings)),
+            ("fleet_siblings", u64::from(self.settings.balancer_count)),
             ("fleet_doubt", u64::from(fleet.score())),
             ("fleet_datagrams_in", counts.datagrams_in),
             ("fleet_datagrams_out", counts.datagrams_out),
--- a/crates/sandtrack-sidecar-core/src/reducer/staff.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/staff.rs
@@ -199,7 +199,7 @@
             .collect();
         if !entries.is_empty() {
             self.events.push_back(Event::List {
-                kind: ListKind::Patch,
+                kind: ListKind::Delta,
                 entries,
             });
         }
@@ -217,7 +217,7 @@
         let listed = || {
             self.servers
                 .iter()
-                .filter(|(_, server)| server.told.standing != Standing::Gone)
+                .filter(|(_, server)| server.told.readiness != Readiness::Removed)
         };
         let avoided = |number: u32| self.balancer.fleet().avoids(UpstreamId(number), self.now);
         Levels {
--- a/crates/sandtrack-sidecar-core/src/reducer/tables.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/tables.rs
@@ -210,7 +210,7 @@
     /// What discovery says of it ...
     pub(super) told: Entry,
     /// ... and what goes, as staff's orders go before that.
-    pub(super) standing: Standing,
+    pub(super) standing: Readiness,
     pub(super) since: Option<Millis>,
     /// When staff last took it back.
     pub(super) back: Option<Millis>,
--- a/crates/sandtrack-sidecar-simulator/benches/emulator.rs
+++ b/crates/sandtrack-sidecar-simulator/benches/emulator.rs
@@ -41,18 +41,18 @@
         let entry = |id| Entry {
             upstream: UpstreamId(id),
             identity: u64::from(id),
-            standing: Standing::Ready,
+            readiness: Readiness::Ready,
             cell: 0,
-            kind: 0,
+            machine_type: 0,
             scale: 1.0,
             zone: ZoneId(id % 4),
-            since: None,
+            started_at: None,
         };
         let entries = (0..upstreams).map(entry).collect();
         balancer.handle(
             0.0,
             Event::List {
-                kind: ListKind::Whole,
+                kind: ListKind::Full,
                 entries,
             },
             &mut actions,
--- a/crates/sandtrack-sidecar-simulator/src/baseline.rs
+++ b/crates/sandtrack-sidecar-simulator/src/baseline.rs
@@ -52,18 +52,18 @@
         match event {
             Event::Start => actions.push(Action::Subscribe),
             Event::List { kind, entries } => {
-                if kind != ListKind::Patch {
+                if kind != ListKind::Delta {
                     self.listed.clear();
                 }
                 for entry in entries {
                     self.listed.retain(|id| *id != entry.upstream);
-                    if entry.standing == Standing::Ready {
+                    if entry.readiness == Readiness::Ready {
                         self.listed.push(entry.upstream);
                     }
                 }
                 self.listed.sort_unstable();
             }
-            Event::ListBroken => {
+            Event::ListFailed => {
                 let at = now + 500.0 + 500.0 * self.rng.gen::<f64>();
                 self.ask_at = Some(at);
                 actions.push(Action::Wake { at });
@@ -157,7 +157,8 @@
         let tried = request.tried.clone();
         let more = (tried.len() as u32) < self.settings.limits.max_attempts
             && now < request.arrival.not_after;
-        let once = self.settings.classes[request.arrival.class.0].effect == Effect::Once;
+        let once = self.settings.classes[request.arrival.class.0].idempotency
+            == Idempotency::NonIdempotent;
         let allowed = more && !(once && tried.iter().any(|(_, ran)| *ran));
         let place = if allowed {
             self.pick(&tried, truth)
@@ -207,7 +208,8 @@
         let Some(request) = self.open.remove(&id) else {
             return;
         };
-        let once = self.settings.classes[request.arrival.class.0].effect == Effect::Once;
+        let once = self.settings.classes[request.arrival.class.0].idempotency
+            == Idempotency::NonIdempotent;
         if request.out {
             let (place, _) = request.tried[request.tried.len() - 1];
             if let Some(out) = self.out.get_mut(&place) {
--- a/crates/sandtrack-sidecar-simulator/src/discovery.rs
+++ b/crates/sandtrack-sidecar-simulator/src/discovery.rs
@@ -1,13 +1,13 @@
 //! Discovery: one worker, calls in turn, late news. It owns the list as it knows it, the queue of calls and the watches, and
 //! must never answer a call out of its turn or hold one longer than its time.
 use crate::server::Micros;
-use sandtrack_balancer::interface::Standing;
+use sandtrack_balancer::interface::Readiness;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     pub server: usize,
-    pub standing: Standing,
+    pub standing: Readiness,
     pub since: Option<Micros>,
 }
 
@@ -147,7 +147,7 @@
     /// It learns of changes; each watch that stands gets them in turn.
     pub fn learn(&mut self, now: Micros, changes: &[Change]) {
         for change in changes {
-            if change.standing == Standing::Gone {
+            if change.standing == Readiness::Removed {
                 self.now_listed.remove(&change.server);
             } else {
                 self.now_listed.insert(change.server, *change);
@@ -198,7 +198,7 @@
 mod tests {
     use super::*;
 
-    fn change(server: usize, standing: Standing) -> Change {
+    fn change(server: usize, standing: Readiness) -> Change {
         Change {
             server,
             standing,
@@ -218,7 +218,7 @@
 
     #[test]
     fn calls_are_answered_in_turn_and_late_ones_fail() {
-        let listed = vec![change(0, Standing::Ready), change(1, Standing::Ready)];
+        let listed = vec![change(0, Readiness::Ready), change(1, Readiness::Ready)];
         let mut discovery = Discovery::new(5.0, 1.0, 1000, listed);
         assert!(discovery.call(ticket(0, 1, None, 0)) && discovery.call(ticket(1, 2, Some(0), 0)));
         assert!(discovery.call(ticket(2, 3, None, 500)));
@@ -231,20 +231,20 @@
 
     #[test]
     fn a_watch_is_told_what_changed_since_and_no_more() {
-        let mut discovery = Discovery::new(5.0, 1.0, 1000, vec![change(0, Standing::Ready)]);
+        let mut discovery = Discovery::new(5.0, 1.0, 1000, vec![change(0, Readiness::Ready)]);
         discovery.call(ticket(0, 1, Some(0), 0));
         discovery.begin();
         assert_eq!(discovery.finish().expect("an answer").changes, []);
         discovery.learn(
             1,
-            &[change(0, Standing::Draining), change(1, Standing::Ready)],
+            &[change(0, Readiness::Draining), change(1, Readiness::Ready)],
         );
-        discovery.learn(2, &[change(0, Standing::Gone)]);
+        discovery.learn(2, &[change(0, Readiness::Removed)]);
         assert_eq!(discovery.begin(), Some(2.0));
         let told = discovery.finish().expect("news");
         assert_eq!(
             told.changes,
-            [change(0, Standing::Gone), change(1, Standing::Ready)]
+            [change(0, Readiness::Removed), change(1, Readiness::Ready)]
         );
         assert_eq!(discovery.begin(), None);
     }
--- a/crates/sandtrack-sidecar-simulator/src/node.rs
+++ b/crates/sandtrack-sidecar-simulator/src/node.rs
@@ -229,12 +229,12 @@
             Entry {
                 upstream: UpstreamId(change.server as u32),
                 identity: change.server as u64,
-                standing: change.standing,
+                readiness: change.standing,
                 cell: 0,
-                kind: 0,
+                machine_type: 0,
                 scale: 1.0,
                 zone: ZoneId(((zone + self.zones - self.me_zone) % self.zones) as u32),
-                since: change.since.map(millis),
+                started_at: change.since.map(millis),
             }
         };
         changes.into_iter().map(entry).collect()
@@ -302,16 +302,16 @@
             } => {
                 self.generation = Some(generation);
                 let kind = if whole {
-                    ListKind::Whole
+                    ListKind::Full
                 } else {
-                    ListKind::Patch
+                    ListKind::Delta
                 };
                 events.push_back(Event::List {
                     kind,
                     entries: self.entries(changes),
                 });
             }
-            In::CallFailed(_) => events.push_back(Event::ListBroken),
+            In::CallFailed(_) => events.push_back(Event::ListFailed),
             In::Wake => events.push_back(Event::Wake),
             In::Connected(_) | In::ConnectionLost(_) | In::Beat(_) => {}
         }
@@ -378,7 +378,7 @@
                     active: Some(active),
                     waiting: Some(waiting),
                     cpu: None,
-                    service: None,
+                    service_time: None,
                 }),
                 _ => None,
             };
@@ -615,9 +615,9 @@
             machine_type: String::new(),
             cell: 0,
             lifecycle: match change.standing {
-                Standing::Ready => Lifecycle::Serving,
-                Standing::Draining => Lifecycle::Draining,
-                Standing::Gone => Lifecycle::Deleted,
+                Readiness::Ready => Lifecycle::Serving,
+                Readiness::Draining => Lifecycle::Draining,
+                Readiness::Removed => Lifecycle::Deleted,
             },
             weight: None,
             started_at_ms: change.since.map_or(0.0, |since| EPOCH + millis(since)),
--- a/crates/sandtrack-sidecar-simulator/src/observer.rs
+++ b/crates/sandtrack-sidecar-simulator/src/observer.rs
@@ -2,7 +2,7 @@
 //! books, shares none with the emulator or the decisions, and must never mend what it sees.
 use crate::scenario::{Effect, Scenario};
 use crate::server::{micros, Micros};
-use sandtrack_balancer::interface::Standing;
+use sandtrack_balancer::interface::Readiness;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -221,8 +221,8 @@
         }
     }
 
-    pub fn told(&mut self, now: Micros, instance: usize, upstream: usize, standing: Standing) {
-        if standing == Standing::Ready {
+    pub fn told(&mut self, now: Micros, instance: usize, upstream: usize, standing: Readiness) {
+        if standing == Readiness::Ready {
             self.told.remove(&(instance, upstream));
         } else {
             self.told.entry((instance, upstream)).or_insert(now);
--- a/crates/sandtrack-sidecar-simulator/src/world.rs
+++ b/crates/sandtrack-sidecar-simulator/src/world.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
 use rand_pcg::Pcg64;
-use sandtrack_balancer::interface::Standing;
+use sandtrack_balancer::interface::Readiness;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
@@ -190,7 +190,7 @@
         }
         let listed = (0..servers.len()).map(|server| Change {
             server,
-            standing: Standing::Ready,
+            standing: Readiness::Ready,
             since: None,
         });
         let d = &s.discovery;
@@ -400,7 +400,7 @@
                 self.kill_server(server);
                 self.learn_later(vec![Change {
                     server,
-                    standing: Standing::Gone,
+                    standing: Readiness::Removed,
                     since: None,
                 }]);
             }
@@ -444,7 +444,7 @@
         let initial: u32 = self.scenario.pools.iter().map(|pool| pool.count).sum();
         let known = (0..initial as usize).map(|server| Change {
             server,
-            standing: Standing::Ready,
+            standing: Readiness::Ready,
             since: None,
         });
         self.feed(instance, In::Start(0, known.collect()));
@@ -1045,7 +1045,7 @@
                     self.kill_server(one);
                     self.learn_later(vec![Change {
                         server: one,
-                        standing: Standing::Gone,
+                        standing: Readiness::Removed,
                         since: None,
                     }]);
                 }
@@ -1086,7 +1086,7 @@
                     self.servers[server].start(self.now);
                     changes.push(Change {
                         server,
-                        standing: Standing::Ready,
+                        standing: Readiness::Ready,
                         since: Some(self.now),
                     });
                 }
@@ -1145,12 +1145,12 @@
         self.learn_later(vec![
             Change {
                 server: old,
-                standing: Standing::Draining,
+                standing: Readiness::Draining,
                 since,
             },
             Change {
                 server: index,
-                standing: Standing::Ready,
+                standing: Readiness::Ready,
                 since: Some(self.now),
             },
         ]);
--- a/crates/sandtrack-sidecar-simulator/tests/instrument.rs
+++ b/crates/sandtrack-sidecar-simulator/tests/instrument.rs
@@ -1,6 +1,6 @@
 //! Whether the instrument measures what it says: closed forms, Little's law, determinism, and the observer on planted breaks.
 use proptest::prelude::*;
-use sandtrack_balancer::interface::Standing;
+use sandtrack_balancer::interface::Readiness;
 use sandtrack_sidecar_simulator::closed;
 use sandtrack_sidecar_simulator::observer::{Answer, Observer, Rule};
 use sandtrack_sidecar_simulator::report::Report;
@@ -380,13 +380,13 @@
 #[test]
 fn the_observer_sees_work_for_one_that_drains_after_the_grace() {
     let mut seen = observer();
-    seen.told(0, 0, 7, Standing::Draining);
+    seen.told(0, 0, 7, Readiness::Draining);
     seen.taken(0, 1, 0, 1_000_000);
     seen.sent(400_000, 0, 1, 7);
     assert_eq!(seen.breaks, []);
     seen.sent(600_000, 0, 1, 7);
     assert_eq!(rules(&seen), [Rule::Drains]);
-    seen.told(700_000, 0, 7, Standing::Ready);
+    seen.told(700_000, 0, 7, Readiness::Ready);
     seen.sent(900_000, 0, 1, 7);
     assert_eq!(seen.breaks.len(), 1);
 }
--- a/crates/sandtrack-simulator-adapter/src/host.rs
+++ b/crates/sandtrack-simulator-adapter/src/host.rs
@@ -114,10 +114,10 @@
             } => {
                 let kind = match scope {
                     wire::Scope::Broken => {
-                        return self.deliver(now, &sidecar, Event::ListBroken, reply)
+                        return self.deliver(now, &sidecar, Event::ListFailed, reply)
                     }
-                    wire::Scope::Patch => ListKind::Patch,
-                    wire::Scope::Whole => ListKind::Whole,
+                    wire::Scope::Patch => ListKind::Delta,
+                    wire::Scope::Whole => ListKind::Full,
                     wire::Scope::StaleCopy => ListKind::Stale,
                 };
                 let Some(instance) = self.instances.get_mut(&sidecar) else {
@@ -195,7 +195,7 @@
                 round_no,
             } => (
                 sidecar,
-                Event::Opened {
+                Event::ResponseStarted {
                     request: RequestId(call.0),
                     attempt: round_no,
                 },
@@ -346,16 +346,16 @@
         Entry {
             upstream: UpstreamId(self.upstreams.intern(&member.upstream)),
             identity: identity(&member.upstream),
-            standing: match member.health {
-                wire::Health::Ready => Standing::Ready,
-                wire::Health::Terminating => Standing::Draining,
-                wire::Health::Gone => Standing::Gone,
+            readiness: match member.health {
+                wire::Health::Ready => Readiness::Ready,
+                wire::Health::Terminating => Readiness::Draining,
+                wire::Health::Gone => Readiness::Removed,
             },
             cell: member.pod,
-            kind: self.kinds.intern(&member.shape),
+            machine_type: self.kinds.intern(&member.shape),
             scale: member.scale.unwrap_or(1.0),
             zone: ZoneId(self.zones.intern(&member.locality)),
-            since: member.since.filter(|since| *since != 0.0),
+            started_at: member.since.filter(|since| *since != 0.0),
         }
     }
 
@@ -425,7 +425,7 @@
         active: telemetry.active,
         waiting: telemetry.waiting,
         cpu: telemetry.cpu,
-        service: telemetry.avg_ms,
+        service_time: telemetry.avg_ms,
     }
 }
 
--- a/crates/sandtrack-simulator-adapter/src/talk.rs
+++ b/crates/sandtrack-simulator-adapter/src/talk.rs
@@ -46,21 +46,24 @@
     pub fn new(settings: &Settings, zone: &str, seed: u64, wall: f64) -> Option<Talk> {
         let identity = Identity {
             cluster: "drill".into(),
-            name: settings.me.to_string().into(),
-            advertise: address(settings.me),
+            name: settings.balancer_index.to_string().into(),
+            advertise: address(settings.balancer_index),
             zone: zone.into(),
             region: String::new().into(),
-            seeds: (0..settings.siblings.min(SEEDS)).map(address).collect(),
+            seeds: (0..settings.balancer_count.min(SEEDS))
+                .map(address)
+                .collect(),
             datagram: PAYLOAD_MOST,
             forget: FORGET,
         };
-        if !settings.limits.peers || settings.me >= 1 << 24 || identity.check().is_err() {
+        if !settings.limits.peers || settings.balancer_index >= 1 << 24 || identity.check().is_err()
+        {
             return None;
         }
         let now = wall as u64;
         let mut fleet = Fleet::new(identity, seed, now);
         fleet.start(now);
-        let budget = Budget::new(settings.siblings, now);
+        let budget = Budget::new(settings.balancer_count, now);
         Some(Talk {
             fleet,
             budget,
@@ -90,8 +93,8 @@
         let datagrams = self.fleet.take_datagrams().into_iter();
         let payloads = datagrams.map(|(to, bytes)| (peer(to), bytes)).collect();
         let siblings = self.budget.follow(&self.fleet, now);
-        let counted = siblings != self.settings.siblings;
-        self.settings.siblings = siblings;
+        let counted = siblings != self.settings.balancer_count;
+        self.settings.balancer_count = siblings;
         // A wake for later than it is due would be late; one that is early is asked for anew.
         let due = self
             .fleet
