--- a/crates/sandtrack-balancer/src/rules/probing.rs
+++ b/crates/sandtrack-balancer/src/rules/probing.rs
@@ -135,7 +135,7 @@
 
     /// One failure more; a lost part is made up for at once.
     pub(super) fn failed(&mut self, now: Millis, place: usize) {
-        let lost = self.fleet[place].failures.failed();
+        let lost = self.fleet[place].failures.record_failure();
         self.time(now, place);
         let upstream = &mut self.fleet[place];
         if !upstream.healthy() && upstream.doubted {
--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -337,7 +337,7 @@
             if entry.started_at != upstream.entry.started_at {
                 // A new process: what the old one taught is void, and it may be cold.
                 upstream.learnt = Learnt::default();
-                upstream.failures.succeeded();
+                upstream.failures.record_success();
             }
             upstream.entry = entry;
             (upstream.listed, upstream.doubted) = (true, false);
@@ -399,7 +399,7 @@
     }
 
     pub fn succeeded(&mut self, now: Millis) {
-        self.failures.succeeded();
+        self.failures.record_success();
         self.heard = now;
     }
 
@@ -417,7 +417,7 @@
         self.doubted = soft && self.listed && self.entry.readiness == Readiness::Ready;
         self.listed = self.doubted;
         if self.doubted && self.failures.is_empty() {
-            self.failures.failed();
+            self.failures.record_failure();
         }
     }
 
--- a/crates/sandtrack-proxy/src/placement/balancer/health_checks.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/health_checks.rs
@@ -99,7 +99,7 @@
     fn probe_succeeded(&mut self, now: Millis, index: usize, elapsed: Millis) {
         let upstream = self.upstreams.get_mut(index);
         upstream.probe_time.sample(elapsed);
-        upstream.failures.succeeded();
+        upstream.failures.record_success();
         upstream.failed_probes = 0;
         upstream.last_seen_at = now;
         self.zone_failures.upstream_seen(&upstream.entry.zone);
@@ -108,7 +108,7 @@
 
     fn probe_failed(&mut self, now: Millis, index: usize) {
         let upstream = self.upstreams.get_mut(index);
-        upstream.failures.failed();
+        upstream.failures.record_failure();
         upstream.failed_probes += 1;
         self.region_round_trips.timed_out(now, &upstream.region);
         self.record_zone_failure(now, index);
--- a/crates/sandtrack-proxy/src/placement/balancer/sends.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/sends.rs
@@ -68,7 +68,7 @@
         });
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         match outcome {
-            SendOutcome::Completed => upstream.failures.succeeded(),
+            SendOutcome::Completed => upstream.failures.record_success(),
             SendOutcome::Rejected | SendOutcome::ServerError => self.back_off(now, index),
             SendOutcome::ConnectionFailed => self.connection_failed(now, index),
             SendOutcome::Cancelled => {}
@@ -92,7 +92,7 @@
         let may_be_alive = self.region_round_trips.get(&upstream.region).is_none()
             && upstream.last_seen_at.is_infinite();
         if !may_be_alive {
-            upstream.failures.failed();
+            upstream.failures.record_failure();
             self.record_zone_failure(now, index);
         }
     }
--- a/crates/sandtrack-tiers/src/probe.rs
+++ b/crates/sandtrack-tiers/src/probe.rs
@@ -57,13 +57,13 @@
     }
 
     /// Adds a failure. Returns whether it is this one that makes the upstream unhealthy.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.0 = self.0.saturating_add(1);
         self.0 == UNHEALTHY_FAILURES
     }
 
     /// A success ends the run: it makes an upstream healthy at once (design).
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.0 = 0;
     }
 
--- a/crates/sandtrack-tiers/tests/probe.rs
+++ b/crates/sandtrack-tiers/tests/probe.rs
@@ -38,22 +38,22 @@
 fn two_consecutive_failures_make_unhealthy_and_one_success_restores() {
     let mut failures = ConsecutiveFailures::default();
     assert!(failures.is_healthy() && failures.is_empty());
-    assert!(!failures.failed());
+    assert!(!failures.record_failure());
     assert!(failures.is_healthy() && !failures.is_empty());
-    failures.succeeded();
+    failures.record_success();
     assert!(
-        !failures.failed() && failures.is_healthy(),
+        !failures.record_failure() && failures.is_healthy(),
         "a success between them ends the run"
     );
     assert!(
-        failures.failed() && !failures.is_healthy(),
+        failures.record_failure() && !failures.is_healthy(),
         "the second in a row"
     );
     assert!(
-        !failures.failed() && !failures.is_healthy(),
+        !failures.record_failure() && !failures.is_healthy(),
         "told only once"
     );
-    failures.succeeded();
+    failures.record_success();
     assert!(failures.is_healthy() && failures.is_empty());
 }
 
@@ -62,7 +62,7 @@
     let mut failures = ConsecutiveFailures::default();
     failures.put_on_trial();
     assert!(failures.is_healthy() && !failures.is_empty());
-    assert!(failures.failed() && !failures.is_healthy());
+    assert!(failures.record_failure() && !failures.is_healthy());
     failures.put_on_trial();
     assert!(failures.is_healthy());
 }
