--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -252,7 +252,7 @@
 
     /// A number for an operator's call that was read completely.
     pub fn call_begun(&mut self, arrival: Arrival) -> u64 {
-        self.calls.begin(arrival)
+        self.calls.register(arrival)
     }
 
     /// A call was read completely and is not made: its caller has left.
--- a/crates/sandtrack-control/src/node/call_context.rs
+++ b/crates/sandtrack-control/src/node/call_context.rs
@@ -22,8 +22,8 @@
         self.leaving && self.peers.all().any(|(_, stays, _)| stays)
     }
 
-    fn last_order(&self, zone: &str) -> u64 {
-        self.control_state.last_order(zone)
+    fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.control_state.last_evacuation_command(zone)
     }
 
     fn accepted_version(&self, command: &Command) -> Option<u64> {
--- a/crates/sandtrack-control/src/node/operator_calls.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -57,7 +57,7 @@
         let is_open = matches!(reply.code, Some(codes::UNSURE | codes::NOT_NOW));
         let target = self
             .call_log
-            .order_without_body(now, call)
+            .bodyless_post_target(now, call)
             .filter(|_| is_open && self.has_quorum(now));
         match target.and_then(|target| {
             self.redirect_target(now)
@@ -116,8 +116,8 @@
                 let command = borsh::to_vec(&command).unwrap_or_default();
                 self.step_replica(now, replication::Input::Submit { call, command }, out);
             }
-            Step::Read { call, question } => {
-                let query = borsh::to_vec(&question).unwrap_or_default();
+            Step::Read { call, query } => {
+                let query = borsh::to_vec(&query).unwrap_or_default();
                 self.step_replica(now, replication::Input::Read { call, query }, out);
             }
         }
--- a/crates/sandtrack-control/src/operator_api/call_age.rs
+++ b/crates/sandtrack-control/src/operator_api/call_age.rs
@@ -61,12 +61,12 @@
     }
 
     /// Whether the process has run without a pause since before the call's connection can have come.
-    pub fn ran_since_before(&self, arrival: &Arrival) -> bool {
+    pub fn ran_since_arrival(&self, arrival: &Arrival) -> bool {
         arrival.queued_since >= self.since
     }
 
     /// The same, and the call is younger than [`MAX_CALL_AGE_MS`].
     pub fn is_recent(&self, now: Millis, arrival: &Arrival) -> bool {
-        self.ran_since_before(arrival) && now - arrival.accepted <= MAX_CALL_AGE_MS
+        self.ran_since_arrival(arrival) && now - arrival.accepted <= MAX_CALL_AGE_MS
     }
 }
--- a/crates/sandtrack-control/src/operator_api/call_log.rs
+++ b/crates/sandtrack-control/src/operator_api/call_log.rs
@@ -14,7 +14,7 @@
 struct OpenCall {
     what: String,
     /// Target of an order without a body: one for a zone.
-    order_without_body: Option<String>,
+    bodyless_post_target: Option<String>,
     /// It changes something, if it is taken.
     is_order: bool,
     /// When it was read.
@@ -56,13 +56,14 @@
             message.body.len()
         );
         let is_order = head.method == "POST";
-        let order_without_body = (is_order && message.body.is_empty()).then(|| head.target.clone());
+        let bodyless_post_target =
+            (is_order && message.body.is_empty()).then(|| head.target.clone());
         let age_when_read = arrival.map_or(0.0, |arrival| now - arrival.accepted);
         self.begun.insert(
             call,
             OpenCall {
                 what,
-                order_without_body,
+                bodyless_post_target,
                 is_order,
                 read: now,
                 age_when_read,
@@ -71,10 +72,10 @@
     }
 
     /// The target of an order for a zone that was read so lately that its caller waits for it still.
-    pub fn order_without_body(&self, now: Millis, call: u64) -> Option<&str> {
+    pub fn bodyless_post_target(&self, now: Millis, call: u64) -> Option<&str> {
         let begun = self.begun.get(&call)?;
         let waits = now - begun.read + begun.age_when_read <= CALLER_TIMEOUT_MS;
-        begun.order_without_body.as_deref().filter(|_| waits)
+        begun.bodyless_post_target.as_deref().filter(|_| waits)
     }
 
     /// A call is answered; nothing where it was answered before.
--- a/crates/sandtrack-control/src/operator_api/pending_calls.rs
+++ b/crates/sandtrack-control/src/operator_api/pending_calls.rs
@@ -32,7 +32,7 @@
         /// Number of the call.
         call: u64,
         /// The query.
-        question: Query,
+        query: Query,
     },
     /// Answer with what this control node knows of itself and the others.
     Status {
@@ -46,7 +46,7 @@
     /// Whether callers are sent to another control node, as this one shuts down.
     fn redirects_callers(&self) -> bool;
     /// Number of the last order for a zone in the committed state here.
-    fn last_order(&self, zone: &str) -> u64;
+    fn last_evacuation_command(&self, zone: &str) -> u64;
     /// The version that a command made, if it is among the configurations accepted last in the committed state here.
     fn accepted_version(&self, command: &Command) -> Option<u64>;
     /// What the committed state here says of a command before it is submitted.
@@ -55,12 +55,12 @@
     fn knows_zone(&self, zone: &str) -> bool;
 }
 
-/// What a call waits for.
+/// What a call awaiting for.
 #[derive(Clone, Debug, PartialEq)]
 enum Awaiting {
     Configuration,
     /// An update whose basis has not reached this node: for the newest configuration, to check the update against it.
-    Basis {
+    BaseVersion {
         command: Command,
     },
     /// A repeated configuration: that the chain responds, before it is acknowledged again.
@@ -68,12 +68,12 @@
         version: u64,
     },
     Evacuation,
-    /// For the chain to answer at all, before it is said that there is no such zone. `seen` is the stamp of the order, of when
+    /// For the chain to answer at all, before it is said that there is no such zone. `last_known` is the stamp of the order, of when
     /// the call was read.
     Zone {
         zone: String,
         begin: bool,
-        seen: u64,
+        last_known: u64,
     },
     Read,
 }
@@ -82,7 +82,7 @@
 struct Pending {
     arrival: Arrival,
     until: Millis,
-    waits: Awaiting,
+    awaiting: Awaiting,
 }
 
 /// The calls under way; each is answered once.
@@ -90,8 +90,8 @@
 pub struct PendingCalls {
     pauses: PauseDetector,
     next: u64,
-    /// Calls that were begun and not given to `call` yet.
-    begun: BTreeMap<u64, Arrival>,
+    /// Calls that were registered and not given to `call` yet.
+    registered: BTreeMap<u64, Arrival>,
     pending: BTreeMap<u64, Pending>,
 }
 
@@ -101,21 +101,21 @@
         PendingCalls {
             pauses: PauseDetector::new(now),
             next: 0,
-            begun: BTreeMap::new(),
+            registered: BTreeMap::new(),
             pending: BTreeMap::new(),
         }
     }
 
     /// A number for a call that was read.
-    pub fn begin(&mut self, arrival: Arrival) -> u64 {
+    pub fn register(&mut self, arrival: Arrival) -> u64 {
         self.next += 1;
-        self.begun.insert(self.next, arrival);
+        self.registered.insert(self.next, arrival);
         self.next
     }
 
-    /// When a call came that was begun and not made yet.
+    /// When a call came that was registered and not made yet.
     pub fn arrival(&self, call: u64) -> Option<Arrival> {
-        self.begun.get(&call).copied()
+        self.registered.get(&call).copied()
     }
 
     /// Since when this process has run without being held up.
@@ -123,7 +123,7 @@
         self.pauses.running_since()
     }
 
-    /// Whether no call waits for the replica.
+    /// Whether no call awaiting for the replica.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
@@ -136,7 +136,7 @@
             .reduce(Millis::min)
     }
 
-    /// Before all else that happens. After a pause nobody waits any more for what was under way: no answer that comes now
+    /// Before all else that happens. After a pause nobody awaiting any more for what was under way: no answer that comes now
     /// is given as a definite one.
     pub fn check_for_pause(&mut self, now: Millis) -> Vec<Step> {
         if !self.pauses.observe(now) {
@@ -160,7 +160,7 @@
         message: &Message,
         known: &impl CallContext,
     ) -> Step {
-        let arrival = self.begun.remove(&call).unwrap_or(Arrival::at(now));
+        let arrival = self.registered.remove(&call).unwrap_or(Arrival::at(now));
         let order = match requests::parse(message) {
             Ok(Request::Status) => return Step::Status { call },
             Err(reply) => return Step::Reply { call, reply },
@@ -172,39 +172,39 @@
                 reply: responses::refused(CallError::NoMajority),
             };
         }
-        if !self.pauses.ran_since_before(&arrival) {
+        if !self.pauses.ran_since_arrival(&arrival) {
             return Step::Reply {
                 call,
                 reply: responses::too_old(),
             };
         }
-        let mut wait = |waits: Awaiting| {
-            let patience = match waits {
+        let mut wait = |awaiting: Awaiting| {
+            let timeout = match awaiting {
                 Awaiting::Evacuation | Awaiting::Zone { .. } => EVACUATION_TIMEOUT_MS,
                 Awaiting::Configuration
-                | Awaiting::Basis { .. }
+                | Awaiting::BaseVersion { .. }
                 | Awaiting::Repeat { .. }
                 | Awaiting::Read => CALL_TIMEOUT_MS,
             };
-            let until = now + patience;
+            let until = now + timeout;
             self.pending.insert(
                 call,
                 Pending {
                     arrival,
                     until,
-                    waits,
+                    awaiting,
                 },
             );
         };
         match order {
             Request::Status => Step::Status { call },
             Request::Configure(command) => match known.accepted_version(&command) {
-                // Its body need not pass along the chain again, which may take longer than its caller waits.
+                // Its body need not pass along the chain again, which may take longer than its caller awaiting.
                 Some(version) => {
                     wait(Awaiting::Repeat { version });
                     Step::Read {
                         call,
-                        question: Query::Liveness,
+                        query: Query::Liveness,
                     }
                 }
                 None => match known.precheck(&command) {
@@ -216,11 +216,11 @@
                         call,
                         reply: responses::invalid(&invalid),
                     },
-                    Precheck::NeedsBasis => {
-                        wait(Awaiting::Basis { command });
+                    Precheck::NeedsBaseVersion => {
+                        wait(Awaiting::BaseVersion { command });
                         Step::Read {
                             call,
-                            question: Query::Configuration,
+                            query: Query::Configuration,
                         }
                     }
                 },
@@ -229,33 +229,37 @@
                 wait(Awaiting::Read);
                 Step::Read {
                     call,
-                    question: Query::Configuration,
+                    query: Query::Configuration,
                 }
             }
             Request::Evacuate { zone, begin } if known.knows_zone(&zone) => {
                 wait(Awaiting::Evacuation);
-                let seen = known.last_order(&zone);
-                self.order_evacuation(now, call, zone, begin, seen)
+                let last_known = known.last_evacuation_command(&zone);
+                self.submit_evacuation(now, call, zone, begin, last_known)
             }
             Request::Evacuate { zone, begin } => {
-                let seen = known.last_order(&zone);
-                wait(Awaiting::Zone { zone, begin, seen });
+                let last_known = known.last_evacuation_command(&zone);
+                wait(Awaiting::Zone {
+                    zone,
+                    begin,
+                    last_known,
+                });
                 Step::Read {
                     call,
-                    question: Query::Liveness,
+                    query: Query::Liveness,
                 }
             }
         }
     }
 
     /// Submits the order under the stamp that it got when it was read, unless its caller may have sent it elsewhere by now.
-    fn order_evacuation(
+    fn submit_evacuation(
         &mut self,
         now: Millis,
         call: u64,
         zone: String,
         begin: bool,
-        seen: u64,
+        last_known: u64,
     ) -> Step {
         let recent = |pending: &&Pending| self.pauses.is_recent(now, &pending.arrival);
         if self.pending.get(&call).filter(recent).is_none() {
@@ -267,7 +271,11 @@
         }
         Step::Submit {
             call,
-            command: Command::SetEvacuation { zone, begin, seen },
+            command: Command::SetEvacuation {
+                zone,
+                begin,
+                last_known,
+            },
         }
     }
 
@@ -279,15 +287,21 @@
         result: Result<Vec<u8>, CallError>,
         known: &impl CallContext,
     ) -> Option<Step> {
-        let waits = self.pending.get(&call)?.waits.clone();
-        match waits {
-            Awaiting::Zone { zone, begin, seen } if result.is_ok() && known.knows_zone(&zone) => {
+        let awaiting = self.pending.get(&call)?.awaiting.clone();
+        match awaiting {
+            Awaiting::Zone {
+                zone,
+                begin,
+                last_known,
+            } if result.is_ok() && known.knows_zone(&zone) => {
                 if let Some(pending) = self.pending.get_mut(&call) {
-                    pending.waits = Awaiting::Evacuation;
+                    pending.awaiting = Awaiting::Evacuation;
                 }
-                Some(self.order_evacuation(now, call, zone, begin, seen))
+                Some(self.submit_evacuation(now, call, zone, begin, last_known))
+            }
+            Awaiting::BaseVersion { command } => {
+                Some(self.submit_on_base_version(call, command, result))
             }
-            Awaiting::Basis { command } => Some(self.submit_on_basis(call, command, result)),
             // One that was overtaken is not stamped anew: its caller may have gone on to another control node, and may have
             // been acknowledged there, and a later order after it.
             Awaiting::Evacuation => {
@@ -319,7 +333,7 @@
     }
 
     /// Submits an update, unless the newest configuration is its basis and it makes that invalid.
-    fn submit_on_basis(
+    fn submit_on_base_version(
         &mut self,
         call: u64,
         command: Command,
@@ -331,12 +345,12 @@
         };
         let newest = newest.and_then(|newest| Document::parse(newest.as_bytes()).ok());
         if let Some(Precheck::Invalid(invalid)) =
-            newest.map(|newest| precheck::command(&newest, &command))
+            newest.map(|newest| precheck::check_command(&newest, &command))
         {
             return self.end(call, responses::invalid(&invalid));
         }
         if let Some(pending) = self.pending.get_mut(&call) {
-            pending.waits = Awaiting::Configuration;
+            pending.awaiting = Awaiting::Configuration;
         }
         Step::Submit { call, command }
     }
--- a/crates/sandtrack-control/src/operator_api/requests.rs
+++ b/crates/sandtrack-control/src/operator_api/requests.rs
@@ -72,7 +72,7 @@
 /// An invalid replacement is rejected here, without the other control nodes.
 fn parse_replacement(call: &Message) -> Result<Request, Reply> {
     let based_on = based_on_version(call)?;
-    ControlState::check(&call.body).map_err(|invalid| responses::invalid(&invalid))?;
+    ControlState::validate(&call.body).map_err(|invalid| responses::invalid(&invalid))?;
     Ok(configure(ChangeKind::Replace, based_on, &call.body))
 }
 
--- a/crates/sandtrack-control/src/state_machine/accepted_configurations.rs
+++ b/crates/sandtrack-control/src/state_machine/accepted_configurations.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether a command based on this version may have been accepted although it is not remembered.
-    pub fn may_have_forgotten(&self, based_on: u64) -> bool {
+    pub fn may_have_evicted(&self, based_on: u64) -> bool {
         let oldest = self
             .records
             .front()
@@ -134,7 +134,7 @@
     }
 
     /// What a snapshot holds.
-    pub fn restored(fnv: Vec<FnvRecord>, sha256: Vec<Sha256Record>) -> AcceptedConfigurations {
+    pub fn from_snapshot(fnv: Vec<FnvRecord>, sha256: Vec<Sha256Record>) -> AcceptedConfigurations {
         let old = fnv
             .into_iter()
             .map(|record| (record.version, Digest::Fnv(record.digest)));
--- a/crates/sandtrack-control/src/state_machine/commands.rs
+++ b/crates/sandtrack-control/src/state_machine/commands.rs
@@ -45,7 +45,7 @@
         begin: bool,
         /// Number of the last order for the zone that the control node knew when it read the call: where a later order was
         /// applied first, this one changes nothing.
-        seen: u64,
+        last_known: u64,
     },
 }
 
@@ -82,10 +82,14 @@
             Command::Evacuate { zone, begin } => {
                 write!(f, "evacuation of {zone} {}", evacuation(begin))
             }
-            Command::SetEvacuation { zone, begin, seen } => {
+            Command::SetEvacuation {
+                zone,
+                begin,
+                last_known,
+            } => {
                 write!(
                     f,
-                    "evacuation of {zone} {}, ordered after {seen}",
+                    "evacuation of {zone} {}, ordered after {last_known}",
                     evacuation(begin)
                 )
             }
--- a/crates/sandtrack-control/src/state_machine/control_state.rs
+++ b/crates/sandtrack-control/src/state_machine/control_state.rs
@@ -59,8 +59,8 @@
     }
 
     /// Number of the last order for a zone; 0 where there was none. A call that is read now carries it in its command.
-    pub fn last_order(&self, zone: &str) -> u64 {
-        self.evacuations.last_order(zone)
+    pub fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.evacuations.last_evacuation_command(zone)
     }
 
     /// The version that a command made, if it is among the configurations accepted last.
@@ -77,7 +77,7 @@
 
     /// Whether there ever was an order for the zone.
     pub fn knows_zone(&self, zone: &str) -> bool {
-        self.evacuations.has_order_for(zone)
+        self.evacuations.has_command_for(zone)
     }
 
     /// The frame with the complete configuration; `None` before the first.
@@ -98,13 +98,13 @@
     ///
     /// # Errors
     /// What makes it invalid.
-    pub fn check(body: &[u8]) -> Result<(), ConfigurationError> {
+    pub fn validate(body: &[u8]) -> Result<(), ConfigurationError> {
         Configuration::read_new(&Document::parse(body)?).map(drop)
     }
 
     /// What the committed state here says of a command before it is submitted.
     pub fn precheck(&self, command: &Command) -> Precheck {
-        precheck::command(&self.document, command)
+        precheck::check_command(&self.document, command)
     }
 
     fn configure(
@@ -125,7 +125,7 @@
         // Before the checks of the new document: an update based on another version may be valid there and not here, and
         // its caller has to learn of the conflict.
         if based_on != self.document.version {
-            return match self.accepted.may_have_forgotten(based_on) {
+            return match self.accepted.may_have_evicted(based_on) {
                 true => Outcome::Unknown,
                 false => Outcome::VersionConflict {
                     current: self.document.version,
@@ -192,14 +192,16 @@
                 let digest = Digest::sha256(kind, based_on, &body);
                 self.configure(number, kind, based_on, &body, digest)
             }
-            Command::SetEvacuation { zone, begin, seen } => {
-                match self.evacuations.set(number, zone, begin, seen) {
-                    Ok(()) => Outcome::Accepted {
-                        version: self.document.version,
-                    },
-                    Err(overtaken) => overtaken,
-                }
-            }
+            Command::SetEvacuation {
+                zone,
+                begin,
+                last_known,
+            } => match self.evacuations.set(number, zone, begin, last_known) {
+                Ok(()) => Outcome::Accepted {
+                    version: self.document.version,
+                },
+                Err(overtaken) => overtaken,
+            },
         }
     }
 
@@ -260,8 +262,8 @@
         borsh::to_vec(&outcome).unwrap_or_default()
     }
 
-    fn query(&self, question: &[u8]) -> Vec<u8> {
-        let answer: QueryResult = match borsh::from_slice(question) {
+    fn query(&self, query: &[u8]) -> Vec<u8> {
+        let answer: QueryResult = match borsh::from_slice(query) {
             Ok(Query::Configuration) => {
                 (self.configuration_number > 0).then(|| self.document.to_json())
             }
@@ -303,8 +305,8 @@
         *self = ControlState {
             document,
             configuration_number: base.configuration_number,
-            accepted: AcceptedConfigurations::restored(base.accepted, sha256_records),
-            evacuations: Evacuations::restored(base.evacuated, base.evacuation_number, orders),
+            accepted: AcceptedConfigurations::from_snapshot(base.accepted, sha256_records),
+            evacuations: Evacuations::from_snapshot(base.evacuated, base.evacuation_number, orders),
             recent_changes: RecentChanges::default(),
         };
         true
--- a/crates/sandtrack-control/src/state_machine/evacuations.rs
+++ b/crates/sandtrack-control/src/state_machine/evacuations.rs
@@ -6,7 +6,7 @@
 
 /// What a snapshot of format 2 adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct OrderNumbers {
+pub struct EvacuationCommandNumbers {
     /// Number of the last order for each zone that was acknowledged, whether or not it changed anything.
     by_zone: BTreeMap<String, u64>,
     /// Number of the last change by an order of format 1, whichever its zone: it counts for all of them, since a snapshot
@@ -14,10 +14,10 @@
     format_1: u64,
 }
 
-impl OrderNumbers {
+impl EvacuationCommandNumbers {
     /// As far as a snapshot of format 1 tells them.
-    pub fn of_format_1(last_change: u64) -> OrderNumbers {
-        OrderNumbers {
+    pub fn from_format_1(last_change: u64) -> EvacuationCommandNumbers {
+        EvacuationCommandNumbers {
             by_zone: BTreeMap::new(),
             format_1: last_change,
         }
@@ -38,12 +38,16 @@
     zones: BTreeSet<String>,
     /// Number of the command that last changed which zones are evacuated.
     changed: u64,
-    orders: OrderNumbers,
+    orders: EvacuationCommandNumbers,
 }
 
 impl Evacuations {
     /// As a snapshot holds them.
-    pub fn restored(zones: Vec<String>, changed: u64, orders: OrderNumbers) -> Evacuations {
+    pub fn from_snapshot(
+        zones: Vec<String>,
+        changed: u64,
+        orders: EvacuationCommandNumbers,
+    ) -> Evacuations {
         Evacuations {
             zones: zones.into_iter().collect(),
             changed,
@@ -62,17 +66,17 @@
     }
 
     /// What a snapshot holds of the orders.
-    pub fn orders(&self) -> &OrderNumbers {
+    pub fn orders(&self) -> &EvacuationCommandNumbers {
         &self.orders
     }
 
     /// Number of the last order for a zone; 0 where there was none.
-    pub fn last_order(&self, zone: &str) -> u64 {
+    pub fn last_evacuation_command(&self, zone: &str) -> u64 {
         self.orders.last(zone)
     }
 
     /// Whether there ever was an order for the zone.
-    pub fn has_order_for(&self, zone: &str) -> bool {
+    pub fn has_command_for(&self, zone: &str) -> bool {
         self.orders.by_zone.contains_key(zone) || self.zones.contains(zone)
     }
 
@@ -83,7 +87,7 @@
         }
     }
 
-    /// An order that was read when `seen` was the number of the last one for its zone. One that finds the zone as it wants
+    /// An order that was read when `last_known` was the number of the last one for its zone. One that finds the zone as it wants
     /// it is acknowledged, and overtakes others all the same: its caller has been told that it is in force.
     ///
     /// # Errors
@@ -93,10 +97,10 @@
         number: u64,
         zone: String,
         begin: bool,
-        seen: u64,
+        last_known: u64,
     ) -> Result<(), Outcome> {
         let last = self.orders.last(&zone);
-        if seen < last && self.zones.contains(&zone) != begin {
+        if last_known < last && self.zones.contains(&zone) != begin {
             return Err(Outcome::Superseded { number: last });
         }
         self.change(number, &zone, begin);
--- a/crates/sandtrack-control/src/state_machine/precheck.rs
+++ b/crates/sandtrack-control/src/state_machine/precheck.rs
@@ -13,12 +13,12 @@
     /// It makes an invalid configuration.
     Invalid(ConfigurationError),
     /// It is based on a later version, which is needed for the check.
-    NeedsBasis,
+    NeedsBaseVersion,
 }
 
 /// Checks a command against a committed configuration. The check is exact: there is one document of each version. What the
 /// chain refuses by itself passes here.
-pub fn command(committed: &Document, command: &Command) -> Precheck {
+pub fn check_command(committed: &Document, command: &Command) -> Precheck {
     let Command::Configure {
         kind: ChangeKind::Update,
         based_on,
@@ -38,6 +38,6 @@
         Ordering::Less => Precheck::Passed,
         Ordering::Equal => check_tenants(&committed.updated(&update))
             .map_or_else(Precheck::Invalid, |()| Precheck::Passed),
-        Ordering::Greater => Precheck::NeedsBasis,
+        Ordering::Greater => Precheck::NeedsBaseVersion,
     }
 }
--- a/crates/sandtrack-control/src/state_machine/snapshot.rs
+++ b/crates/sandtrack-control/src/state_machine/snapshot.rs
@@ -1,6 +1,6 @@
 //! The forms of a snapshot of the control state. They are on disks and on the wire: fields and variants keep their places.
 use super::accepted_configurations::{FnvRecord, Sha256Record};
-use super::evacuations::OrderNumbers;
+use super::evacuations::EvacuationCommandNumbers;
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// The state as programs of format 1 wrote it. What later formats add follows it.
@@ -19,17 +19,17 @@
 pub(super) enum SnapshotExtension {
     Format2 {
         accepted: Vec<Sha256Record>,
-        orders: OrderNumbers,
+        orders: EvacuationCommandNumbers,
     },
 }
 
 /// Splits a snapshot of either format; `None` where it can't be read.
 pub(super) fn parse(
     mut snapshot: &[u8],
-) -> Option<(SnapshotBase, Vec<Sha256Record>, OrderNumbers)> {
+) -> Option<(SnapshotBase, Vec<Sha256Record>, EvacuationCommandNumbers)> {
     let base = SnapshotBase::deserialize(&mut snapshot).ok()?;
     if snapshot.is_empty() {
-        let orders = OrderNumbers::of_format_1(base.evacuation_number);
+        let orders = EvacuationCommandNumbers::from_format_1(base.evacuation_number);
         return Some((base, Vec::new(), orders));
     }
     let SnapshotExtension::Format2 { accepted, orders } = borsh::from_slice(snapshot).ok()?;
--- a/crates/sandtrack-control/tests/frame_bytes.rs
+++ b/crates/sandtrack-control/tests/frame_bytes.rs
@@ -150,7 +150,7 @@
             Command::SetEvacuation {
                 zone,
                 begin: false,
-                seen: 9,
+                last_known: 9,
             },
         ),
     ];
--- a/crates/sandtrack-control/tests/guards.rs
+++ b/crates/sandtrack-control/tests/guards.rs
@@ -124,7 +124,7 @@
         false
     }
 
-    fn last_order(&self, _: &str) -> u64 {
+    fn last_evacuation_command(&self, _: &str) -> u64 {
         0
     }
 
@@ -154,7 +154,7 @@
         &valid_configuration(7),
     );
     for (arrival, is_carried_out) in [(Arrival::at(1890.0), false), (Arrival::at(5001.0), true)] {
-        let call = calls.begin(arrival);
+        let call = calls.register(arrival);
         let step = calls.handle(5002.0, call, &replace, &NoZone);
         assert_eq!(
             matches!(step, Step::Submit { .. }),
--- a/crates/sandtrack-control/tests/operator_api.rs
+++ b/crates/sandtrack-control/tests/operator_api.rs
@@ -41,8 +41,12 @@
             Err(reply) => reply,
             Ok(Request::Configure(command)) => self.apply(&command),
             Ok(Request::Evacuate { zone, begin }) if settings(1).zones.contains_key(&zone) => {
-                let seen = self.control_state.last_order(&zone);
-                self.apply(&Command::SetEvacuation { zone, begin, seen })
+                let last_known = self.control_state.last_evacuation_command(&zone);
+                self.apply(&Command::SetEvacuation {
+                    zone,
+                    begin,
+                    last_known,
+                })
             }
             Ok(Request::Evacuate { zone, .. }) => responses::unknown_zone(&zone),
             Ok(Request::Read) => {
--- a/crates/sandtrack-control/tests/resent_configurations.rs
+++ b/crates/sandtrack-control/tests/resent_configurations.rs
@@ -559,7 +559,7 @@
         false
     }
 
-    fn last_order(&self, _: &str) -> u64 {
+    fn last_evacuation_command(&self, _: &str) -> u64 {
         0
     }
 
@@ -586,7 +586,7 @@
         (Err(CallError::Full), 503, unsure.body.as_str()),
     ] {
         let mut calls = PendingCalls::new(0.0);
-        let call = calls.begin(Arrival::at(10.0));
+        let call = calls.register(Arrival::at(10.0));
         let replace = message(
             "POST",
             REPLACE,
@@ -598,7 +598,7 @@
             step,
             Step::Read {
                 call,
-                question: Query::Liveness
+                query: Query::Liveness
             }
         );
         let Some(Step::Reply { reply, .. }) = calls.complete(20.0, call, result, &Took) else {
--- a/crates/sandtrack-control/tests/shared_api_keys.rs
+++ b/crates/sandtrack-control/tests/shared_api_keys.rs
@@ -66,7 +66,7 @@
     fn redirects_callers(&self) -> bool {
         false
     }
-    fn last_order(&self, _: &str) -> u64 {
+    fn last_evacuation_command(&self, _: &str) -> u64 {
         0
     }
     fn accepted_version(&self, command: &Command) -> Option<u64> {
@@ -84,12 +84,12 @@
 fn step_on_newest(update: &str, newest: &str) -> Option<Step> {
     let behind = Committed(ControlState::default());
     let mut calls = PendingCalls::new(0.0);
-    let call = calls.begin(Arrival::at(0.0));
+    let call = calls.register(Arrival::at(0.0));
     let message = message("POST", UPDATE, &[("Based-On-Version", "10")], update);
     let step = calls.handle(0.0, call, &message, &behind);
     let read = Step::Read {
         call,
-        question: Query::Configuration,
+        query: Query::Configuration,
     };
     assert_eq!(step, read, "it learns the basis first");
     let newest = borsh::to_vec(&Some(newest.to_owned())).expect("a result");
--- a/crates/sandtrack-control/tests/stale_evacuation_orders.rs
+++ b/crates/sandtrack-control/tests/stale_evacuation_orders.rs
@@ -159,14 +159,14 @@
 
 /// A zone as a control node knows it: the number of the last order for it, and whether anything names it here.
 struct Zone {
-    last_order: u64,
+    last_evacuation_command: u64,
     is_named: bool,
 }
 
 /// One that is named.
-fn zone(last_order: u64) -> Zone {
+fn zone(last_evacuation_command: u64) -> Zone {
     Zone {
-        last_order,
+        last_evacuation_command,
         is_named: true,
     }
 }
@@ -176,8 +176,8 @@
         false
     }
 
-    fn last_order(&self, _: &str) -> u64 {
-        self.last_order
+    fn last_evacuation_command(&self, _: &str) -> u64 {
+        self.last_evacuation_command
     }
 
     fn accepted_version(&self, _: &Command) -> Option<u64> {
@@ -193,7 +193,7 @@
 }
 
 fn begin(calls: &mut PendingCalls, now: f64, arrival: Arrival) -> (u64, Step) {
-    let call = calls.begin(arrival);
+    let call = calls.register(arrival);
     (
         call,
         calls.handle(now, call, &message("POST", BEGIN, &[], ""), &zone(4)),
@@ -201,7 +201,7 @@
 }
 
 fn is_submitted(step: &Step, stamp: u64) -> bool {
-    matches!(step, Step::Submit { command: Command::SetEvacuation { seen, .. }, .. } if *seen == stamp)
+    matches!(step, Step::Submit { command: Command::SetEvacuation { last_known, .. }, .. } if *last_known == stamp)
 }
 
 fn is_refused(step: &Step) -> bool {
@@ -294,14 +294,14 @@
 fn an_order_that_waited_for_its_zone_to_be_known_keeps_its_stamp() {
     let mut calls = PendingCalls::new(0.0);
     (0..20).for_each(|at| drop(calls.check_for_pause(f64::from(at) * 100.0)));
-    let call = calls.begin(Arrival::at(1900.0));
+    let call = calls.register(Arrival::at(1900.0));
     let order = message("POST", BEGIN, &[], "");
     let step = calls.handle(
         1900.0,
         call,
         &order,
         &Zone {
-            last_order: 4,
+            last_evacuation_command: 4,
             is_named: false,
         },
     );
@@ -309,7 +309,7 @@
         step,
         Step::Read {
             call,
-            question: Query::Liveness
+            query: Query::Liveness
         }
     );
     let contact = borsh::to_vec(&None::<String>).expect("an answer");
@@ -323,17 +323,17 @@
 fn the_pause_detector_measures_gaps_between_observations() {
     let mut awake = PauseDetector::new(100.0);
     assert!(!awake.observe(100.0 + MAX_PAUSE_MS));
-    assert!(awake.ran_since_before(&Arrival::at(100.0)));
+    assert!(awake.ran_since_arrival(&Arrival::at(100.0)));
     assert!(awake.observe(101.0 + 2.0 * MAX_PAUSE_MS));
     assert_eq!(awake.running_since(), 101.0 + 2.0 * MAX_PAUSE_MS);
-    assert!(!awake.ran_since_before(&Arrival::at(100.0 + MAX_PAUSE_MS)));
+    assert!(!awake.ran_since_arrival(&Arrival::at(100.0 + MAX_PAUSE_MS)));
 }
 
-fn order(state: &mut ControlState, number: u64, begin: bool, seen: u64) -> Outcome {
+fn order(state: &mut ControlState, number: u64, begin: bool, last_known: u64) -> Outcome {
     let command = Command::SetEvacuation {
         zone: "kita-hall".to_owned(),
         begin,
-        seen,
+        last_known,
     };
     let outcome = state.apply(number, &borsh::to_vec(&command).expect("a command"));
     borsh::from_slice(&outcome).expect("an outcome")
--- a/crates/sandtrack-control/tests/state_formats.rs
+++ b/crates/sandtrack-control/tests/state_formats.rs
@@ -99,7 +99,7 @@
         };
         assert_eq!(apply(state, 6, &next), Outcome::Accepted { version: 11 });
         // An order of format 1 counts for all zones, as its snapshot does not tell them apart.
-        for (number, seen, outcome) in [
+        for (number, last_known, outcome) in [
             (7, 4, Outcome::Superseded { number: 5 }),
             (8, 5, Outcome::Accepted { version: 11 }),
             (9, 8, Outcome::Accepted { version: 11 }),
@@ -107,7 +107,7 @@
             let command = Command::SetEvacuation {
                 zone: "odori-hall".to_owned(),
                 begin: true,
-                seen,
+                last_known,
             };
             assert_eq!(apply(state, number, &command), outcome, "{number}");
         }
--- a/crates/sandtrack-model-checker/src/control_frontend.rs
+++ b/crates/sandtrack-model-checker/src/control_frontend.rs
@@ -37,8 +37,8 @@
         false
     }
 
-    fn last_order(&self, zone: &str) -> u64 {
-        self.0.control_state().last_order(zone)
+    fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.0.control_state().last_evacuation_command(zone)
     }
 
     fn accepted_version(&self, command: &Command) -> Option<u64> {
@@ -67,10 +67,10 @@
             }),
             pending_calls::Step::Read {
                 call: number,
-                question,
+                query,
             } => Some(FrontendStep::Read {
                 number,
-                question: borsh::to_vec(&question).unwrap_or_default(),
+                question: borsh::to_vec(&query).unwrap_or_default(),
             }),
             pending_calls::Step::Reply {
                 call: number,
@@ -115,7 +115,7 @@
         arrival: Arrival,
         machine: &M,
     ) -> Option<FrontendStep> {
-        let number = self.calls.begin(arrival);
+        let number = self.calls.register(arrival);
         self.numbers.insert(number, (call, operation));
         let step = self
             .calls
--- a/crates/sandtrack-model-checker/src/machine/control.rs
+++ b/crates/sandtrack-model-checker/src/machine/control.rs
@@ -84,7 +84,7 @@
                 let unstamped = Command::SetEvacuation {
                     zone,
                     begin,
-                    seen: u64::MAX,
+                    last_known: u64::MAX,
                 };
                 self.0
                     .apply(number, &borsh::to_vec(&unstamped).unwrap_or_default())
