--- a/crates/sandtrack-control/src/directory.rs
+++ b/crates/sandtrack-control/src/directory.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// The answer to a call that is none of the directory's.
-pub fn decode(head: &Head) -> Result<ClientLocation, Reply> {
+pub fn parse_request(head: &Head) -> Result<ClientLocation, Reply> {
     let target = message::origin_form(&head.target);
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     if path != "/v1/resolution" {
@@ -38,8 +38,8 @@
     let mut location = ClientLocation::default();
     for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
         match name {
-            "zone" => location.zone = unescape(value),
-            "region" => location.region = unescape(value),
+            "zone" => location.zone = percent_decode(value),
+            "region" => location.region = percent_decode(value),
             _ => {}
         }
     }
@@ -47,7 +47,7 @@
 }
 
 /// A value of a query with `%41` and `+` read.
-fn unescape(value: &str) -> String {
+fn percent_decode(value: &str) -> String {
     let bytes = value.as_bytes();
     let mut read = Vec::with_capacity(bytes.len());
     let mut at = 0;
@@ -69,14 +69,14 @@
 }
 
 /// The proxies for a client: those of its zone, if these are enough for it, else of its region, else all. Enough is a
-/// third of what a place has on average: a place that has lost more sends its clients on. Where there are too many, `turn`
+/// third of what a place has on average: a place that has lost more sends its clients on. Where there are too many, `rotation`
 /// says with which to begin.
-pub fn choose<'a>(
+pub fn select_addresses<'a>(
     location: &ClientLocation,
     ready: &[&'a ProxyInfo],
     zones: usize,
     regions: usize,
-    turn: usize,
+    rotation: usize,
 ) -> Vec<&'a str> {
     let enough =
         |count: usize, places: usize| count > 0 && 3 * count * places.max(1) >= ready.len();
@@ -99,15 +99,15 @@
     chosen.sort_unstable();
     chosen.dedup();
     if chosen.len() > MAX_ADDRESSES {
-        let shift = turn.wrapping_mul(MAX_ADDRESSES) % chosen.len();
-        chosen.rotate_left(shift);
+        let start = rotation.wrapping_mul(MAX_ADDRESSES) % chosen.len();
+        chosen.rotate_left(start);
         chosen.truncate(MAX_ADDRESSES);
     }
     chosen
 }
 
 /// The answer with these addresses; with none, a client is to ask elsewhere.
-pub fn reply(addresses: &[&str]) -> Reply {
+pub fn response(addresses: &[&str]) -> Reply {
     if addresses.is_empty() {
         return Reply::error(503, codes::NO_PROXY, "directory");
     }
--- a/crates/sandtrack-control/src/endpoint_poller.rs
+++ b/crates/sandtrack-control/src/endpoint_poller.rs
@@ -99,16 +99,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointPoller {
     /// Interval between the starts of two polls, in ms; never less than [`MIN_POLL_INTERVAL_MS`].
-    every: Millis,
+    interval: Millis,
     /// When the pending call began.
-    calling: Option<Millis>,
+    call_started: Option<Millis>,
     /// When the current poll began; the token of its next page, and how many pages it has.
-    began: Option<Millis>,
+    poll_started: Option<Millis>,
     token: Option<String>,
-    pages: usize,
-    seen: BTreeSet<String>,
+    page_count: usize,
+    listed: BTreeSet<String>,
     /// Upstreams that the last poll did not show either.
-    missed: BTreeSet<String>,
+    previously_missing: BTreeSet<String>,
     next_call: Millis,
     backoff: Millis,
     /// Consecutive failures of the current page.
@@ -120,7 +120,7 @@
     #[must_use]
     pub fn for_drain_bound(drain_ms: Millis) -> EndpointPoller {
         EndpointPoller {
-            every: (drain_ms * POLL_FRACTION_OF_DRAIN_BOUND).min(MAX_POLL_INTERVAL_MS),
+            interval: (drain_ms * POLL_FRACTION_OF_DRAIN_BOUND).min(MAX_POLL_INTERVAL_MS),
             ..EndpointPoller::default()
         }
     }
@@ -133,32 +133,32 @@
         is_fallback: bool,
         rate_per_s: f64,
     ) -> Option<Option<String>> {
-        if self.calling.is_some() || now < self.next_call {
+        if self.call_started.is_some() || now < self.next_call {
             return None;
         }
-        if self.began.is_none() {
-            (self.began, self.token, self.pages) = (Some(now), None, 0);
-            self.seen.clear();
+        if self.poll_started.is_none() {
+            (self.poll_started, self.token, self.page_count) = (Some(now), None, 0);
+            self.listed.clear();
         }
         let share = if is_fallback {
             RATE_LIMIT_FRACTION / 3.0
         } else {
             RATE_LIMIT_FRACTION
         };
-        self.calling = Some(now);
+        self.call_started = Some(now);
         self.next_call = now + 1000.0 / (share * rate_per_s).max(0.01);
         Some(self.token.clone())
     }
 
     /// When the next call may be due.
     pub fn next_due(&self) -> Option<Millis> {
-        self.calling.is_none().then_some(self.next_call)
+        self.call_started.is_none().then_some(self.next_call)
     }
 
     /// Forgets the current poll: another node polls from now on.
     pub fn reset(&mut self) {
-        (self.began, self.token, self.failures) = (None, None, 0);
-        self.missed.clear();
+        (self.poll_started, self.token, self.failures) = (None, None, 0);
+        self.previously_missing.clear();
     }
 
     /// The same page is requested again, so that each successful call makes progress.
@@ -174,36 +174,36 @@
         &mut self,
         now: Millis,
         is_fallback: bool,
-        call: PageResult,
+        result: PageResult,
         upstreams: &mut Upstreams,
     ) -> bool {
-        let Some(called) = self.calling.take() else {
+        let Some(call_started) = self.call_started.take() else {
             return false;
         };
-        let Some(began) = self.began else {
+        let Some(poll_started) = self.poll_started else {
             return false;
         };
-        let page = match call {
-            PageResult::Page(page) if now - called <= MAX_PAGE_AGE_MS => page,
+        let page = match result {
+            PageResult::Page(page) if now - call_started <= MAX_PAGE_AGE_MS => page,
             PageResult::Page(_) => {
-                log::debug!("a page was {:.0} ms old: left out", now - called);
+                log::debug!("a page was {:.0} ms old: left out", now - call_started);
                 self.reset();
                 return false;
             }
             failed => {
                 self.backoff = (self.backoff * 2.0).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
                 self.next_call = self.next_call.max(now + self.backoff);
-                if let PageResult::Failed(why) = failed {
-                    log::debug!("the platform's list: {why}");
+                if let PageResult::Failed(reason) = failed {
+                    log::debug!("the platform's list: {reason}");
                     self.page_failed();
                 }
                 return false;
             }
         };
         (self.backoff, self.failures) = (0.0, 0);
-        self.pages += 1;
+        self.page_count += 1;
         for entry in page.entries {
-            self.seen.insert(entry.identifier.clone());
+            self.listed.insert(entry.identifier.clone());
             upstreams.set(now, entry);
         }
         self.token = page.next_token;
@@ -212,26 +212,26 @@
         }
         let missing: BTreeSet<String> = upstreams
             .identifiers()
-            .filter(|known| !self.seen.contains(*known))
+            .filter(|known| !self.listed.contains(*known))
             .map(str::to_owned)
             .collect();
         // With several pages, one that moved from a page to the one before it was in neither: it is gone only when it is
         // missing once more.
         let gone = missing
             .iter()
-            .filter(|missing| self.pages == 1 || self.missed.contains(*missing));
+            .filter(|missing| self.page_count == 1 || self.previously_missing.contains(*missing));
         gone.for_each(|gone| upstreams.remove(gone));
-        self.missed = missing;
-        upstreams.poll_finished(upstreams.polls() + 1);
-        let every = self.every.max(MIN_POLL_INTERVAL_MS)
+        self.previously_missing = missing;
+        upstreams.poll_finished(upstreams.last_poll() + 1);
+        let interval = self.interval.max(MIN_POLL_INTERVAL_MS)
             * if is_fallback {
                 FALLBACK_INTERVAL_FACTOR
             } else {
                 1.0
             };
-        self.next_call = self.next_call.max(began + every);
-        (self.began, self.token) = (None, None);
-        self.seen.clear();
+        self.next_call = self.next_call.max(poll_started + interval);
+        (self.poll_started, self.token) = (None, None);
+        self.listed.clear();
         true
     }
 }
--- a/crates/sandtrack-control/src/event_log.rs
+++ b/crates/sandtrack-control/src/event_log.rs
@@ -7,23 +7,23 @@
     /// Position of the oldest event that is kept.
     first: u64,
     events: VecDeque<E>,
-    kept: usize,
+    capacity: usize,
 }
 
 impl<E> EventLog<E> {
-    /// An empty log that keeps at most `kept` events.
-    pub fn new(kept: usize) -> EventLog<E> {
+    /// An empty log that keeps at most `capacity` events.
+    pub fn new(capacity: usize) -> EventLog<E> {
         EventLog {
             first: 0,
             events: VecDeque::new(),
-            kept,
+            capacity,
         }
     }
 
     /// Appends an event, and drops the oldest one where the bound is exceeded.
     pub fn append(&mut self, event: E) {
         self.events.push_back(event);
-        while self.events.len() > self.kept {
+        while self.events.len() > self.capacity {
             self.events.pop_front();
             self.first += 1;
         }
@@ -35,8 +35,8 @@
     }
 
     /// The events from a position on; `None` where some of them are no longer kept.
-    pub fn since(&self, place: u64) -> Option<impl Iterator<Item = &E>> {
-        let skipped = usize::try_from(place.checked_sub(self.first)?).ok()?;
+    pub fn since(&self, position: u64) -> Option<impl Iterator<Item = &E>> {
+        let skipped = usize::try_from(position.checked_sub(self.first)?).ok()?;
         (skipped <= self.events.len()).then(|| self.events.range(skipped..))
     }
 }
--- a/crates/sandtrack-control/src/membership.rs
+++ b/crates/sandtrack-control/src/membership.rs
@@ -25,7 +25,7 @@
 struct RemoteSessions {
     members: BTreeMap<String, (Member, Millis)>,
     /// Since when it is not heard.
-    lost: Option<Millis>,
+    lost_since: Option<Millis>,
 }
 
 /// Why a proxy has no session any more.
@@ -40,10 +40,10 @@
 /// The proxies with a session here, and those that the other control nodes tell of.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    own: BTreeMap<String, Member>,
+    local: BTreeMap<String, Member>,
     /// Own members without a session, and until when they are counted. They are told to others as not ready.
-    lost: BTreeMap<String, (Member, Millis)>,
-    others: BTreeMap<Address, RemoteSessions>,
+    disconnected: BTreeMap<String, (Member, Millis)>,
+    remote: BTreeMap<Address, RemoteSessions>,
     /// Names of own members of which something changed.
     event_log: EventLog<String>,
     /// Rises with each change of who is there.
@@ -53,9 +53,9 @@
 impl Default for Membership {
     fn default() -> Membership {
         Membership {
-            own: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            others: BTreeMap::new(),
+            local: BTreeMap::new(),
+            disconnected: BTreeMap::new(),
+            remote: BTreeMap::new(),
             event_log: EventLog::new(MAX_EVENTS),
             revision: 0,
         }
@@ -64,11 +64,11 @@
 
 impl Membership {
     /// An own session tells of its proxy.
-    pub fn set(&mut self, member: Member) {
+    pub fn set_local(&mut self, member: Member) {
         let name = member.info.node_name.clone();
-        let was_lost = self.lost.remove(&name).is_some();
-        let before = self.own.insert(name.clone(), member);
-        let after = &self.own[&name];
+        let was_lost = self.disconnected.remove(&name).is_some();
+        let before = self.local.insert(name.clone(), member);
+        let after = &self.local[&name];
         if was_lost || before.as_ref().map(Member::announced_state) != Some(after.announced_state())
         {
             if was_lost || before.is_none_or(|before| before.info != after.info) {
@@ -80,7 +80,7 @@
 
     /// The proxy of an own session tells its state.
     pub fn update_state(&mut self, info: &ProxyInfo, state: ProxyState) {
-        match self.own.get_mut(&info.node_name) {
+        match self.local.get_mut(&info.node_name) {
             Some(member) if member.info == *info => {
                 let marks = |state: &ProxyState| (state.ready, state.draining, state.version);
                 let changed = marks(&member.state) != marks(&state);
@@ -89,7 +89,7 @@
                     self.event_log.append(info.node_name.clone());
                 }
             }
-            _ => self.set(Member {
+            _ => self.set_local(Member {
                 info: info.clone(),
                 state,
             }),
@@ -97,17 +97,18 @@
     }
 
     /// An own session is over. Unless its proxy was told to stop, it is counted on for a while.
-    pub fn session_ended(&mut self, now: Millis, name: &str, lost: SessionEnd) {
-        let Some(mut member) = self.own.remove(name) else {
+    pub fn session_ended(&mut self, now: Millis, name: &str, end: SessionEnd) {
+        let Some(mut member) = self.local.remove(name) else {
             return;
         };
         if !member.state.draining {
-            let kept = match lost {
+            let kept = match end {
                 SessionEnd::TimedOut => TIMED_OUT_RETENTION_MS,
                 SessionEnd::Disconnected => DISCONNECTED_RETENTION_MS,
             };
             member.state.ready = false;
-            self.lost.insert(name.to_owned(), (member, now + kept));
+            self.disconnected
+                .insert(name.to_owned(), (member, now + kept));
         }
         self.event_log.append(name.to_owned());
         self.revision += 1;
@@ -115,15 +116,15 @@
 
     /// Own members as the others are told them: those with a session, and those that are counted on.
     fn announced(&self) -> impl Iterator<Item = &Member> {
-        self.own
+        self.local
             .values()
-            .chain(self.lost.values().map(|(member, _)| member))
+            .chain(self.disconnected.values().map(|(member, _)| member))
     }
 
     fn announced_by_name(&self, name: &str) -> Option<&Member> {
-        self.own
+        self.local
             .get(name)
-            .or_else(|| self.lost.get(name).map(|(member, _)| member))
+            .or_else(|| self.disconnected.get(name).map(|(member, _)| member))
     }
 
     /// Place of the newest event of own members.
@@ -131,9 +132,9 @@
         self.event_log.end()
     }
 
-    /// What another control node is to be told that was told up to `place`; all where it was told nothing yet.
-    pub fn frame_since(&self, place: Option<u64>) -> PeerFrame {
-        let Some(events) = place.and_then(|place| self.event_log.since(place)) else {
+    /// What another control node is to be told that was told up to `position`; all where it was told nothing yet.
+    pub fn frame_since(&self, position: Option<u64>) -> PeerFrame {
+        let Some(events) = position.and_then(|position| self.event_log.since(position)) else {
             let present = self.announced().cloned().collect();
             return PeerFrame::Sessions {
                 is_complete: true,
@@ -142,7 +143,7 @@
             };
         };
         let names: BTreeSet<&String> = events.collect();
-        let (present, gone): (Vec<&String>, Vec<&String>) = names
+        let (present, removed): (Vec<&String>, Vec<&String>) = names
             .into_iter()
             .partition(|name| self.announced_by_name(name).is_some());
         let present = present
@@ -152,7 +153,7 @@
         PeerFrame::Sessions {
             is_complete: false,
             present,
-            removed: gone.into_iter().cloned().collect(),
+            removed: removed.into_iter().cloned().collect(),
         }
     }
 
@@ -162,12 +163,12 @@
     }
 
     /// Digest of those that another control node told.
-    pub fn digest_of(&self, control_node: &str) -> Digest {
-        let others = self.others.get(control_node);
+    pub fn remote_digest(&self, control_node: &str) -> Digest {
+        let remote = self.remote.get(control_node);
         digest(
-            others
+            remote
                 .into_iter()
-                .flat_map(|others| others.members.values().map(|(member, _)| member)),
+                .flat_map(|remote| remote.members.values().map(|(member, _)| member)),
         )
     }
 
@@ -176,59 +177,62 @@
         &mut self,
         now: Millis,
         control_node: &str,
-        whole: bool,
+        is_complete: bool,
         present: Vec<Member>,
-        gone: &[String],
+        removed: &[String],
     ) {
-        let others = self.others.entry(control_node.to_owned()).or_default();
-        others.lost = None;
-        let before: Vec<(String, u64)> = names(others);
-        if whole {
+        let remote = self.remote.entry(control_node.to_owned()).or_default();
+        remote.lost_since = None;
+        let before: Vec<(String, u64)> = names(remote);
+        if is_complete {
             let kept: BTreeSet<&str> = present
                 .iter()
                 .map(|member| member.info.node_name.as_str())
                 .collect();
-            others
+            remote
                 .members
                 .retain(|name, _| kept.contains(name.as_str()));
         }
-        for name in gone {
-            others.members.remove(name);
+        for name in removed {
+            remote.members.remove(name);
         }
         for member in present {
-            let since = match others.members.get(&member.info.node_name) {
+            let since = match remote.members.get(&member.info.node_name) {
                 Some((known, since)) if known.info == member.info => *since,
                 _ => now,
             };
-            others
+            remote
                 .members
                 .insert(member.info.node_name.clone(), (member, since));
         }
-        self.revision += u64::from(names(others) != before);
+        self.revision += u64::from(names(remote) != before);
     }
 
     /// Another control node is heard, or is no longer.
     pub fn control_node_lost(&mut self, now: Millis, control_node: &str) {
-        if let Some(others) = self.others.get_mut(control_node) {
-            others.lost = others.lost.or(Some(now));
+        if let Some(remote) = self.remote.get_mut(control_node) {
+            remote.lost_since = remote.lost_since.or(Some(now));
         }
     }
 
     /// Forgets those that have been lost for long, and the members of control nodes that have.
     pub fn tick(&mut self, now: Millis) {
-        let over = self.lost.iter().filter(|(_, (_, until))| now >= *until);
+        let over = self
+            .disconnected
+            .iter()
+            .filter(|(_, (_, until))| now >= *until);
         for name in over.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
-            self.lost.remove(&name);
+            self.disconnected.remove(&name);
             self.event_log.append(name);
             self.revision += 1;
         }
-        let before = self.others.len();
-        self.others.retain(|_, others| {
-            others
-                .lost
+        let before = self.remote.len();
+        self.remote.retain(|_, remote| {
+            remote
+                .lost_since
                 .is_none_or(|lost| now - lost < TIMED_OUT_RETENTION_MS)
         });
-        self.revision += u64::from(self.others.len() != before);
+        self.revision += u64::from(self.remote.len() != before);
     }
 
     /// Rises with each change of who is there.
@@ -244,9 +248,9 @@
 
     fn merged(&self, seen: impl Fn(&RemoteSessions) -> bool) -> BTreeMap<&str, &Member> {
         let mut told: BTreeMap<&str, (bool, Millis, &Member)> = BTreeMap::new();
-        for others in self.others.values().filter(|others| seen(others)) {
-            for (name, (member, since)) in &others.members {
-                let claim = (others.lost.is_none(), *since, member);
+        for remote in self.remote.values().filter(|remote| seen(remote)) {
+            for (name, (member, since)) in &remote.members {
+                let claim = (remote.lost_since.is_none(), *since, member);
                 let known = told.get(name.as_str()).copied();
                 if known.is_none_or(|(heard, at, _)| (heard, at) < (claim.0, claim.1)) {
                     told.insert(name, claim);
@@ -258,12 +262,12 @@
             .map(|(name, (_, _, member))| (name, member));
         // One that others tell of has come back there.
         let lost = self
-            .lost
+            .disconnected
             .iter()
             .map(|(name, (member, _))| (name.as_str(), member));
         lost.chain(told)
             .chain(
-                self.own
+                self.local
                     .iter()
                     .map(|(name, member)| (name.as_str(), member)),
             )
@@ -274,7 +278,8 @@
     /// else is known.
     pub fn ready(&self, now: Millis) -> Vec<&ProxyInfo> {
         let ready = |within: Millis| -> Vec<&ProxyInfo> {
-            let members = self.merged(|others| others.lost.is_none_or(|lost| now - lost < within));
+            let members =
+                self.merged(|remote| remote.lost_since.is_none_or(|lost| now - lost < within));
             let ready = members
                 .into_values()
                 .filter(|member| member.state.ready && !member.state.draining);
@@ -288,13 +293,13 @@
     }
 
     /// Own members, by name.
-    pub fn own(&self) -> &BTreeMap<String, Member> {
-        &self.own
+    pub fn local_members(&self) -> &BTreeMap<String, Member> {
+        &self.local
     }
 }
 
-fn names(others: &RemoteSessions) -> Vec<(String, u64)> {
-    others
+fn names(remote: &RemoteSessions) -> Vec<(String, u64)> {
+    remote
         .members
         .iter()
         .map(|(name, (member, _))| (name.clone(), member.info.incarnation))
--- a/crates/sandtrack-control/src/node.rs
+++ b/crates/sandtrack-control/src/node.rs
@@ -257,7 +257,7 @@
 
     /// A call was read completely and is not made: its caller has left.
     pub fn caller_left(&mut self) {
-        self.call_log.caller_left();
+        self.call_log.record_abandoned();
     }
 
     /// Since when this process has run without being held up.
@@ -277,7 +277,7 @@
 
     /// Answers a client that asks which proxies to go to.
     pub fn resolve(&mut self, now: Millis, head: &Head) -> Reply {
-        let place = match directory::decode(head) {
+        let place = match directory::parse_request(head) {
             Ok(place) => place,
             Err(reply) => return reply,
         };
@@ -285,7 +285,7 @@
         let ready = self.membership.ready(now);
         let zones = self.settings.zones.len();
         let regions = self.settings.zones.values().collect::<BTreeSet<_>>().len();
-        directory::reply(&directory::choose(
+        directory::response(&directory::select_addresses(
             &place,
             &ready,
             zones,
@@ -311,7 +311,7 @@
             Input::Tick => self.tick(now, out),
             Input::Call { call, message } => {
                 self.call_log
-                    .read(now, call, &message, self.calls.arrival(call));
+                    .record_read(now, call, &message, self.calls.arrival(call));
                 self.advance_calls(now, out, |calls, known| {
                     Some(calls.handle(now, call, &message, known))
                 });
--- a/crates/sandtrack-control/src/node/call_context.rs
+++ b/crates/sandtrack-control/src/node/call_context.rs
@@ -34,10 +34,10 @@
         self.control_state.precheck(command)
     }
 
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn is_known_zone(&self, zone: &str) -> bool {
         self.settings.zones.contains_key(zone)
             || self.settings.zone == zone
-            || self.control_state.knows_zone(zone)
+            || self.control_state.is_known_zone(zone)
             || self
                 .peers
                 .all()
@@ -47,6 +47,6 @@
                 .members()
                 .values()
                 .any(|member| member.info.zone == zone)
-            || self.upstreams.knows_zone(zone)
+            || self.upstreams.has_upstream_in_zone(zone)
     }
 }
--- a/crates/sandtrack-control/src/node/endpoint_polling.rs
+++ b/crates/sandtrack-control/src/node/endpoint_polling.rs
@@ -68,7 +68,7 @@
     /// A call to the platform ended: its page is applied if this node still polls.
     pub(super) fn page_fetched(&mut self, now: Millis, call: PageResult, out: &mut Vec<Effect>) {
         let is_fallback = !self.election.is_holder();
-        if !self.election.is_polling(now) {
+        if !self.election.should_poll(now) {
             self.poller.reset();
         }
         self.poller
@@ -79,7 +79,7 @@
     /// Requests the next page of the list, if this node polls and it is due.
     pub(super) fn fetch_page_if_due(&mut self, now: Millis, out: &mut Vec<Effect>) {
         let has_platform = !self.settings.cloud_api.address.is_empty();
-        if self.leaving_since.is_some() || !has_platform || !self.election.is_polling(now) {
+        if self.leaving_since.is_some() || !has_platform || !self.election.should_poll(now) {
             return;
         }
         let is_fallback = !self.election.is_holder();
--- a/crates/sandtrack-control/src/node/metrics.rs
+++ b/crates/sandtrack-control/src/node/metrics.rs
@@ -80,7 +80,7 @@
             (
                 "sessions",
                 "Proxies with a session here",
-                self.membership.own().len() as u64,
+                self.membership.local_members().len() as u64,
             ),
             (
                 "proxies_ready",
@@ -104,7 +104,7 @@
     }
 
     fn write_endpoint_metrics(&self, text: &mut MetricsText) {
-        let reads = u64::from(self.election.is_polling(self.last_input));
+        let reads = u64::from(self.election.should_poll(self.last_input));
         let help = "Whether it reads the platform's list";
         text.metric(
             "sandtrack_control_reads_list",
@@ -124,7 +124,7 @@
             "sandtrack_control_list_round",
             MetricKind::Counter,
             help,
-            self.upstreams.polls(),
+            self.upstreams.last_poll(),
         );
         const UPSTREAMS: &str = "sandtrack_control_upstreams";
         text.family(
--- a/crates/sandtrack-control/src/node/operator_calls.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -39,12 +39,12 @@
     /// afterwards.
     fn reply(&mut self, now: Millis, call: u64, reply: Reply, out: &mut Vec<Effect>) {
         let reply = self.redirect_if_unacknowledged(now, call, reply);
-        match self.call_log.answered(now, call, &reply) {
-            Some(told) if reply.code.is_some() => {
-                log::info!("{}; {}", told.line, self.node_summary(now));
+        match self.call_log.record_response(now, call, &reply) {
+            Some(logged) if reply.code.is_some() => {
+                log::info!("{}; {}", logged.text, self.node_summary(now));
             }
-            Some(told) if told.is_notable => log::info!("{}", told.line),
-            Some(told) => log::debug!("{}", told.line),
+            Some(logged) if logged.is_notable => log::info!("{}", logged.text),
+            Some(logged) => log::debug!("{}", logged.text),
             None => {}
         }
         out.push(Effect::Reply { call, reply });
--- a/crates/sandtrack-control/src/node/peer_links.rs
+++ b/crates/sandtrack-control/src/node/peer_links.rs
@@ -70,13 +70,13 @@
         match event {
             Some(LinkEvent::Established(peer)) => {
                 log::info!("linked with {peer}");
-                self.quorum_lease.forget(&peer);
+                self.quorum_lease.remove_peer(&peer);
                 self.sessions.invalidate_census();
                 self.send_heartbeat(now, &peer, out);
             }
             Some(LinkEvent::Lost(peer)) => {
                 log::info!("the link with {peer} is lost");
-                self.quorum_lease.forget(&peer);
+                self.quorum_lease.remove_peer(&peer);
                 self.membership.control_node_lost(now, &peer);
                 self.sessions.invalidate_census();
             }
@@ -198,7 +198,7 @@
             is_leaving,
             knows_all_proxies,
         );
-        if session_digest != self.membership.digest_of(peer) {
+        if session_digest != self.membership.remote_digest(peer) {
             out.push(Effect::Link(LinkAction::Send {
                 link,
                 frame: PeerFrame::WantSessions,
@@ -227,7 +227,7 @@
             lease: self.election.lease().clone(),
             holder_timed_out: self.election.is_holder_timed_out(now),
             session_digest: self.membership.digest(),
-            polls: self.upstreams.polls(),
+            polls: self.upstreams.last_poll(),
             endpoint_digest: self.upstreams.digest(),
             is_leaving: self.leaving_since.is_some(),
             knows_all_proxies: self.knows_all_proxies,
@@ -269,7 +269,7 @@
             membership: self.membership.end(),
             endpoints: self.upstreams.end(),
         };
-        let tells_list = self.election.is_holder() && self.upstreams.polls() > 0;
+        let tells_list = self.election.is_holder() && self.upstreams.last_poll() > 0;
         let Some((sessions, list)) = self.peers.announced(link) else {
             return;
         };
--- a/crates/sandtrack-control/src/node/proxy_sessions.rs
+++ b/crates/sandtrack-control/src/node/proxy_sessions.rs
@@ -55,7 +55,7 @@
         } else {
             log::info!("a session of {} at {}", info.node_name, info.client_address);
             self.sessions.hello(session, info.clone(), &mut actions);
-            self.membership.set(Member { info, state });
+            self.membership.set_local(Member { info, state });
         }
         out.extend(actions.into_iter().map(Effect::Session));
     }
--- a/crates/sandtrack-control/src/node/status.rs
+++ b/crates/sandtrack-control/src/node/status.rs
@@ -40,7 +40,7 @@
             self.status_of_peers(),
             self.status_of_proxies(),
             quote(&self.election.lease().holder),
-            self.upstreams.polls(),
+            self.upstreams.last_poll(),
             self.status_of_services(),
         );
         Reply::success(body)
@@ -60,7 +60,7 @@
     fn status_of_proxies(&self) -> String {
         list(self.membership.members().into_iter().map(|(name, member)| {
             let Member { info, state } = member;
-            let here = self.membership.own().contains_key(name);
+            let here = self.membership.local_members().contains_key(name);
             format!(
                 "{{\"node\":{},\"front\":{},\"zone\":{},\"version_number\":{},\"ready\":{},\"leaving\":{},\
                  \"open\":{},\"here\":{here}}}",
--- a/crates/sandtrack-control/src/node/timers.rs
+++ b/crates/sandtrack-control/src/node/timers.rs
@@ -16,7 +16,7 @@
         let reader = self
             .poller
             .next_due()
-            .filter(|_| self.election.is_polling(self.last_input));
+            .filter(|_| self.election.should_poll(self.last_input));
         let prompts = self.prompts.next_due().into_iter();
         let due = calls
             .chain(reader)
@@ -39,7 +39,7 @@
         self.sessions.resumed(now);
         self.last_caught_up = None;
         if gap > HOLDER_TIMEOUT_MS {
-            self.election.resumed(now);
+            self.election.reset_after_pause(now);
         }
     }
 
--- a/crates/sandtrack-control/src/operator_api/call_age.rs
+++ b/crates/sandtrack-control/src/operator_api/call_age.rs
@@ -32,37 +32,37 @@
 /// Detects pauses of this process (a stopped process, a suspended machine) by gaps between its looks at the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct PauseDetector {
-    looked: Millis,
-    since: Millis,
+    last_observed: Millis,
+    running_since: Millis,
 }
 
 impl PauseDetector {
     /// The process starts now.
     pub fn new(now: Millis) -> PauseDetector {
         PauseDetector {
-            looked: now,
-            since: now,
+            last_observed: now,
+            running_since: now,
         }
     }
 
     /// The process runs at this moment. Whether it was paused just before.
     pub fn observe(&mut self, now: Millis) -> bool {
-        let paused = now - self.looked > MAX_PAUSE_MS;
+        let paused = now - self.last_observed > MAX_PAUSE_MS;
         if paused {
-            self.since = now;
+            self.running_since = now;
         }
-        self.looked = self.looked.max(now);
+        self.last_observed = self.last_observed.max(now);
         paused
     }
 
     /// Since when it has run without a pause.
     pub fn running_since(&self) -> Millis {
-        self.since
+        self.running_since
     }
 
     /// Whether the process has run without a pause since before the call's connection can have come.
     pub fn ran_since_arrival(&self, arrival: &Arrival) -> bool {
-        arrival.queued_since >= self.since
+        arrival.queued_since >= self.running_since
     }
 
     /// The same, and the call is younger than [`MAX_CALL_AGE_MS`].
--- a/crates/sandtrack-control/src/operator_api/call_log.rs
+++ b/crates/sandtrack-control/src/operator_api/call_log.rs
@@ -12,11 +12,11 @@
 /// A call that was read and not answered yet.
 #[derive(Clone, Debug)]
 struct OpenCall {
-    what: String,
+    description: String,
     /// Target of an order without a body: one for a zone.
     bodyless_post_target: Option<String>,
     /// It changes something, if it is taken.
-    is_order: bool,
+    is_change: bool,
     /// When it was read.
     read: Millis,
     /// How long its connection had been accepted when it was read, in ms.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
     /// The text.
-    pub line: String,
+    pub text: String,
     /// It changes something, or was rejected: logged at level info.
     pub is_notable: bool,
 }
@@ -35,81 +35,87 @@
 /// The calls under way, and how those before were answered.
 #[derive(Clone, Debug, Default)]
 pub struct CallLog {
-    begun: BTreeMap<u64, OpenCall>,
+    open: BTreeMap<u64, OpenCall>,
     /// By status and code (empty for a success).
-    answered: BTreeMap<(u16, String), u64>,
+    responses: BTreeMap<(u16, String), u64>,
     /// Calls whose caller left before they were made.
-    left: u64,
+    abandoned: u64,
 }
 
 impl CallLog {
     /// A call was read completely.
-    pub fn read(&mut self, now: Millis, call: u64, message: &Message, arrival: Option<Arrival>) {
+    pub fn record_read(
+        &mut self,
+        now: Millis,
+        call: u64,
+        message: &Message,
+        arrival: Option<Arrival>,
+    ) {
         let head = &message.head;
         let based_on = head.headers.get("based-on-version");
         let based_on =
             based_on.map_or_else(String::new, |version| format!(" on version {version}"));
-        let what = format!(
+        let description = format!(
             "{} {}{based_on}, {} bytes",
             head.method,
             head.target,
             message.body.len()
         );
-        let is_order = head.method == "POST";
+        let is_change = head.method == "POST";
         let bodyless_post_target =
-            (is_order && message.body.is_empty()).then(|| head.target.clone());
+            (is_change && message.body.is_empty()).then(|| head.target.clone());
         let age_when_read = arrival.map_or(0.0, |arrival| now - arrival.accepted);
-        self.begun.insert(
+        self.open.insert(
             call,
             OpenCall {
-                what,
+                description,
                 bodyless_post_target,
-                is_order,
+                is_change,
                 read: now,
                 age_when_read,
             },
         );
     }
 
-    /// The target of an order for a zone that was read so lately that its caller waits for it still.
+    /// The target of an order for a zone that was read so lately that its caller is_waiting for it still.
     pub fn bodyless_post_target(&self, now: Millis, call: u64) -> Option<&str> {
-        let begun = self.begun.get(&call)?;
-        let waits = now - begun.read + begun.age_when_read <= CALLER_TIMEOUT_MS;
-        begun.bodyless_post_target.as_deref().filter(|_| waits)
+        let open = self.open.get(&call)?;
+        let is_waiting = now - open.read + open.age_when_read <= CALLER_TIMEOUT_MS;
+        open.bodyless_post_target.as_deref().filter(|_| is_waiting)
     }
 
     /// A call is answered; nothing where it was answered before.
-    pub fn answered(&mut self, now: Millis, call: u64, reply: &Reply) -> Option<LogLine> {
+    pub fn record_response(&mut self, now: Millis, call: u64, reply: &Reply) -> Option<LogLine> {
         let OpenCall {
-            what,
-            is_order,
+            description,
+            is_change,
             read,
             age_when_read,
             ..
-        } = self.begun.remove(&call)?;
+        } = self.open.remove(&call)?;
         let code = reply.code.map_or_else(String::new, |code| code.to_string());
         *self
-            .answered
+            .responses
             .entry((reply.status, code.clone()))
             .or_default() += 1;
-        let refusal = match reply.code {
+        let error = match reply.code {
             Some(code) => format!(" {code} {}", code.meaning()),
             None => String::new(),
         };
         let line = format!(
-            "call {call} ({what}; read {age_when_read:.0} ms after it was accepted) answered {}{refusal} after {:.0} ms",
+            "call {call} ({description}; read {age_when_read:.0} ms after it was accepted) answered {}{error} after {:.0} ms",
             reply.status,
             now - read,
         );
         Some(LogLine {
-            line,
-            is_notable: is_order || reply.code.is_some(),
+            text: line,
+            is_notable: is_change || reply.code.is_some(),
         })
     }
 
     /// A call was read whose caller has left: it is not made.
-    pub fn caller_left(&mut self) {
-        self.left += 1;
+    pub fn record_abandoned(&mut self) {
+        self.abandoned += 1;
     }
 
     /// Appends them to the figures of the process.
@@ -120,7 +126,7 @@
             MetricKind::Counter,
             "Operators' calls by how they were answered",
         );
-        for ((status, code), count) in &self.answered {
+        for ((status, code), count) in &self.responses {
             text.sample(
                 CALLS,
                 &[("status", &status.to_string()), ("code", code)],
@@ -132,14 +138,14 @@
             "sandtrack_control_calls_left_total",
             MetricKind::Counter,
             help,
-            self.left,
+            self.abandoned,
         );
         let help = "Calls that are not answered yet";
         text.metric(
             "sandtrack_control_calls_open",
             MetricKind::Gauge,
             help,
-            self.begun.len(),
+            self.open.len(),
         );
     }
 }
--- a/crates/sandtrack-control/src/operator_api/pending_calls.rs
+++ b/crates/sandtrack-control/src/operator_api/pending_calls.rs
@@ -52,7 +52,7 @@
     /// What the committed state here says of a command before it is submitted.
     fn precheck(&self, command: &Command) -> Precheck;
     /// Whether the zone is in the settings or in anything that was learned since.
-    fn knows_zone(&self, zone: &str) -> bool;
+    fn is_known_zone(&self, zone: &str) -> bool;
 }
 
 /// What a call awaiting for.
@@ -232,7 +232,7 @@
                     query: Query::Configuration,
                 }
             }
-            Request::Evacuate { zone, begin } if known.knows_zone(&zone) => {
+            Request::Evacuate { zone, begin } if known.is_known_zone(&zone) => {
                 wait(Awaiting::Evacuation);
                 let last_known = known.last_evacuation_command(&zone);
                 self.submit_evacuation(now, call, zone, begin, last_known)
@@ -293,7 +293,7 @@
                 zone,
                 begin,
                 last_known,
-            } if result.is_ok() && known.knows_zone(&zone) => {
+            } if result.is_ok() && known.is_known_zone(&zone) => {
                 if let Some(pending) = self.pending.get_mut(&call) {
                     pending.awaiting = Awaiting::Evacuation;
                 }
--- a/crates/sandtrack-control/src/poller_election.rs
+++ b/crates/sandtrack-control/src/poller_election.rs
@@ -24,19 +24,19 @@
 /// when it fails, the next control node in order takes over once a majority of the voters reports that it timed out.
 #[derive(Clone, Debug)]
 pub struct PollerElection {
-    me: Address,
+    own_address: Address,
     lease: PollerLease,
     /// When the holder was heard last.
-    last_heard: Millis,
+    last_heartbeat: Millis,
 }
 
 impl PollerElection {
     /// Without a known holder.
-    pub fn new(me: &str, now: Millis) -> PollerElection {
+    pub fn new(own_address: &str, now: Millis) -> PollerElection {
         PollerElection {
-            me: me.to_owned(),
+            own_address: own_address.to_owned(),
             lease: PollerLease::default(),
-            last_heard: now,
+            last_heartbeat: now,
         }
     }
 
@@ -47,7 +47,7 @@
 
     /// Whether this control node holds the role.
     pub fn is_holder(&self) -> bool {
-        self.lease.holder == self.me
+        self.lease.holder == self.own_address
     }
 
     /// Whether the list is taken that another control node has read: from the holder, or from anyone while no holder is known.
@@ -59,12 +59,12 @@
 
     /// Whether the holder was not heard for long.
     pub fn is_holder_timed_out(&self, now: Millis) -> bool {
-        !self.is_holder() && now - self.last_heard > HOLDER_TIMEOUT_MS
+        !self.is_holder() && now - self.last_heartbeat > HOLDER_TIMEOUT_MS
     }
 
     /// Whether this one is to read: as the holder, or for itself, as it hears nobody who does.
-    pub fn is_polling(&self, now: Millis) -> bool {
-        self.is_holder() || now - self.last_heard > FALLBACK_POLLING_MS
+    pub fn should_poll(&self, now: Millis) -> bool {
+        self.is_holder() || now - self.last_heartbeat > FALLBACK_POLLING_MS
     }
 
     /// Another control node says who holds.
@@ -72,10 +72,10 @@
         if *lease > self.lease {
             self.adopt(lease.clone());
             // One that was named by another is given its time to begin.
-            self.last_heard = now;
+            self.last_heartbeat = now;
         }
         if *lease == self.lease && self.lease.holder == from {
-            self.last_heard = now;
+            self.last_heartbeat = now;
         }
     }
 
@@ -89,11 +89,11 @@
     }
 
     /// This process did not run for a while: what it holds may be another's by now, who has to be heard first.
-    pub fn resumed(&mut self, now: Millis) {
+    pub fn reset_after_pause(&mut self, now: Millis) {
         if self.is_holder() {
             self.lease.holder = Address::new();
         }
-        self.last_heard = now;
+        self.last_heartbeat = now;
     }
 
     /// Claims the role where it is this one's turn: `order` is who may, in turn; `live` what those heard of said last;
@@ -101,34 +101,37 @@
     pub fn take_over(
         &mut self,
         now: Millis,
-        order: &[Address],
-        live: &BTreeMap<Address, PeerReport>,
+        candidates: &[Address],
+        live_peers: &BTreeMap<Address, PeerReport>,
         voters: &[Address],
     ) -> bool {
-        let begins = self.lease.term == 0 && order.first() == Some(&self.me);
-        if !self.is_holder_timed_out(now) && !begins {
+        let may_claim_first_term =
+            self.lease.term == 0 && candidates.first() == Some(&self.own_address);
+        if !self.is_holder_timed_out(now) && !may_claim_first_term {
             return false;
         }
-        if self.is_holder() || self.successor(order, |one| live.contains_key(one)) != Some(&self.me)
+        if self.is_holder()
+            || self.successor(candidates, |address| live_peers.contains_key(address))
+                != Some(&self.own_address)
         {
             return false;
         }
         // Where there never was a holder, nobody can miss it: a majority that knows of none is enough. A process that starts
         // while it is cut off knows of none either, and has no majority.
         let is_first = self.lease.term == 0;
-        let agrees = |one: &&Address| {
-            **one == self.me
-                || live.get(*one).is_some_and(|report| {
+        let consents = |address: &&Address| {
+            **address == self.own_address
+                || live_peers.get(*address).is_some_and(|report| {
                     (is_first || report.holder_timed_out) && report.lease <= self.lease
                 })
         };
-        let agreed = voters.iter().filter(agrees).count();
-        if 2 * agreed <= voters.len() {
+        let consenting = voters.iter().filter(consents).count();
+        if 2 * consenting <= voters.len() {
             return false;
         }
         self.adopt(PollerLease {
             term: self.lease.term + 1,
-            holder: self.me.clone(),
+            holder: self.own_address.clone(),
         });
         true
     }
@@ -136,23 +139,28 @@
     /// The next after the holder that is there; it may be this one.
     fn successor<'a>(
         &self,
-        order: &'a [Address],
+        candidates: &'a [Address],
         is_live: impl Fn(&str) -> bool,
     ) -> Option<&'a Address> {
-        let after = order
+        let after = candidates
             .iter()
-            .position(|one| *one == self.lease.holder)
+            .position(|address| *address == self.lease.holder)
             .map_or(0, |at| at + 1);
-        let turn = order.iter().cycle().skip(after).take(order.len());
-        turn.into_iter()
-            .find(|one| **one != self.lease.holder && (**one == self.me || is_live(one)))
+        let turn = candidates.iter().cycle().skip(after).take(candidates.len());
+        turn.into_iter().find(|address| {
+            **address != self.lease.holder && (**address == self.own_address || is_live(address))
+        })
     }
 
     /// Names the successor of one that leaves; yes where there is one.
-    pub fn hand_over(&mut self, order: &[Address], live: &BTreeMap<Address, PeerReport>) -> bool {
+    pub fn hand_over(
+        &mut self,
+        candidates: &[Address],
+        live_peers: &BTreeMap<Address, PeerReport>,
+    ) -> bool {
         let next = self
-            .successor(order, |one| live.contains_key(one))
-            .filter(|next| **next != self.me)
+            .successor(candidates, |address| live_peers.contains_key(address))
+            .filter(|next| **next != self.own_address)
             .cloned();
         match next {
             Some(holder) if self.is_holder() => {
--- a/crates/sandtrack-control/src/quorum_lease.rs
+++ b/crates/sandtrack-control/src/quorum_lease.rs
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct VoterReport {
-    last_heard: Millis,
+    last_received: Millis,
     /// The last one of its replica; none before the replica's first message.
     attestation: Option<ViewAttestation>,
 }
@@ -26,45 +26,51 @@
 #[derive(Clone, Debug, Default)]
 pub struct QuorumLease {
     reports: BTreeMap<Address, VoterReport>,
-    counts_from: Millis,
+    ignore_until: Millis,
 }
 
 impl QuorumLease {
     /// A frame of a peer arrived; `attestation` comes with frames of its replica.
     pub fn record(&mut self, now: Millis, peer: &str, attestation: Option<ViewAttestation>) {
-        if now < self.counts_from {
+        if now < self.ignore_until {
             return;
         }
         let report = self.reports.entry(peer.to_owned()).or_insert(VoterReport {
-            last_heard: now,
+            last_received: now,
             attestation,
         });
-        report.last_heard = now;
+        report.last_received = now;
         report.attestation = attestation.or(report.attestation);
     }
 
     /// The link with a peer was lost or replaced: its reports no longer count.
-    pub fn forget(&mut self, peer: &str) {
+    pub fn remove_peer(&mut self, peer: &str) {
         self.reports.remove(peer);
     }
 
     /// This process was paused: the lease is void until a majority has reported anew.
     pub fn invalidate(&mut self, now: Millis) {
         self.reports.clear();
-        self.counts_from = now + STALE_INPUT_MS;
+        self.ignore_until = now + STALE_INPUT_MS;
     }
 
     /// Whether a majority of the view's voters reported within the lease, and neither knows nor accepted a later view.
     /// This process, at address `me`, counts itself by the same rule.
-    pub fn is_valid(&self, now: Millis, me: &str, own: ViewAttestation, view: &View) -> bool {
+    pub fn is_valid(
+        &self,
+        now: Millis,
+        own_address: &str,
+        own_attestation: ViewAttestation,
+        view: &View,
+    ) -> bool {
         let confirms = |address: &str| {
-            if address == me {
-                return own.confirms(address, view);
+            if address == own_address {
+                return own_attestation.confirms(address, view);
             }
             let report = self
                 .reports
                 .get(address)
-                .filter(|report| now - report.last_heard <= QUORUM_LEASE_MS);
+                .filter(|report| now - report.last_received <= QUORUM_LEASE_MS);
             report
                 .and_then(|report| report.attestation)
                 .is_some_and(|attestation| attestation.confirms(address, view))
@@ -74,6 +80,6 @@
             .iter()
             .filter(|voter| confirms(&voter.address))
             .count();
-        now >= self.counts_from && confirming >= view.majority()
+        now >= self.ignore_until && confirming >= view.majority()
     }
 }
--- a/crates/sandtrack-control/src/sessions.rs
+++ b/crates/sandtrack-control/src/sessions.rs
@@ -49,7 +49,7 @@
             configuration: shared.control_state.configuration_number(),
             evacuation: shared.control_state.evacuation_number(),
             list: shared.upstreams.end(),
-            list_is_known: shared.upstreams.polls() > 0,
+            list_is_known: shared.upstreams.last_poll() > 0,
         }
     }
 }
@@ -371,7 +371,7 @@
             } else if session.lacks(shared.control_state) {
                 held_back.insert(*number);
             }
-            if shared.upstreams.polls() > 0
+            if shared.upstreams.last_poll() > 0
                 && session.endpoint_position != Some(shared.upstreams.end())
             {
                 let frame = endpoint_frames
--- a/crates/sandtrack-control/src/state_machine/control_state.rs
+++ b/crates/sandtrack-control/src/state_machine/control_state.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether there ever was an order for the zone.
-    pub fn knows_zone(&self, zone: &str) -> bool {
+    pub fn is_known_zone(&self, zone: &str) -> bool {
         self.evacuations.has_command_for(zone)
     }
 
@@ -132,7 +132,7 @@
                 },
             };
         }
-        let next = match self.check_next(next) {
+        let next = match self.validate_next(next) {
             Ok(next) => next,
             Err(invalid) => return invalid.into(),
         };
@@ -157,8 +157,8 @@
     }
 
     /// Checks a document that is to replace the current one, and gives it as it is read back.
-    fn check_next(&self, next: Document) -> Result<Document, ConfigurationError> {
-        let next = as_read_back(next)?;
+    fn validate_next(&self, next: Document) -> Result<Document, ConfigurationError> {
+        let next = reparsed(next)?;
         Configuration::read(&next)?;
         if next.version <= self.document.version {
             let place = format!(
@@ -200,7 +200,7 @@
                 Ok(()) => Outcome::Accepted {
                     version: self.document.version,
                 },
-                Err(overtaken) => overtaken,
+                Err(superseded) => superseded,
             },
         }
     }
@@ -219,22 +219,22 @@
 
 /// A document as proxies and restoring replicas parse it from its JSON text. An update can lead to one whose text parses as
 /// another document, or not at all.
-fn as_read_back(document: Document) -> Result<Document, ConfigurationError> {
+fn reparsed(document: Document) -> Result<Document, ConfigurationError> {
     if document.list(VERSION_FIELD).is_some() {
         return Err(ConfigurationError::new(
             codes::CONFIGURATION_FIELD,
             VERSION_FIELD,
         ));
     }
-    if reads_back_as_it_is(&document) {
+    if round_trips(&document) {
         return Ok(document);
     }
     Document::parse(document.to_json().as_bytes())
 }
 
 /// Whether the JSON text of a document certainly parses as the same document. It is a cheap check, made for each change.
-fn reads_back_as_it_is(document: &Document) -> bool {
-    let reads_as_list = |value: &OwnedValue| {
+fn round_trips(document: &Document) -> bool {
+    let is_item_list = |value: &OwnedValue| {
         value
             .as_array()
             .is_some_and(|items| items.iter().all(|item| item.as_object().is_some()))
@@ -242,10 +242,7 @@
     REQUIRED_LISTS
         .iter()
         .all(|list| document.list(list).is_some())
-        && !document
-            .fields
-            .iter()
-            .any(|(_, value)| reads_as_list(value))
+        && !document.fields.iter().any(|(_, value)| is_item_list(value))
 }
 
 impl StateMachine for ControlState {
@@ -286,13 +283,13 @@
         };
         let extension = SnapshotExtension::Format2 {
             accepted: self.accepted.sha256_records(),
-            orders: self.evacuations.orders().clone(),
+            command_numbers: self.evacuations.command_numbers().clone(),
         };
         borsh::to_vec(&(base, extension)).unwrap_or_default()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> bool {
-        let Some((base, sha256_records, orders)) = snapshot::parse(snapshot) else {
+        let Some((base, sha256_records, command_numbers)) = snapshot::parse(snapshot) else {
             return false;
         };
         let document = match base.configuration_number {
@@ -306,7 +303,11 @@
             document,
             configuration_number: base.configuration_number,
             accepted: AcceptedConfigurations::from_snapshot(base.accepted, sha256_records),
-            evacuations: Evacuations::from_snapshot(base.evacuated, base.evacuation_number, orders),
+            evacuations: Evacuations::from_snapshot(
+                base.evacuated,
+                base.evacuation_number,
+                command_numbers,
+            ),
             recent_changes: RecentChanges::default(),
         };
         true
--- a/crates/sandtrack-control/src/state_machine/evacuations.rs
+++ b/crates/sandtrack-control/src/state_machine/evacuations.rs
@@ -37,21 +37,21 @@
 pub struct Evacuations {
     zones: BTreeSet<String>,
     /// Number of the command that last changed which zones are evacuated.
-    changed: u64,
-    orders: EvacuationCommandNumbers,
+    last_change: u64,
+    command_numbers: EvacuationCommandNumbers,
 }
 
 impl Evacuations {
     /// As a snapshot holds them.
     pub fn from_snapshot(
         zones: Vec<String>,
-        changed: u64,
-        orders: EvacuationCommandNumbers,
+        last_change: u64,
+        command_numbers: EvacuationCommandNumbers,
     ) -> Evacuations {
         Evacuations {
             zones: zones.into_iter().collect(),
-            changed,
-            orders,
+            last_change,
+            command_numbers,
         }
     }
 
@@ -62,28 +62,28 @@
 
     /// Number of the command that last changed which zones are evacuated; 0 before the first.
     pub fn last_change(&self) -> u64 {
-        self.changed
+        self.last_change
     }
 
     /// What a snapshot holds of the orders.
-    pub fn orders(&self) -> &EvacuationCommandNumbers {
-        &self.orders
+    pub fn command_numbers(&self) -> &EvacuationCommandNumbers {
+        &self.command_numbers
     }
 
     /// Number of the last order for a zone; 0 where there was none.
     pub fn last_evacuation_command(&self, zone: &str) -> u64 {
-        self.orders.last(zone)
+        self.command_numbers.last(zone)
     }
 
     /// Whether there ever was an order for the zone.
     pub fn has_command_for(&self, zone: &str) -> bool {
-        self.orders.by_zone.contains_key(zone) || self.zones.contains(zone)
+        self.command_numbers.by_zone.contains_key(zone) || self.zones.contains(zone)
     }
 
     /// An order of format 1, which does not tell what its control node knew.
     pub fn set_format_1(&mut self, number: u64, zone: &str, begin: bool) {
         if self.change(number, zone, begin) {
-            self.orders.format_1 = number;
+            self.command_numbers.format_1 = number;
         }
     }
 
@@ -99,12 +99,12 @@
         begin: bool,
         last_known: u64,
     ) -> Result<(), Outcome> {
-        let last = self.orders.last(&zone);
+        let last = self.command_numbers.last(&zone);
         if last_known < last && self.zones.contains(&zone) != begin {
             return Err(Outcome::Superseded { number: last });
         }
         self.change(number, &zone, begin);
-        self.orders.by_zone.insert(zone, number);
+        self.command_numbers.by_zone.insert(zone, number);
         Ok(())
     }
 
@@ -115,7 +115,7 @@
             self.zones.remove(zone)
         };
         if changed {
-            self.changed = number;
+            self.last_change = number;
         }
         changed
     }
--- a/crates/sandtrack-control/src/state_machine/snapshot.rs
+++ b/crates/sandtrack-control/src/state_machine/snapshot.rs
@@ -19,7 +19,7 @@
 pub(super) enum SnapshotExtension {
     Format2 {
         accepted: Vec<Sha256Record>,
-        orders: EvacuationCommandNumbers,
+        command_numbers: EvacuationCommandNumbers,
     },
 }
 
@@ -29,9 +29,12 @@
 ) -> Option<(SnapshotBase, Vec<Sha256Record>, EvacuationCommandNumbers)> {
     let base = SnapshotBase::deserialize(&mut snapshot).ok()?;
     if snapshot.is_empty() {
-        let orders = EvacuationCommandNumbers::from_format_1(base.evacuation_number);
-        return Some((base, Vec::new(), orders));
+        let command_numbers = EvacuationCommandNumbers::from_format_1(base.evacuation_number);
+        return Some((base, Vec::new(), command_numbers));
     }
-    let SnapshotExtension::Format2 { accepted, orders } = borsh::from_slice(snapshot).ok()?;
-    Some((base, accepted, orders))
+    let SnapshotExtension::Format2 {
+        accepted,
+        command_numbers,
+    } = borsh::from_slice(snapshot).ok()?;
+    Some((base, accepted, command_numbers))
 }
--- a/crates/sandtrack-control/src/upstreams.rs
+++ b/crates/sandtrack-control/src/upstreams.rs
@@ -18,7 +18,7 @@
 struct TrackedUpstream {
     entry: UpstreamEntry,
     cold_until: Millis,
-    ends: Option<Millis>,
+    ends_at: Option<Millis>,
 }
 
 impl TrackedUpstream {
@@ -32,16 +32,16 @@
                 ..entry
             },
             cold_until,
-            ends,
+            ends_at: ends,
         }
     }
 
     /// As it is at this moment.
-    fn now(&self, now: Millis) -> UpstreamEntry {
+    fn entry_at(&self, now: Millis) -> UpstreamEntry {
         let left = |until: Millis| (until - now).max(0.0) as u32;
         UpstreamEntry {
             slow_start_remaining_ms: left(self.cold_until),
-            time_left_ms: self.ends.map(left),
+            time_left_ms: self.ends_at.map(left),
             ..self.entry.clone()
         }
     }
@@ -50,7 +50,7 @@
         let same = |one: Millis, other: Millis| {
             (one - other).abs() < TIME_TOLERANCE_MS || one <= now && other <= now
         };
-        let ends = match (self.ends, other.ends) {
+        let ends = match (self.ends_at, other.ends_at) {
             (None, None) => true,
             (Some(one), Some(other)) => same(one, other),
             _ => false,
@@ -68,7 +68,7 @@
             &entry.zone,
         )
             .hash(&mut sum);
-        (entry.slots, entry.draining, self.ends.is_some()).hash(&mut sum);
+        (entry.slots, entry.draining, self.ends_at.is_some()).hash(&mut sum);
         sum.finish()
     }
 }
@@ -76,22 +76,22 @@
 /// The upstreams by identifier, and the log of their changes.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
-    table: BTreeMap<String, TrackedUpstream>,
+    by_identifier: BTreeMap<String, TrackedUpstream>,
     /// Identifiers of the upstreams that changed, in the order of the changes.
     event_log: EventLog<String>,
     /// Number of the last poll; rises with each.
-    polls: u64,
+    last_poll: u64,
     /// Sum of the digests of all upstreams.
-    sum: u64,
+    digest_sum: u64,
 }
 
 impl Default for Upstreams {
     fn default() -> Upstreams {
         Upstreams {
-            table: BTreeMap::new(),
+            by_identifier: BTreeMap::new(),
             event_log: EventLog::new(MAX_EVENTS),
-            polls: 0,
-            sum: 0,
+            last_poll: 0,
+            digest_sum: 0,
         }
     }
 }
@@ -99,32 +99,34 @@
 impl Upstreams {
     /// The list shows an upstream; its remaining times count from `at`.
     pub fn set(&mut self, at: Millis, entry: UpstreamEntry) {
-        let kept = TrackedUpstream::new(entry, at);
+        let tracked = TrackedUpstream::new(entry, at);
         if !self
-            .table
-            .get(&kept.entry.identifier)
-            .is_some_and(|known| known.is_equivalent(&kept, at))
+            .by_identifier
+            .get(&tracked.entry.identifier)
+            .is_some_and(|known| known.is_equivalent(&tracked, at))
         {
-            self.event_log.append(kept.entry.identifier.clone());
-            self.sum = self.sum.wrapping_add(kept.digest());
-            let before = self.table.insert(kept.entry.identifier.clone(), kept);
-            self.sum = self
-                .sum
+            self.event_log.append(tracked.entry.identifier.clone());
+            self.digest_sum = self.digest_sum.wrapping_add(tracked.digest());
+            let before = self
+                .by_identifier
+                .insert(tracked.entry.identifier.clone(), tracked);
+            self.digest_sum = self
+                .digest_sum
                 .wrapping_sub(before.map_or(0, |before| before.digest()));
         }
     }
 
     /// The list no longer shows it.
     pub fn remove(&mut self, identifier: &str) {
-        if let Some(before) = self.table.remove(identifier) {
-            self.sum = self.sum.wrapping_sub(before.digest());
+        if let Some(before) = self.by_identifier.remove(identifier) {
+            self.digest_sum = self.digest_sum.wrapping_sub(before.digest());
             self.event_log.append(identifier.to_owned());
         }
     }
 
     /// A poll is finished; its number is above `polls`.
-    pub fn poll_finished(&mut self, polls: u64) {
-        self.polls = self.polls.max(polls);
+    pub fn poll_finished(&mut self, last_poll: u64) {
+        self.last_poll = self.last_poll.max(last_poll);
     }
 
     /// Applies what another control node polled.
@@ -149,7 +151,7 @@
             .map(|entry| entry.identifier.as_str())
             .collect();
         let gone: Vec<String> = self
-            .table
+            .by_identifier
             .keys()
             .filter(|known| !listed.contains(known.as_str()))
             .cloned()
@@ -162,26 +164,30 @@
         self.event_log.end()
     }
 
-    /// The update for a receiver that is at `place` of the log; a complete one if it received nothing yet.
-    pub fn update_since(&self, now: Millis, place: Option<u64>) -> EndpointUpdate {
-        let Some(events) = place.and_then(|place| self.event_log.since(place)) else {
-            let entries = self.table.values().map(|kept| kept.now(now)).collect();
+    /// The update for a receiver that is at `position` of the log; a complete one if it received nothing yet.
+    pub fn update_since(&self, now: Millis, position: Option<u64>) -> EndpointUpdate {
+        let Some(events) = position.and_then(|position| self.event_log.since(position)) else {
+            let entries = self
+                .by_identifier
+                .values()
+                .map(|tracked| tracked.entry_at(now))
+                .collect();
             return EndpointUpdate {
                 is_complete: true,
-                poll: self.polls,
+                poll: self.last_poll,
                 entries,
                 removed: Vec::new(),
             };
         };
         let mut update = EndpointUpdate {
             is_complete: false,
-            poll: self.polls,
+            poll: self.last_poll,
             entries: Vec::new(),
             removed: Vec::new(),
         };
         for identifier in events.collect::<BTreeSet<&String>>() {
-            match self.table.get(identifier) {
-                Some(kept) => update.entries.push(kept.now(now)),
+            match self.by_identifier.get(identifier) {
+                Some(tracked) => update.entries.push(tracked.entry_at(now)),
                 None => update.removed.push(identifier.clone()),
             }
         }
@@ -189,35 +195,37 @@
     }
 
     /// Number of the last poll that is known; 0: none yet.
-    pub fn polls(&self) -> u64 {
-        self.polls
+    pub fn last_poll(&self) -> u64 {
+        self.last_poll
     }
 
     /// What peers compare with theirs.
     pub fn digest(&self) -> Digest {
         Digest {
-            count: self.table.len() as u32,
-            sum: self.sum,
+            count: self.by_identifier.len() as u32,
+            sum: self.digest_sum,
         }
     }
 
     /// Identifiers of all of them.
     pub fn identifiers(&self) -> impl Iterator<Item = &str> {
-        self.table.keys().map(String::as_str)
+        self.by_identifier.keys().map(String::as_str)
     }
 
     /// Whether an upstream is in the zone.
-    pub fn knows_zone(&self, zone: &str) -> bool {
-        self.table.values().any(|kept| kept.entry.zone == zone)
+    pub fn has_upstream_in_zone(&self, zone: &str) -> bool {
+        self.by_identifier
+            .values()
+            .any(|tracked| tracked.entry.zone == zone)
     }
 
     /// For each service: how many upstreams, and how many of them are draining.
     pub fn counts(&self) -> BTreeMap<&str, (usize, usize)> {
         let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for kept in self.table.values() {
-            let count = counts.entry(&kept.entry.service).or_default();
+        for tracked in self.by_identifier.values() {
+            let count = counts.entry(&tracked.entry.service).or_default();
             count.0 += 1;
-            count.1 += usize::from(kept.entry.draining);
+            count.1 += usize::from(tracked.entry.draining);
         }
         counts
     }
--- a/crates/sandtrack-control/tests/call_log.rs
+++ b/crates/sandtrack-control/tests/call_log.rs
@@ -1,4 +1,4 @@
-//! What is told of operators' calls: each once, with why it was not taken.
+//! What is logged of operators' calls: each once, with why it was not taken.
 use sandtrack_control::operator_api::call_age::Arrival;
 use sandtrack_control::operator_api::call_log::CallLog;
 use sandtrack_control::operator_api::responses::{too_old, Reply};
@@ -24,14 +24,16 @@
 fn a_rejected_call_is_logged_once_with_its_code_and_its_age() {
     let mut log = CallLog::default();
     let begin = call("POST", "/v1/evacuation/kita-hall/begin");
-    log.read(1500.0, 4, &begin, Some(Arrival::at(1000.0)));
-    let told = log.answered(1502.0, 4, &too_old()).expect("told");
+    log.record_read(1500.0, 4, &begin, Some(Arrival::at(1000.0)));
+    let logged = log
+        .record_response(1502.0, 4, &too_old())
+        .expect("a log line");
     let expected = "call 4 (POST /v1/evacuation/kita-hall/begin, 0 bytes; read 500 ms after it was accepted) answered 503 \
         E308 the call may have waited for too long in this process: it was not carried out after 2 ms";
-    assert_eq!(told.line, expected);
-    assert!(told.is_notable);
+    assert_eq!(logged.text, expected);
+    assert!(logged.is_notable);
     assert_eq!(
-        log.answered(1503.0, 4, &too_old()),
+        log.record_response(1503.0, 4, &too_old()),
         None,
         "a call is told once"
     );
@@ -40,19 +42,19 @@
 #[test]
 fn a_successful_read_is_not_notable_and_all_calls_are_counted() {
     let mut log = CallLog::default();
-    log.read(0.0, 1, &call("GET", "/v1/configuration/read"), None);
+    log.record_read(0.0, 1, &call("GET", "/v1/configuration/read"), None);
     assert!(
-        !log.answered(3.0, 1, &Reply::success("{}".to_owned()))
-            .expect("told")
+        !log.record_response(3.0, 1, &Reply::success("{}".to_owned()))
+            .expect("a log line")
             .is_notable
     );
-    log.read(
+    log.record_read(
         5.0,
         2,
         &call("POST", "/v1/evacuation/kita-hall/begin"),
         None,
     );
-    log.caller_left();
+    log.record_abandoned();
     let mut text = MetricsText::default();
     log.write_metrics(&mut text);
     let text = text.into_text();
--- a/crates/sandtrack-control/tests/directory.rs
+++ b/crates/sandtrack-control/tests/directory.rs
@@ -1,7 +1,7 @@
 //! Which proxies clients are sent to: choices as an approved transcript, and what the membership says of who is ready.
 mod common;
 use common::{assert_transcript, message};
-use sandtrack_control::directory::{choose, decode, reply, ClientLocation};
+use sandtrack_control::directory::{parse_request, response, select_addresses, ClientLocation};
 use sandtrack_control::membership::{Member, Membership, SessionEnd};
 use sandtrack_control::peers::PeerFrame;
 use sandtrack_protocol::frames::{ProxyInfo, ProxyState};
@@ -66,7 +66,7 @@
             zone: zone.to_owned(),
             region: region.to_owned(),
         };
-        let reply = reply(&choose(&place, &ready, 3, 2, 1));
+        let reply = response(&select_addresses(&place, &ready, 3, 2, 1));
         transcript.push_str(&format!(
             "# {what}\n{zone}, {region}, without {gone:?}\n-> {} {}\n\n",
             reply.status, reply.body
@@ -126,7 +126,7 @@
     };
     let mut told = std::collections::BTreeMap::new();
     for turn in 0..100 {
-        let chosen = choose(&place, &ready, 1, 1, turn);
+        let chosen = select_addresses(&place, &ready, 1, 1, turn);
         assert_eq!(chosen.len(), 64);
         chosen
             .into_iter()
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_call_names_its_place_or_is_answered_all_the_same() {
-    let decoded = |target: &str| decode(&message("GET", target, &[], "").head);
+    let decoded = |target: &str| parse_request(&message("GET", target, &[], "").head);
     let place = decoded("/v1/resolution?name=ficu95.example&region=ishikari&zone=odori%2Dhall")
         .expect("a place");
     assert_eq!(
@@ -160,7 +160,7 @@
         })
     );
     assert_eq!(decoded("/v1/other").expect_err("no such path").status, 404);
-    let post = decode(&message("POST", "/v1/resolution", &[], "").head);
+    let post = parse_request(&message("POST", "/v1/resolution", &[], "").head);
     assert_eq!(post.expect_err("a wrong method").status, 405);
 }
 
@@ -168,9 +168,9 @@
 fn draining_and_disconnected_proxies_leave_the_directory_at_once() {
     let mut membership = Membership::default();
     for name in ["a", "b", "c"] {
-        membership.set(member(name, "odori", READY));
+        membership.set_local(member(name, "odori", READY));
     }
-    membership.set(member("d", "odori", STARTING));
+    membership.set_local(member("d", "odori", STARTING));
     let ready = |membership: &Membership, now: f64| -> String {
         membership
             .ready(now)
@@ -180,7 +180,7 @@
             .join(" ")
     };
     assert_eq!(ready(&membership, 0.0), "a b c");
-    membership.set(member("a", "odori", LEAVING));
+    membership.set_local(member("a", "odori", LEAVING));
     assert_eq!(ready(&membership, 0.0), "b c");
     membership.session_ended(0.0, "b", SessionEnd::Disconnected);
     assert_eq!(ready(&membership, 0.0), "c");
@@ -209,7 +209,7 @@
 #[test]
 fn sessions_of_a_lost_control_node_are_kept_for_a_while() {
     let mut membership = Membership::default();
-    membership.set(member("a", "odori", READY));
+    membership.set_local(member("a", "odori", READY));
     membership.apply_sessions(0.0, "other", true, vec![member("b", "kita", READY)], &[]);
     membership.control_node_lost(1000.0, "other");
     let names = |membership: &Membership, now: f64| {
@@ -227,7 +227,7 @@
         "still a member, but nobody is sent to it"
     );
     // It was told to stop, and ends: it is counted no more.
-    membership.set(member("a", "odori", LEAVING));
+    membership.set_local(member("a", "odori", LEAVING));
     membership.session_ended(3000.0, "a", SessionEnd::Disconnected);
     assert_eq!(
         names(&membership, 3000.0),
@@ -280,13 +280,13 @@
             panic!("no sessions")
         };
         there.apply_sessions(0.0, "here", is_complete, present, &removed);
-        assert_eq!(here.digest(), there.digest_of("here"));
+        assert_eq!(here.digest(), there.remote_digest("here"));
         Some(here.end())
     };
-    here.set(member("a", "odori", READY));
+    here.set_local(member("a", "odori", READY));
     let mut place = pass(&here, &mut there, None);
-    here.set(member("b", "odori", STARTING));
-    here.set(member(
+    here.set_local(member("b", "odori", STARTING));
+    here.set_local(member(
         "a",
         "odori",
         ProxyState {
@@ -297,9 +297,9 @@
     assert_eq!(here.end(), 2, "how much is in hand is nothing to pass on");
     place = pass(&here, &mut there, place);
     here.session_ended(0.0, "a", SessionEnd::Disconnected);
-    here.set(member("b", "odori", READY));
+    here.set_local(member("b", "odori", READY));
     place = pass(&here, &mut there, place);
-    here.set(member("c", "odori", LEAVING));
+    here.set_local(member("c", "odori", LEAVING));
     here.session_ended(0.0, "c", SessionEnd::Disconnected);
     place = pass(&here, &mut there, place);
     let ready = |membership: &Membership| membership.ready(0.0).len();
--- a/crates/sandtrack-control/tests/endpoint_polling.rs
+++ b/crates/sandtrack-control/tests/endpoint_polling.rs
@@ -69,7 +69,7 @@
     assert_eq!(desk.due(), Some("p-2".to_owned()));
     assert_eq!(desk.now, 34.0, "60% of 50 calls a second");
     assert!(desk.told(page(&["c"], None)));
-    assert_eq!(desk.upstreams.polls(), 1);
+    assert_eq!(desk.upstreams.last_poll(), 1);
     assert_eq!(desk.due(), None);
     assert_eq!(desk.now, 400.0, "the next reading");
 }
@@ -335,7 +335,7 @@
                 PollerLease { holder, .. } if holder.is_empty() => "nobody",
                 PollerLease { holder, .. } => holder.as_str(),
             };
-            let reads = if election.is_polling(self.now) {
+            let reads = if election.should_poll(self.now) {
                 ", reads"
             } else {
                 ""
@@ -395,9 +395,9 @@
     cluster.say("c wakes");
     let now = cluster.now;
     if let Some(election) = cluster.elections.get_mut("c") {
-        election.resumed(now);
+        election.reset_after_pause(now);
         assert!(
-            !election.is_polling(now),
+            !election.should_poll(now),
             "it does not read on belief alone"
         );
     }
@@ -432,10 +432,10 @@
         cluster.transcript
     );
     assert!(
-        cluster.elections["b"].is_polling(cluster.now),
+        cluster.elections["b"].should_poll(cluster.now),
         "but it needs the list all the same"
     );
-    assert!(!cluster.elections["c"].is_polling(cluster.now));
+    assert!(!cluster.elections["c"].should_poll(cluster.now));
 }
 
 /// When the second reading of a list of one page begins.
--- a/crates/sandtrack-control/tests/guards.rs
+++ b/crates/sandtrack-control/tests/guards.rs
@@ -135,7 +135,7 @@
     fn precheck(&self, _: &Command) -> Precheck {
         Precheck::Passed
     }
-    fn knows_zone(&self, _: &str) -> bool {
+    fn is_known_zone(&self, _: &str) -> bool {
         false
     }
 }
--- a/crates/sandtrack-control/tests/quorum_lease.rs
+++ b/crates/sandtrack-control/tests/quorum_lease.rs
@@ -77,7 +77,7 @@
 fn a_lost_or_new_link_confirms_nothing() {
     let mut lease = QuorumLease::default();
     lease.record(1000.0, "b", says(1));
-    lease.forget("b");
+    lease.remove_peer("b");
     assert!(!confirmed(&lease, 1001.0, 1));
 }
 
--- a/crates/sandtrack-control/tests/resent_configurations.rs
+++ b/crates/sandtrack-control/tests/resent_configurations.rs
@@ -570,7 +570,7 @@
     fn precheck(&self, _: &Command) -> Precheck {
         Precheck::Passed
     }
-    fn knows_zone(&self, _: &str) -> bool {
+    fn is_known_zone(&self, _: &str) -> bool {
         true
     }
 }
--- a/crates/sandtrack-control/tests/shared_api_keys.rs
+++ b/crates/sandtrack-control/tests/shared_api_keys.rs
@@ -75,7 +75,7 @@
     fn precheck(&self, command: &Command) -> Precheck {
         self.0.precheck(command)
     }
-    fn knows_zone(&self, _: &str) -> bool {
+    fn is_known_zone(&self, _: &str) -> bool {
         false
     }
 }
--- a/crates/sandtrack-control/tests/stale_evacuation_orders.rs
+++ b/crates/sandtrack-control/tests/stale_evacuation_orders.rs
@@ -187,7 +187,7 @@
     fn precheck(&self, _: &Command) -> Precheck {
         Precheck::Passed
     }
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn is_known_zone(&self, zone: &str) -> bool {
         self.is_named && zone == "kita-hall"
     }
 }
--- a/crates/sandtrack-model-checker/src/control_frontend.rs
+++ b/crates/sandtrack-model-checker/src/control_frontend.rs
@@ -49,7 +49,7 @@
         self.0.control_state().precheck(command)
     }
 
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn is_known_zone(&self, zone: &str) -> bool {
         zone == ZONE
     }
 }
--- a/crates/sandtrack-model-checker/src/poller_election.rs
+++ b/crates/sandtrack-model-checker/src/poller_election.rs
@@ -137,7 +137,7 @@
     /// Before all else: a process that did not run for long is the leader no more.
     fn begin(&mut self) {
         if self.clock - self.last_run > HOLDER_TIMEOUT_MS {
-            self.election.resumed(self.clock);
+            self.election.reset_after_pause(self.clock);
         }
         self.last_run = self.clock;
     }
