--- a/crates/sandtrack-control/src/node/call_context.rs
+++ b/crates/sandtrack-control/src/node/call_context.rs
@@ -22,8 +22,8 @@
         self.leaving && self.peers.all().any(|(_, stays, _)| stays)
     }
 
-    fn last_order(&self, zone: &str) -> u64 {
-        self.control_state.last_order(zone)
+    fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.control_state.last_evacuation_command(zone)
     }
 
     fn accepted_version(&self, command: &Command) -> Option<u64> {
@@ -34,10 +34,10 @@
         self.control_state.precheck(command)
     }
 
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn is_known_zone(&self, zone: &str) -> bool {
         self.settings.zones.contains_key(zone)
             || self.settings.zone == zone
-            || self.control_state.knows_zone(zone)
+            || self.control_state.is_known_zone(zone)
             || self
                 .peers
                 .all()
@@ -47,6 +47,6 @@
                 .members()
                 .values()
                 .any(|member| member.info.zone == zone)
-            || self.upstreams.knows_zone(zone)
+            || self.upstreams.has_upstream_in_zone(zone)
     }
 }
--- a/crates/sandtrack-control/src/node/operator_calls.rs
+++ b/crates/sandtrack-control/src/node/operator_calls.rs
@@ -39,12 +39,12 @@
     /// afterwards.
     fn reply(&mut self, now: Millis, call: u64, reply: Reply, out: &mut Vec<Effect>) {
         let reply = self.redirect_if_unacknowledged(now, call, reply);
-        match self.call_log.answered(now, call, &reply) {
-            Some(told) if reply.code.is_some() => {
-                log::info!("{}; {}", told.line, self.node_summary(now));
+        match self.call_log.record_response(now, call, &reply) {
+            Some(logged) if reply.code.is_some() => {
+                log::info!("{}; {}", logged.text, self.node_summary(now));
             }
-            Some(told) if told.is_notable => log::info!("{}", told.line),
-            Some(told) => log::debug!("{}", told.line),
+            Some(logged) if logged.is_notable => log::info!("{}", logged.text),
+            Some(logged) => log::debug!("{}", logged.text),
             None => {}
         }
         out.push(Effect::Reply { call, reply });
@@ -57,7 +57,7 @@
         let is_open = matches!(reply.code, Some(codes::UNSURE | codes::NOT_NOW));
         let target = self
             .call_log
-            .order_without_body(now, call)
+            .bodyless_post_target(now, call)
             .filter(|_| is_open && self.has_quorum(now));
         match target.and_then(|target| {
             self.redirect_target(now)
@@ -116,8 +116,8 @@
                 let command = borsh::to_vec(&command).unwrap_or_default();
                 self.step_replica(now, replication::Input::Submit { call, command }, out);
             }
-            Step::Read { call, question } => {
-                let query = borsh::to_vec(&question).unwrap_or_default();
+            Step::Read { call, query } => {
+                let query = borsh::to_vec(&query).unwrap_or_default();
                 self.step_replica(now, replication::Input::Read { call, query }, out);
             }
         }
--- a/crates/sandtrack-control/src/state_machine/control_state.rs
+++ b/crates/sandtrack-control/src/state_machine/control_state.rs
@@ -59,8 +59,8 @@
     }
 
     /// Number of the last order for a zone; 0 where there was none. A call that is read now carries it in its command.
-    pub fn last_order(&self, zone: &str) -> u64 {
-        self.evacuations.last_order(zone)
+    pub fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.evacuations.last_evacuation_command(zone)
     }
 
     /// The version that a command made, if it is among the configurations accepted last.
@@ -76,8 +76,8 @@
     }
 
     /// Whether there ever was an order for the zone.
-    pub fn knows_zone(&self, zone: &str) -> bool {
-        self.evacuations.has_order_for(zone)
+    pub fn is_known_zone(&self, zone: &str) -> bool {
+        self.evacuations.has_command_for(zone)
     }
 
     /// The frame with the complete configuration; `None` before the first.
@@ -98,13 +98,13 @@
     ///
     /// # Errors
     /// What makes it invalid.
-    pub fn check(body: &[u8]) -> Result<(), ConfigurationError> {
+    pub fn validate(body: &[u8]) -> Result<(), ConfigurationError> {
         Configuration::read_new(&Document::parse(body)?).map(drop)
     }
 
     /// What the committed state here says of a command before it is submitted.
     pub fn precheck(&self, command: &Command) -> Precheck {
-        precheck::command(&self.document, command)
+        precheck::check_command(&self.document, command)
     }
 
     fn configure(
@@ -125,14 +125,14 @@
         // Before the checks of the new document: an update based on another version may be valid there and not here, and
         // its caller has to learn of the conflict.
         if based_on != self.document.version {
-            return match self.accepted.may_have_forgotten(based_on) {
+            return match self.accepted.may_have_evicted(based_on) {
                 true => Outcome::Unknown,
                 false => Outcome::VersionConflict {
                     current: self.document.version,
                 },
             };
         }
-        let next = match self.check_next(next) {
+        let next = match self.validate_next(next) {
             Ok(next) => next,
             Err(invalid) => return invalid.into(),
         };
@@ -157,8 +157,8 @@
     }
 
     /// Checks a document that is to replace the current one, and gives it as it is read back.
-    fn check_next(&self, next: Document) -> Result<Document, ConfigurationError> {
-        let next = as_read_back(next)?;
+    fn validate_next(&self, next: Document) -> Result<Document, ConfigurationError> {
+        let next = reparsed(next)?;
         Configuration::read(&next)?;
         if next.version <= self.document.version {
             let place = format!(
@@ -192,14 +192,16 @@
                 let digest = Digest::sha256(kind, based_on, &body);
                 self.configure(number, kind, based_on, &body, digest)
             }
-            Command::SetEvacuation { zone, begin, seen } => {
-                match self.evacuations.set(number, zone, begin, seen) {
-                    Ok(()) => Outcome::Accepted {
-                        version: self.document.version,
-                    },
-                    Err(overtaken) => overtaken,
-                }
-            }
+            Command::SetEvacuation {
+                zone,
+                begin,
+                last_known,
+            } => match self.evacuations.set(number, zone, begin, last_known) {
+                Ok(()) => Outcome::Accepted {
+                    version: self.document.version,
+                },
+                Err(superseded) => superseded,
+            },
         }
     }
 
@@ -217,22 +219,22 @@
 
 /// A document as proxies and restoring replicas parse it from its JSON text. An update can lead to one whose text parses as
 /// another document, or not at all.
-fn as_read_back(document: Document) -> Result<Document, ConfigurationError> {
+fn reparsed(document: Document) -> Result<Document, ConfigurationError> {
     if document.list(VERSION_FIELD).is_some() {
         return Err(ConfigurationError::new(
             codes::CONFIGURATION_FIELD,
             VERSION_FIELD,
         ));
     }
-    if reads_back_as_it_is(&document) {
+    if round_trips(&document) {
         return Ok(document);
     }
     Document::parse(document.to_json().as_bytes())
 }
 
 /// Whether the JSON text of a document certainly parses as the same document. It is a cheap check, made for each change.
-fn reads_back_as_it_is(document: &Document) -> bool {
-    let reads_as_list = |value: &OwnedValue| {
+fn round_trips(document: &Document) -> bool {
+    let is_item_list = |value: &OwnedValue| {
         value
             .as_array()
             .is_some_and(|items| items.iter().all(|item| item.as_object().is_some()))
@@ -240,10 +242,7 @@
     REQUIRED_LISTS
         .iter()
         .all(|list| document.list(list).is_some())
-        && !document
-            .fields
-            .iter()
-            .any(|(_, value)| reads_as_list(value))
+        && !document.fields.iter().any(|(_, value)| is_item_list(value))
 }
 
 impl StateMachine for ControlState {
@@ -260,8 +259,8 @@
         borsh::to_vec(&outcome).unwrap_or_default()
     }
 
-    fn query(&self, question: &[u8]) -> Vec<u8> {
-        let answer: QueryResult = match borsh::from_slice(question) {
+    fn query(&self, query: &[u8]) -> Vec<u8> {
+        let answer: QueryResult = match borsh::from_slice(query) {
             Ok(Query::Configuration) => {
                 (self.configuration_number > 0).then(|| self.document.to_json())
             }
@@ -284,13 +283,13 @@
         };
         let extension = SnapshotExtension::Format2 {
             accepted: self.accepted.sha256_records(),
-            orders: self.evacuations.orders().clone(),
+            command_numbers: self.evacuations.command_numbers().clone(),
         };
         borsh::to_vec(&(base, extension)).unwrap_or_default()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> bool {
-        let Some((base, sha256_records, orders)) = snapshot::parse(snapshot) else {
+        let Some((base, sha256_records, command_numbers)) = snapshot::parse(snapshot) else {
             return false;
         };
         let document = match base.configuration_number {
@@ -303,8 +302,12 @@
         *self = ControlState {
             document,
             configuration_number: base.configuration_number,
-            accepted: AcceptedConfigurations::restored(base.accepted, sha256_records),
-            evacuations: Evacuations::restored(base.evacuated, base.evacuation_number, orders),
+            accepted: AcceptedConfigurations::from_snapshot(base.accepted, sha256_records),
+            evacuations: Evacuations::from_snapshot(
+                base.evacuated,
+                base.evacuation_number,
+                command_numbers,
+            ),
             recent_changes: RecentChanges::default(),
         };
         true
--- a/crates/sandtrack-control/src/state_machine/evacuations.rs
+++ b/crates/sandtrack-control/src/state_machine/evacuations.rs
@@ -6,7 +6,7 @@
 
 /// What a snapshot of format 2 adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct OrderNumbers {
+pub struct EvacuationCommandNumbers {
     /// Number of the last order for each zone that was acknowledged, whether or not it changed anything.
     by_zone: BTreeMap<String, u64>,
     /// Number of the last change by an order of format 1, whichever its zone: it counts for all of them, since a snapshot
@@ -14,10 +14,10 @@
     format_1: u64,
 }
 
-impl OrderNumbers {
+impl EvacuationCommandNumbers {
     /// As far as a snapshot of format 1 tells them.
-    pub fn of_format_1(last_change: u64) -> OrderNumbers {
-        OrderNumbers {
+    pub fn from_format_1(last_change: u64) -> EvacuationCommandNumbers {
+        EvacuationCommandNumbers {
             by_zone: BTreeMap::new(),
             format_1: last_change,
         }
@@ -37,17 +37,21 @@
 pub struct Evacuations {
     zones: BTreeSet<String>,
     /// Number of the command that last changed which zones are evacuated.
-    changed: u64,
-    orders: OrderNumbers,
+    last_change: u64,
+    command_numbers: EvacuationCommandNumbers,
 }
 
 impl Evacuations {
     /// As a snapshot holds them.
-    pub fn restored(zones: Vec<String>, changed: u64, orders: OrderNumbers) -> Evacuations {
+    pub fn from_snapshot(
+        zones: Vec<String>,
+        last_change: u64,
+        command_numbers: EvacuationCommandNumbers,
+    ) -> Evacuations {
         Evacuations {
             zones: zones.into_iter().collect(),
-            changed,
-            orders,
+            last_change,
+            command_numbers,
         }
     }
 
@@ -58,32 +62,32 @@
 
     /// Number of the command that last changed which zones are evacuated; 0 before the first.
     pub fn last_change(&self) -> u64 {
-        self.changed
+        self.last_change
     }
 
     /// What a snapshot holds of the orders.
-    pub fn orders(&self) -> &OrderNumbers {
-        &self.orders
+    pub fn command_numbers(&self) -> &EvacuationCommandNumbers {
+        &self.command_numbers
     }
 
     /// Number of the last order for a zone; 0 where there was none.
-    pub fn last_order(&self, zone: &str) -> u64 {
-        self.orders.last(zone)
+    pub fn last_evacuation_command(&self, zone: &str) -> u64 {
+        self.command_numbers.last(zone)
     }
 
     /// Whether there ever was an order for the zone.
-    pub fn has_order_for(&self, zone: &str) -> bool {
-        self.orders.by_zone.contains_key(zone) || self.zones.contains(zone)
+    pub fn has_command_for(&self, zone: &str) -> bool {
+        self.command_numbers.by_zone.contains_key(zone) || self.zones.contains(zone)
     }
 
     /// An order of format 1, which does not tell what its control node knew.
     pub fn set_format_1(&mut self, number: u64, zone: &str, begin: bool) {
         if self.change(number, zone, begin) {
-            self.orders.format_1 = number;
+            self.command_numbers.format_1 = number;
         }
     }
 
-    /// An order that was read when `seen` was the number of the last one for its zone. One that finds the zone as it wants
+    /// An order that was read when `last_known` was the number of the last one for its zone. One that finds the zone as it wants
     /// it is acknowledged, and overtakes others all the same: its caller has been told that it is in force.
     ///
     /// # Errors
@@ -93,14 +97,14 @@
         number: u64,
         zone: String,
         begin: bool,
-        seen: u64,
+        last_known: u64,
     ) -> Result<(), Outcome> {
-        let last = self.orders.last(&zone);
-        if seen < last && self.zones.contains(&zone) != begin {
+        let last = self.command_numbers.last(&zone);
+        if last_known < last && self.zones.contains(&zone) != begin {
             return Err(Outcome::Superseded { number: last });
         }
         self.change(number, &zone, begin);
-        self.orders.by_zone.insert(zone, number);
+        self.command_numbers.by_zone.insert(zone, number);
         Ok(())
     }
 
@@ -111,7 +115,7 @@
             self.zones.remove(zone)
         };
         if changed {
-            self.changed = number;
+            self.last_change = number;
         }
         changed
     }
