--- a/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
@@ -69,7 +69,7 @@
                 .context
                 .balancer
                 .borrow()
-                .trusts_idle_connections(now, self.upstream());
+                .allows_idle_connection_reuse(now, self.upstream());
         if !may_reuse {
             return None;
         }
--- a/crates/sandtrack-proxy/src/home_regions.rs
+++ b/crates/sandtrack-proxy/src/home_regions.rs
@@ -13,7 +13,7 @@
 impl HomeRegions {
     /// The regions of a route and of a tenant; an empty list binds to none. Both bind where both have regions.
     #[must_use]
-    pub fn of(route: &[String], tenant: &[String]) -> HomeRegions {
+    pub fn new(route: &[String], tenant: &[String]) -> HomeRegions {
         match (route, tenant) {
             ([], []) => HomeRegions::Any,
             (homes, []) | ([], homes) => HomeRegions::Only(homes.iter().cloned().collect()),
@@ -34,7 +34,7 @@
     }
 
     /// The regions that the request is bound to; none where any may serve it.
-    pub fn bound_to(&self) -> impl ExactSizeIterator<Item = &str> {
+    pub fn restricted_to(&self) -> impl ExactSizeIterator<Item = &str> {
         static NONE: BTreeSet<String> = BTreeSet::new();
         let regions = match self {
             HomeRegions::Any => &NONE,
--- a/crates/sandtrack-proxy/src/placement/balancer/control_updates.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/control_updates.rs
@@ -39,7 +39,7 @@
                         .as_ref()
                         .filter(|_| from_number == self.configuration_number);
                     match base.map(|base| base.apply(version, &items, &fields)) {
-                        Some(Ok(document)) => self.adopt(now, number, document),
+                        Some(Ok(document)) => self.activate_configuration(now, number, document),
                         _ => return ApplyOutcome::NeedsFullConfiguration,
                     }
                 }
@@ -79,13 +79,13 @@
             return;
         }
         match Document::parse(document.as_bytes()) {
-            Ok(document) => self.adopt(now, number, document),
+            Ok(document) => self.activate_configuration(now, number, document),
             Err(invalid) => log::error!("a configuration from control can't be read: {invalid}"),
         }
     }
 
     /// Puts a configuration in force, unless it is invalid.
-    fn adopt(&mut self, now: Millis, number: u64, document: Document) {
+    fn activate_configuration(&mut self, now: Millis, number: u64, document: Document) {
         let configuration = match Configuration::read(&document) {
             Ok(configuration) => configuration,
             Err(invalid) => {
@@ -113,12 +113,12 @@
         self.document = Some(document);
         self.configuration = Some(Rc::new(configuration));
         self.state_changed = true;
-        self.forget_removed_services(now);
+        self.remove_unconfigured_services(now);
     }
 
     /// Drops the state of services that the configuration in force does not have. Their retry budgets stay for one window:
     /// a service that comes back within it must not earn its retries anew.
-    fn forget_removed_services(&mut self, now: Millis) {
+    fn remove_unconfigured_services(&mut self, now: Millis) {
         let Some(configuration) = &self.configuration else {
             return;
         };
@@ -146,7 +146,7 @@
         self.state_changed |= !self.upstreams_received;
         self.upstreams_received = true;
         if complete {
-            self.unlist_all_but(&entries);
+            self.unlist_missing(&entries);
         }
         for entry in entries {
             let region = self.regions.get(&entry.zone).cloned().unwrap_or_default();
@@ -158,7 +158,7 @@
         self.upstreams.sweep();
     }
 
-    fn unlist_all_but(&mut self, entries: &[UpstreamEntry]) {
+    fn unlist_missing(&mut self, entries: &[UpstreamEntry]) {
         let named: HashSet<&str> = entries
             .iter()
             .map(|entry| entry.identifier.as_str())
--- a/crates/sandtrack-proxy/src/placement/balancer/health_checks.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/health_checks.rs
@@ -27,15 +27,15 @@
         let Some(configuration) = self.configuration.clone() else {
             return Vec::new();
         };
-        let mut watched = Vec::new();
+        let mut targets = Vec::new();
         for service in &configuration.services {
-            self.push_watched(now, &service.name, &mut watched);
+            self.push_probe_targets(now, &service.name, &mut targets);
         }
         let is_due = |index: &usize| {
             let upstream = self.upstreams.get(*index);
             !upstream.probing && upstream.next_probe <= now
         };
-        let due: Vec<usize> = watched.into_iter().filter(is_due).collect();
+        let due: Vec<usize> = targets.into_iter().filter(is_due).collect();
         let mut probes = Vec::new();
         for index in due {
             let upstream = self.upstreams.get_mut(index);
@@ -53,7 +53,7 @@
 
     /// Adds the upstreams of a service that have to be probed: those of this proxy's subset that it uses, one of each region
     /// whose round trip is unknown, and those that failed, since only a probe restores them.
-    fn push_watched(&self, now: Millis, service: &str, watched: &mut Vec<usize>) {
+    fn push_probe_targets(&self, now: Millis, service: &str, targets: &mut Vec<usize>) {
         let (healthy, failed): (Vec<usize>, Vec<usize>) = self
             .upstreams_of(service)
             .filter(|index| !self.upstreams.get(*index).entry.draining)
@@ -61,13 +61,13 @@
         let prefill_upstreams = self.prefill_upstreams(now, service);
         let subset = self.subset(&healthy, &prefill_upstreams);
         let mut unmeasured = HashSet::new();
-        watched.extend(subset.into_iter().filter(|index| {
+        targets.extend(subset.into_iter().filter(|index| {
             let region = self.upstreams.get(*index).region.as_str();
             let measures =
                 self.region_round_trips.get(region).is_none() && unmeasured.insert(region);
             measures || self.is_region_used(now, *index)
         }));
-        watched.extend(failed);
+        targets.extend(failed);
     }
 
     /// Whether this proxy lately sent to the region of this upstream, or is in it.
--- a/crates/sandtrack-proxy/src/placement/balancer/quotas.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/quotas.rs
@@ -17,7 +17,7 @@
 /// Number of proxies among which an upstream's connections are shared until the number is known (ours).
 const INITIAL_CONNECTION_PROXIES: f64 = 16.0;
 /// Fraction of an upstream's connection limit that is used (ours).
-const CONNECTION_LIMIT_USED: f64 = 0.9;
+const CONNECTION_LIMIT_UTILIZATION: f64 = 0.9;
 /// Connections that an upstream takes where its service is not in the configuration.
 const DEFAULT_CONNECTION_LIMIT: f64 = 100.0;
 
@@ -66,7 +66,7 @@
         let proxies = self
             .known_proxy_count
             .map_or(INITIAL_CONNECTION_PROXIES, f64::from);
-        ((limit * CONNECTION_LIMIT_USED / proxies) as usize).max(1)
+        ((limit * CONNECTION_LIMIT_UTILIZATION / proxies) as usize).max(1)
     }
 
     /// Number of services whose retry budgets are held.
@@ -96,7 +96,7 @@
             let own = prompt.saturating_sub(request.shared_tokens()) as f64;
             demand.record_long_prompt(now, own);
         } else {
-            demand.record_bound_request(now, &request.home_regions, prompt as f64);
+            demand.record_short_prompt(now, &request.home_regions, prompt as f64);
         }
     }
 
--- a/crates/sandtrack-proxy/src/placement/balancer/sends.rs
+++ b/crates/sandtrack-proxy/src/placement/balancer/sends.rs
@@ -149,7 +149,7 @@
 
     /// Whether a non-idempotent request may use an idle connection to this upstream: it was seen so lately that the
     /// connection is most likely still open.
-    pub fn trusts_idle_connections(&self, now: Millis, index: usize) -> bool {
+    pub fn allows_idle_connection_reuse(&self, now: Millis, index: usize) -> bool {
         let upstream = self.upstreams.get(index);
         let distrusted = self.idle_distrusted_until.get(&upstream.entry.service);
         upstream.failures.is_empty()
--- a/crates/sandtrack-proxy/src/placement/budget.rs
+++ b/crates/sandtrack-proxy/src/placement/budget.rs
@@ -4,9 +4,9 @@
 use std::collections::VecDeque;
 
 /// Fraction of a limit that all proxies' quotas add up to: some proxies join before all others have learned of it.
-pub const QUOTA_USED: f64 = 0.7;
+pub const QUOTA_UTILIZATION: f64 = 0.7;
 /// Fraction of what requests earn and of the slack that retries use.
-pub const RETRY_BUDGET_USED: f64 = 0.75;
+pub const RETRY_BUDGET_UTILIZATION: f64 = 0.75;
 
 /// Quotas below this count as this: no proxy gets one event then, or one of a great many.
 const MIN_QUOTA: f64 = 1e-9;
@@ -16,7 +16,7 @@
 /// A proxy's quota of a limit of `total` events per window over `proxies` proxies: a whole number. Where it is under one,
 /// one proxy of so many gets one event, chosen by `rank` (any number that differs between proxies and upstreams).
 pub fn quota(total: f64, proxies: u32, rank: u64) -> u32 {
-    let each = total * QUOTA_USED / f64::from(proxies.max(1));
+    let each = total * QUOTA_UTILIZATION / f64::from(proxies.max(1));
     if each >= 1.0 {
         return each as u32;
     }
@@ -89,8 +89,10 @@
 
     /// Takes one retry from the budget; false where the retries of any window of `span` ms would pass the limits.
     pub fn withdraw(&mut self, now: Millis, span: Millis, limits: &RetryLimits) -> bool {
-        let earned = self.requests.count(now, span) as f64 * limits.ratio * RETRY_BUDGET_USED;
-        let allowed = earned + limits.slack * RETRY_BUDGET_USED / f64::from(limits.proxies.max(1));
+        let earned =
+            self.requests.count(now, span) as f64 * limits.ratio * RETRY_BUDGET_UTILIZATION;
+        let allowed =
+            earned + limits.slack * RETRY_BUDGET_UTILIZATION / f64::from(limits.proxies.max(1));
         let fits = (self.retries.count(now, span) + 1) as f64 <= allowed;
         if fits {
             self.retries.record(now);
--- a/crates/sandtrack-proxy/src/placement/prefill_demand.rs
+++ b/crates/sandtrack-proxy/src/placement/prefill_demand.rs
@@ -62,9 +62,9 @@
     }
 
     /// Another request arrived, of so many tokens, bound to these regions (to none: any may serve it).
-    pub fn record_bound_request(&mut self, now: Millis, home_regions: &HomeRegions, tokens: f64) {
+    pub fn record_short_prompt(&mut self, now: Millis, home_regions: &HomeRegions, tokens: f64) {
         self.requests.add(now, 1.0, self.time_constant);
-        let regions = home_regions.bound_to();
+        let regions = home_regions.restricted_to();
         let part = tokens / regions.len() as f64;
         for region in regions {
             self.bound
@@ -94,7 +94,7 @@
         let weight = |region: &str, count: usize| {
             let left = mean - self.bound_tokens(now, region) / count.max(1) as f64;
             let measured = if mean > 0.0 {
-                (left / mean).clamp(prior.least, 1.0)
+                (left / mean).clamp(prior.min_weight, 1.0)
             } else {
                 prior.weight
             };
@@ -122,5 +122,5 @@
     /// Number of requests that the prior counts for.
     pub requests: f64,
     /// Lower bound of a measured weight.
-    pub least: f64,
+    pub min_weight: f64,
 }
--- a/crates/sandtrack-proxy/src/placement/selection/prefix_affinity.rs
+++ b/crates/sandtrack-proxy/src/placement/selection/prefix_affinity.rs
@@ -155,19 +155,19 @@
         }
         let least = counts
             .keys()
-            .map(|region| self.bound_routes(service, region))
+            .map(|region| self.restricted_route_count(service, region))
             .min()
             .unwrap_or(0);
         let prior = WeightPrior {
             weight: self.policy.prior_region_weight,
             requests: self.policy.prior_region_weight_requests,
-            least: self.policy.min_region_weight,
+            min_weight: self.policy.min_region_weight,
         };
         let nothing_seen = PrefillDemand::new(&self.policy);
         let demand = self.prefill_demands.get(service).unwrap_or(&nothing_seen);
         let mut weights = demand.region_weights(now, &counts, prior);
         for (region, weight) in &mut weights {
-            if self.bound_routes(service, region) == least {
+            if self.restricted_route_count(service, region) == least {
                 *weight = 1.0;
             }
         }
--- a/crates/sandtrack-proxy/src/placement/selection/subset.rs
+++ b/crates/sandtrack-proxy/src/placement/selection/subset.rs
@@ -62,11 +62,11 @@
         let region = |index: &usize| self.upstreams.get(*index).region.as_str();
         serving.sort_unstable_by_key(|index| Reverse(self.upstreams.get(*index).name_hash));
         let regions: BTreeSet<&str> = serving.iter().map(region).collect();
-        let bound_routes: Vec<(&str, usize)> = regions
+        let restricted_route_count: Vec<(&str, usize)> = regions
             .into_iter()
-            .map(|region| (region, self.bound_routes(service, region)))
+            .map(|region| (region, self.restricted_route_count(service, region)))
             .collect();
-        let least = bound_routes
+        let least = restricted_route_count
             .iter()
             .map(|(_, count)| *count)
             .min()
@@ -74,7 +74,7 @@
         if least == 0 {
             return HashSet::new();
         }
-        serving.retain(|index| bound_routes.contains(&(region(index), least)));
+        serving.retain(|index| restricted_route_count.contains(&(region(index), least)));
         serving.truncate(serving.len() / self.policy.prefill_upstreams_divisor.max(1));
         serving.into_iter().collect()
     }
@@ -92,7 +92,7 @@
     }
 
     /// Number of routes to the service that are bound to the region: its capacity is needed for requests that can't leave it.
-    pub(super) fn bound_routes(&self, service: &str, region: &str) -> usize {
+    pub(super) fn restricted_route_count(&self, service: &str, region: &str) -> usize {
         let routes = self
             .configuration
             .as_ref()
--- a/crates/sandtrack-proxy/src/request.rs
+++ b/crates/sandtrack-proxy/src/request.rs
@@ -131,7 +131,7 @@
             priority: configuration
                 .priorities
                 .of_request(tenant_priority, route.priority),
-            home_regions: HomeRegions::of(&route.home_regions, tenant_homes),
+            home_regions: HomeRegions::new(&route.home_regions, tenant_homes),
             route,
             tenant,
             arrived_at,
--- a/crates/sandtrack-proxy/tests/home_regions.rs
+++ b/crates/sandtrack-proxy/tests/home_regions.rs
@@ -15,7 +15,7 @@
         let names = |names: &[&str]| -> Vec<String> {
             names.iter().map(|name| (*name).to_owned()).collect()
         };
-        let homes = HomeRegions::of(&names(route), &names(tenant));
+        let homes = HomeRegions::new(&names(route), &names(tenant));
         for region in ["north", "south", "west"] {
             assert_eq!(
                 homes.allow(region),
--- a/crates/sandtrack-proxy/tests/idle_connection_trust.rs
+++ b/crates/sandtrack-proxy/tests/idle_connection_trust.rs
@@ -18,17 +18,17 @@
     let (one, other) = (index_of(&balancer, "m1"), index_of(&balancer, "m2"));
     let lasts = balancer.policy.idle_trust_ms;
     assert!(
-        !balancer.trusts_idle_connections(1000.0, one),
+        !balancer.allows_idle_connection_reuse(1000.0, one),
         "never seen yet"
     );
     balancer.upstream_seen(1000.0, one);
-    assert!(balancer.trusts_idle_connections(1000.0 + lasts, one));
+    assert!(balancer.allows_idle_connection_reuse(1000.0 + lasts, one));
     assert!(
-        !balancer.trusts_idle_connections(1001.0 + lasts, one),
+        !balancer.allows_idle_connection_reuse(1001.0 + lasts, one),
         "too long ago"
     );
     assert!(
-        !balancer.trusts_idle_connections(1000.0, other),
+        !balancer.allows_idle_connection_reuse(1000.0, other),
         "another one was seen"
     );
 }
@@ -40,7 +40,7 @@
     balancer.upstream_seen(1000.0, index);
     balancer.send_started(index);
     balancer.send_finished(1010.0, index, SendOutcome::ConnectionFailed);
-    assert!(!balancer.trusts_idle_connections(1020.0, index));
+    assert!(!balancer.allows_idle_connection_reuse(1020.0, index));
 }
 
 #[test]
@@ -53,7 +53,7 @@
         .for_each(|index| balancer.upstream_seen(1000.0, *index));
     balancer.idle_connection_failed(1000.0, indices[0]);
     let proven = |balancer: &Balancer, now: f64| {
-        indices.map(|index| balancer.trusts_idle_connections(now, index))
+        indices.map(|index| balancer.allows_idle_connection_reuse(now, index))
     };
     assert_eq!(proven(&balancer, 1100.0), [false, false, true]);
     indices
--- a/crates/sandtrack-proxy/tests/prefill_demand.rs
+++ b/crates/sandtrack-proxy/tests/prefill_demand.rs
@@ -7,17 +7,17 @@
 const NO_PRIOR: WeightPrior = WeightPrior {
     weight: 0.7,
     requests: 0.0,
-    least: 0.0,
+    min_weight: 0.0,
 };
 const PRIOR: WeightPrior = WeightPrior {
     weight: 0.7,
     requests: 100.0,
-    least: 0.35,
+    min_weight: 0.35,
 };
 
 fn homes(names: &[&str]) -> HomeRegions {
     let names: Vec<String> = names.iter().map(|name| (*name).to_owned()).collect();
-    HomeRegions::of(&names, &[])
+    HomeRegions::new(&names, &[])
 }
 
 /// So many long prompts of these tokens, and as many requests bound to regions.
@@ -26,7 +26,7 @@
     for _ in 0..count {
         demand.record_long_prompt(0.0, long);
         bound.iter().for_each(|(regions, tokens)| {
-            demand.record_bound_request(0.0, &homes(regions), *tokens);
+            demand.record_short_prompt(0.0, &homes(regions), *tokens);
         });
     }
     demand
