--- a/crates/sandtrack-proxy/src/context.rs
+++ b/crates/sandtrack-proxy/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a proxy share.
+//! State shared by the tasks of a proxy.
 use crate::placement::balancer::Balancer;
 use crate::policy::Policy;
 use crate::telemetry::outcomes::RequestOutcomes;
@@ -10,14 +10,14 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Part of the process's memory that request bodies may take, and collected responses as much again (ours).
+/// Share of the process's memory limit for request bodies; collected responses have the same share on top.
 const BODY_MEMORY_SHARE: f64 = 0.25;
 
-/// Bounds on the memory that messages take together.
+/// Limits on the total memory of buffered messages.
 pub struct MemoryBudgets {
-    /// Bodies of requests.
+    /// Request bodies.
     pub requests: ByteBudget,
-    /// Responses that are collected before they are sent to the client.
+    /// Responses that are collected before they are sent to clients.
     pub responses: ByteBudget,
 }
 
@@ -31,37 +31,37 @@
     }
 }
 
-/// State that all tasks of the process share. They run on one thread, so that cells are enough.
+/// State shared by all tasks of the process. They run on one thread, so that cells suffice.
 pub struct ProxyContext {
-    /// The constants of the decisions.
+    /// The policy constants.
     pub policy: Rc<Policy>,
     /// The settings in force.
     pub settings: RefCell<Settings>,
-    /// What is known of upstreams and configuration, and the placement of requests.
+    /// Upstreams, configuration, and the placement of requests.
     pub balancer: RefCell<Balancer>,
     /// Connections to upstreams.
     pub pool: RefCell<ConnectionPool>,
-    /// Bounds on the memory of messages.
+    /// Limits on the memory of buffered messages.
     pub memory: MemoryBudgets,
-    /// How requests ended so far.
+    /// Counters of the outcomes of requests.
     pub outcomes: RefCell<RequestOutcomes>,
     /// The process's clock.
     pub clock: Clock,
     /// Runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Tells this run of the process from earlier ones.
+    /// Random id that distinguishes this run of the process from earlier ones.
     pub incarnation: u64,
-    /// Closed once the process is draining.
+    /// Closed when the process starts to drain.
     pub draining: async_channel::Receiver<()>,
-    /// Notified when the proxy's state changed in a way that control gets at once.
+    /// Receives a notification when the proxy's state is to be sent to control immediately.
     pub state_changed: async_channel::Receiver<()>,
     state_changed_sender: async_channel::Sender<()>,
-    /// Number of clients' connections.
+    /// Number of open client connections.
     pub client_connections: Cell<usize>,
 }
 
 impl ProxyContext {
-    /// The state of a process that has served nothing yet.
+    /// The state of a process that has just started.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -70,7 +70,7 @@
         incarnation: u64,
         draining: async_channel::Receiver<()>,
     ) -> ProxyContext {
-        // One notification is enough, however many changes there are.
+        // One pending notification covers any number of changes.
         let (state_changed_sender, state_changed) = async_channel::bounded(1);
         let memory = MemoryBudgets::new(&settings);
         let policy = balancer.policy.clone();
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Has the proxy's state sent to control at once.
+    /// Causes the proxy's state to be sent to control immediately.
     pub fn notify_state_changed(&self) {
-        // A full channel holds a notification already.
+        // If the channel is full, a notification is already pending.
         let _ = self.state_changed_sender.try_send(());
     }
 
-    /// Changes the number of open requests.
+    /// Adds `change` to the number of open requests.
     pub fn add_open_requests(&self, change: i32) {
         let mut balancer = self.balancer.borrow_mut();
         balancer.open_requests = balancer.open_requests.saturating_add_signed(change);
--- a/crates/sandtrack-proxy/src/exchange.rs
+++ b/crates/sandtrack-proxy/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One exchange: a client's request, the attempts to have it answered, and the one response that its client gets.
+//! One exchange: a client's request, the attempts to get it answered by an upstream, and the single final response.
 //!
-//! [`state`] decides; [`forward`] carries the decisions out, with an [`attempt`] for each send to an upstream;
-//! [`client_response`] writes to the client, [`event_stream`] splits a stream into events, and [`request_log`] records how
-//! the request ended.
+//! [`state`] is the state machine that makes the decisions. [`forward`] performs its actions, with an [`attempt`] for each
+//! upstream that the request is sent to. [`client_response`] writes to the client, [`event_stream`] splits a stream into
+//! events, and [`request_log`] records the request's outcome.
 pub mod attempt;
 pub mod client_response;
 pub mod event_stream;
--- a/crates/sandtrack-proxy/src/exchange/attempt.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: sends a request to one upstream on one connection and reads the response, a step at a time. What an event
-//! means for the exchange is decided in [`state`](crate::exchange::state).
+//! One attempt: sends a request to one upstream on one connection and reads the response, one step at a time. How the exchange
+//! reacts to each event is decided in [`state`](crate::exchange::state).
 mod collected_body;
 mod head_summary;
 mod steps;
@@ -16,7 +16,7 @@
 use sandtrack_sidecar_core::message::Head;
 use sandtrack_tiers::Millis;
 
-/// Reports the outcome to the balancer when the attempt is dropped, whatever becomes of it.
+/// Reports the outcome to the balancer when the attempt is dropped, however it ends.
 struct OutcomeGuard<'a> {
     context: &'a ProxyContext,
     /// Index of the upstream.
@@ -34,22 +34,22 @@
     }
 }
 
-/// What an attempt needs to know of its upstream.
+/// Identity, address and connection limit of an attempt's upstream.
 struct UpstreamAddress {
     identifier: String,
     address: String,
-    /// Connections that this process may hold to it.
+    /// Maximum number of connections from this process to the upstream.
     connection_limit: usize,
 }
 
-/// What was decided of an attempt.
+/// How an attempt is to be made.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOptions {
     /// Index of the upstream.
     pub upstream: usize,
-    /// An idle connection will do.
+    /// Whether an idle pooled connection may be used.
     pub may_reuse_connection: bool,
-    /// Ask for the stream behind the event with this id.
+    /// Resume the stream after the event with this id.
     pub resume_after: Option<u64>,
 }
 
@@ -60,21 +60,21 @@
     params: ExchangeParams,
     options: AttemptOptions,
     address: UpstreamAddress,
-    // Declared before the guard: the connection is closed before the balancer is told.
+    // Declared before `outcome`, so that the connection is closed before the outcome is reported to the balancer.
     connection: Option<Connection>,
     outcome: OutcomeGuard<'a>,
-    /// How long the upstream is expected to prefill the prompt, where it is long.
+    /// Estimated prefill of the prompt at the upstream; `None` for a short prompt.
     prefill_estimate: Option<PrefillEstimate>,
     /// When the write of the request began.
     write_started_at: Option<Millis>,
     request_written: bool,
     head: Option<Head>,
-    /// The body so far of a response that is collected.
+    /// What has been received of the body, if the response is collected.
     body: CollectedBody,
 }
 
 impl<'a> Attempt<'a> {
-    /// A new attempt, which counts at its upstream from here on.
+    /// Creates an attempt and counts it as in flight at its upstream.
     pub fn new(
         context: &'a ProxyContext,
         request: &'a ProxyRequest,
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Identifier of its upstream.
+    /// Identifier of the upstream.
     #[must_use]
     pub fn identifier(&self) -> &str {
         &self.address.identifier
     }
 
-    /// Index of its upstream.
+    /// Index of the upstream.
     #[must_use]
     pub fn upstream(&self) -> usize {
         self.options.upstream
@@ -133,27 +133,27 @@
         self.write_started_at
     }
 
-    /// Whether its upstream is in another region.
+    /// Whether the upstream is in another region than this process.
     #[must_use]
     pub fn is_in_other_region(&self) -> bool {
         let balancer = self.context.balancer.borrow();
         balancer.upstreams.get(self.upstream()).region != balancer.region
     }
 
-    /// The response's head, once it came.
+    /// The response's head, once it has been received.
     #[must_use]
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// Takes the collected response out.
+    /// Takes the collected response out of the attempt.
     pub fn take_response(&mut self) -> Option<(Head, CollectedBody)> {
         let head = self.head.take()?;
         let body = std::mem::replace(&mut self.body, CollectedBody::new(self.context));
         Some((head, body))
     }
 
-    /// Applies what the head reports of its upstream: load, and how long it still warms up.
+    /// Reports the load and the remaining slow-start time given in the response's head to the balancer.
     pub fn apply_load_report(&self) {
         let Some(head) = &self.head else { return };
         let load = head.headers.get("server-load").and_then(ServerLoad::parse);
@@ -170,7 +170,7 @@
         );
     }
 
-    /// Records the time to the first part of the response.
+    /// Records the time from the write of the request until now, the first part of the response.
     pub fn record_latency(&self) {
         let Some(write_started_at) = self.write_started_at else {
             return;
--- a/crates/sandtrack-proxy/src/exchange/attempt/head_summary.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt/head_summary.rs
@@ -1,4 +1,4 @@
-//! What counts of a response's head. Pure.
+//! Extracts the parts of a response's head that the exchange depends on. No I/O.
 use crate::exchange::state::{HeadSummary, ResponseOwner};
 use crate::policy::Policy;
 use crate::upstream_connections::pool::idle_timeout;
--- a/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
+++ b/crates/sandtrack-proxy/src/exchange/attempt/steps.rs
@@ -11,7 +11,7 @@
 use sandtrack_tiers::Millis;
 
 impl Attempt<'_> {
-    /// Waits for the next event.
+    /// Performs the next step and returns its event.
     pub async fn step(&mut self) -> AttemptEvent {
         if self.connection.is_none() {
             self.connect().await
@@ -62,7 +62,7 @@
         }
     }
 
-    /// An idle connection, where one will do.
+    /// Takes an idle connection from the pool, if one may be used for this request.
     fn take_idle_connection(&self, now: Millis) -> Option<Connection> {
         let may_reuse = self.options.may_reuse_connection
             || self
@@ -77,7 +77,7 @@
         pool.take_idle(&self.address.identifier, now)
     }
 
-    /// Makes room for one more connection to the upstream; returns whether this process may open it.
+    /// Closes an idle connection if the upstream's connection limit is reached; returns whether a new one may be opened.
     fn reserve_connection(&self) -> bool {
         let identifier = &self.address.identifier;
         let mut pool = self.context.pool.borrow_mut();
@@ -88,7 +88,7 @@
     fn on_connect_error(&self, error: &std::io::Error) {
         let identifier = &self.address.identifier;
         log::debug!(
-            "request {}: no connection to {identifier}: {error}",
+            "request {}: connecting to {identifier} failed: {error}",
             self.request.id
         );
         if error.kind() == std::io::ErrorKind::TimedOut {
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Reads the next part of the response; of one that is collected, its head or its end.
+    /// Reads until the next event: the head, the end, or a chunk if the response is relayed. A body that is not relayed is
+    /// collected meanwhile.
     async fn read(&mut self) -> AttemptEvent {
         loop {
             let Some(connection) = &mut self.connection else {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Lets the balancer know that the upstream is alive, or that a connection that was idle broke without a byte.
+    /// Reports to the balancer that the upstream responded, or that a reused connection was lost before any byte of a response.
     fn observe_read(&self, result: &WaitResult) {
         match result {
             WaitResult::Part(_) => {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Whether the connection was used before and no byte of a response came on it since.
+    /// Whether the connection was reused and no response head has been received on it for this request.
     fn is_unanswered_reuse(&self) -> bool {
         let is_reused = self
             .connection
--- a/crates/sandtrack-proxy/src/exchange/event_stream.rs
+++ b/crates/sandtrack-proxy/src/exchange/event_stream.rs
@@ -1,31 +1,31 @@
-//! Server-sent events (`text/event-stream`, WHATWG HTML, 9.2): only complete events are relayed, so that a stream that breaks
-//! can be resumed at another upstream, and none is delivered twice or out of order. Pure.
+//! Server-sent events (`text/event-stream`, WHATWG HTML, 9.2). Only complete events are relayed, so that an interrupted stream
+//! can be resumed at another upstream and no event is delivered twice or out of order. No I/O.
 
-/// The field of an event that holds its id.
+/// The event field with the event's id.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Longest event, in bytes: many times the longest of these services. It bounds what is buffered of a stream.
+/// Longest event, in bytes: many times the longest that these services send. Bounds the memory for each stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Splits a stream into complete events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EventScanner {
-    /// The begin of an event that is not complete.
+    /// The beginning of an incomplete event.
     buffer: Vec<u8>,
-    /// Bytes of the buffer that were searched for the end of the event.
+    /// Bytes of the buffer that were already searched for the end of the event.
     searched_bytes: usize,
-    /// Id of the last event that was relayed and had one.
+    /// Id of the last relayed event that had one.
     last_id: Option<u64>,
-    /// Data without an id was relayed behind it: a stream that resumes behind the id would deliver it again.
+    /// Whether data without an id was relayed after `last_id`; a stream resumed after that id would deliver it again.
     has_unnumbered_tail: bool,
 }
 
-/// What a chunk of a stream came to.
+/// The result of scanning a chunk of a stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ScanResult {
-    /// Complete events, to be relayed as they are; may be empty.
+    /// Complete events, to be relayed unchanged; may be empty.
     Events(Vec<u8>),
-    /// An id did not rise, or an event is too long: the stream is malformed behind these events.
+    /// An id did not increase, or an event is too long: the stream is malformed after these events.
     Malformed(Vec<u8>),
 }
 
@@ -39,7 +39,7 @@
             searched = 0;
             let event = &self.buffer[complete..complete + end];
             if let Some(id) = id_of(event) {
-                // A resumed stream has the next id, whatever step the ids take.
+                // Ids may have gaps, but must increase, also where the stream was resumed.
                 if self.last_id.is_some_and(|last| id <= last) {
                     return self.malformed(complete);
                 }
@@ -54,72 +54,73 @@
         if left > MAX_EVENT_BYTES {
             return self.malformed(complete);
         }
-        // The two line breaks that end an event may come in two chunks.
+        // The two line breaks that end an event may be in different chunks.
         self.searched_bytes = left.saturating_sub(2);
         ScanResult::Events(self.buffer.drain(..complete).collect())
     }
 
-    /// The events up to `complete` count; nothing behind them is kept.
+    /// Returns the events up to `complete` and discards the rest of the buffer.
     fn malformed(&mut self, complete: usize) -> ScanResult {
         let events = self.buffer.drain(..complete).collect();
         self.buffer = Vec::new();
         ScanResult::Malformed(events)
     }
 
-    /// Number of bytes that are no complete event yet.
+    /// Number of bytes buffered of an incomplete event.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes what is left at the end of the body.
+    /// Takes the bytes that remain at the end of the body.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         self.searched_bytes = 0;
         std::mem::take(&mut self.buffer)
     }
 
-    /// The stream is resumed at another upstream: an event that is not complete is dropped.
+    /// Discards an incomplete event, as the stream is resumed at another upstream.
     pub fn restart(&mut self) {
         self.buffer.clear();
         self.searched_bytes = 0;
     }
 
-    /// Id of the last event that was relayed and had one.
+    /// Id of the last relayed event that had one.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Id of the event behind which another upstream can resume the stream without data that comes twice or is missing.
+    /// Id of the event after which another upstream can resume the stream without repeating or losing data; `None` if there is
+    /// no such point.
     #[must_use]
     pub fn resume_point(&self) -> Option<u64> {
         self.last_id.filter(|_| !self.has_unnumbered_tail)
     }
 }
 
-/// The ids of the events that a client got, to check that they rise.
+/// Checks that the ids of the events delivered to a client increase.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeliveredEventIds {
     last_id: Option<u64>,
 }
 
 impl DeliveredEventIds {
-    /// Records complete events; returns whether their ids rise. As for the [`EventScanner`], an event's id is that of its
-    /// first line with one.
+    /// Records complete events; returns whether their ids increase. As in [`EventScanner`], the first `id` line of an event
+    /// counts.
     pub fn record(&mut self, mut bytes: &[u8]) -> bool {
-        let mut rises = true;
+        let mut increasing = true;
         while let Some(end) = end_of_event(bytes, 0) {
             if let Some(id) = id_of(&bytes[..end]) {
-                rises &= self.last_id.is_none_or(|last| last < id);
+                increasing &= self.last_id.is_none_or(|last| last < id);
                 self.last_id = Some(id);
             }
             bytes = &bytes[end..];
         }
-        rises
+        increasing
     }
 }
 
-/// Length of the first event, including the empty line that ends it; that line begins at `from` at the earliest.
+/// Length of the first event, including the empty line that ends it. The search starts at `from`.
 fn end_of_event(bytes: &[u8], mut from: usize) -> Option<usize> {
     while let Some(at) = bytes[from..].iter().position(|byte| *byte == b'\n') {
         let line_end = from + at + 1;
--- a/crates/sandtrack-proxy/src/exchange/forward.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward.rs
@@ -1,5 +1,4 @@
-//! Forwards one request: carries out what [`Exchange`] decides, and reports to it what happened. It owns the attempts in
-//! flight.
+//! Forwards one request: performs the actions of its [`Exchange`], feeds events back to it, and owns the attempts in flight.
 mod attempt_slot;
 mod silence;
 mod upstream_selection;
@@ -12,7 +11,7 @@
 use crate::exchange::event_stream::DeliveredEventIds;
 use crate::exchange::request_log::RequestLog;
 use crate::exchange::state::{
-    promises_not_executed, Action, AttemptId, Exchange, ExchangeParams, FinalResponse, Input,
+    indicates_not_executed, Action, AttemptId, Exchange, ExchangeParams, FinalResponse, Input,
     Phase, ResponseOwner, MAX_CONCURRENT_ATTEMPTS,
 };
 use crate::placement::balancer::SendOutcome;
@@ -26,7 +25,7 @@
 use sandtrack_tiers::Millis;
 use silence::SilenceTimer;
 
-/// A client has this long beyond the request's deadline to take a chunk of a stream, in ms.
+/// How long after the request's deadline the write of a chunk to the client may still take, in ms.
 const CLIENT_WRITE_GRACE_MS: Millis = 100.0;
 
 /// Status of a response that is relayed as a stream.
@@ -35,7 +34,7 @@
 /// A collected response.
 type CollectedResponse = (Head, CollectedBody);
 
-/// One request on its way.
+/// One request that is being forwarded.
 struct Forwarding<'a> {
     context: &'a ProxyContext,
     request: &'a ProxyRequest,
@@ -43,21 +42,21 @@
     params: ExchangeParams,
     exchange: Exchange,
     slots: [AttemptSlot<'a>; MAX_CONCURRENT_ATTEMPTS],
-    /// Indexes of the upstreams whose attempts ended.
+    /// Indexes of the upstreams at which an attempt ended.
     attempted_upstreams: Vec<usize>,
     silence: Option<SilenceTimer>,
-    /// An upstream's own failure, in case no better response comes.
+    /// An upstream's error response, kept in case no better response follows.
     kept_failure: Option<CollectedResponse>,
-    /// The response of the attempt that ended last, if it came whole.
+    /// The response of the attempt that ended last, if it was complete.
     last_response: Option<CollectedResponse>,
     log: RequestLog<'a>,
-    /// Of the events that the client got.
+    /// Ids of the events relayed to the client.
     delivered_ids: DeliveredEventIds,
-    /// When the last chunk of a stream came.
+    /// When the last chunk of the stream was relayed.
     last_chunk_at: Millis,
 }
 
-/// Forwards the request and responds on `client`; returns whether that connection can be used for another request.
+/// Forwards the request and responds on `client`; returns whether the connection can be used for another request.
 pub async fn forward(
     context: &ProxyContext,
     request: &ProxyRequest,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// What happens next to the attempts in flight.
+    /// Waits for the next event of the attempts in flight, or for a hedge.
     async fn next_input(&mut self) -> Input {
         loop {
             let Forwarding {
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Does what was decided; once the exchange is finished, returns whether the client's connection can be reused.
+    /// Performs an action; once the exchange is finished, returns whether the client's connection can be reused.
     async fn perform(&mut self, action: Action) -> Option<bool> {
         match action {
             Action::Start {
@@ -200,11 +199,11 @@
         self.slots[id] = AttemptSlot::Paused(Box::new(attempt));
     }
 
-    /// Writes part of a stream to the client; returns whether the client took it.
+    /// Writes part of a stream to the client; returns whether the write completed.
     async fn relay(&mut self, id: AttemptId, with_head: bool, bytes: &[u8], is_last: bool) -> bool {
         let timeout = self.request.time_left(self.context.clock.now()) + CLIENT_WRITE_GRACE_MS;
-        let rises = self.delivered_ids.record(bytes);
-        check(Invariant::EventsRise, rises, || {
+        let increasing = self.delivered_ids.record(bytes);
+        check(Invariant::EventsRise, increasing, || {
             format!("{} at {:?}", self.request.id, self.delivered_ids)
         });
         self.record_chunk(id, with_head);
@@ -232,7 +231,7 @@
         }
     }
 
-    /// Counts a chunk of a stream that goes to the client late.
+    /// Records a chunk that is relayed to the client, and whether it is late.
     fn record_chunk(&mut self, id: AttemptId, is_first: bool) {
         let now = self.context.clock.now();
         let pause = now - std::mem::replace(&mut self.last_chunk_at, now);
@@ -265,7 +264,7 @@
         self.log.attempt_ended(attempt.identifier(), outcome);
     }
 
-    /// Gives the client its final response; returns whether its connection is still in order.
+    /// Sends the client its final response; returns whether its connection is still usable.
     async fn finish(&mut self, response: FinalResponse) -> bool {
         match response {
             FinalResponse::Complete(_) => {
@@ -317,14 +316,14 @@
         self.client.send_response(&head, &body.bytes).await
     }
 
-    /// Checks that an upstream's response that goes to the client belongs to this request.
+    /// Checks that an upstream's response that is sent to the client belongs to this request.
     fn check_response_is_own(&self, head: &Head) {
         let summary = summarize_head(head, &self.request.id, &self.context.policy);
         let is_own = summary.owner == ResponseOwner::ThisRequest
             && (summary.sealed || !summary.is_success());
         check(
             Invariant::AnswerIsItsRequests,
-            is_own && !promises_not_executed(summary.status),
+            is_own && !indicates_not_executed(summary.status),
             || format!("{} gets {summary:?}", self.request.id),
         );
     }
--- a/crates/sandtrack-proxy/src/exchange/forward/attempt_slot.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward/attempt_slot.rs
@@ -1,17 +1,17 @@
-//! A slot for an attempt in flight. A step of an attempt is a future that owns the attempt and returns it with what
-//! happened, so that steps of two attempts can be awaited at once.
+//! A slot for an attempt in flight. A step of an attempt is a future that owns the attempt and returns it together with the
+//! step's event, so that steps of two attempts can be awaited concurrently.
 use crate::exchange::attempt::Attempt;
 use crate::exchange::state::AttemptEvent;
 use futures_lite::future;
 use std::future::Future;
 use std::pin::Pin;
 
-/// A step of an attempt: waits for what happens next.
+/// A step of an attempt, which resolves to the attempt and its next event.
 type Step<'a> = Pin<Box<dyn Future<Output = (Box<Attempt<'a>>, AttemptEvent)> + 'a>>;
 
 pub(super) enum AttemptSlot<'a> {
     Empty,
-    /// Its last event is being decided on.
+    /// The exchange is handling the attempt's last event.
     Paused(Box<Attempt<'a>>),
     Stepping(Step<'a>),
 }
@@ -28,11 +28,11 @@
         };
     }
 
-    /// Empties the slot.
+    /// Empties the slot; returns the attempt if it was paused.
     pub(super) fn take(&mut self) -> Option<Box<Attempt<'a>>> {
         match std::mem::replace(self, AttemptSlot::Empty) {
             AttemptSlot::Paused(attempt) => Some(attempt),
-            // Abandoned in the middle of a step: dropping the step closes the connection.
+            // Dropping a step in progress closes the attempt's connection.
             AttemptSlot::Empty | AttemptSlot::Stepping(_) => None,
         }
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Waits for the end of the step, and pauses the attempt. Cancel-safe: the step stays in the slot.
+    /// Waits for the end of the step, and pauses the attempt. Cancel-safe: a pending step stays in the slot.
     pub(super) async fn next_event(&mut self) -> AttemptEvent {
         let AttemptSlot::Stepping(step) = self else {
             return future::pending().await;
--- a/crates/sandtrack-proxy/src/exchange/forward/silence.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward/silence.rs
@@ -1,24 +1,24 @@
-//! Detects an attempt that is silent for too long, which makes its upstream suspect and lets the request be hedged.
+//! Detects an attempt that has been silent for too long: its upstream is probed, and the request may be hedged.
 use super::Forwarding;
 use crate::exchange::state::{AttemptId, Phase, WatchedAttempt};
 use async_io::Timer;
 use sandtrack_tiers::Millis;
 
-/// The longest pause of a stream that is in time where the route does not say, in ms.
+/// Target for the pauses within a stream where the route sets none, in ms.
 const DEFAULT_STREAM_GAP_TARGET_MS: Millis = 500.0;
 
-/// Waits for the silence of an attempt.
+/// Timer for the silence of an attempt.
 pub(super) struct SilenceTimer {
     watched: WatchedAttempt,
-    /// When the attempt counts as silent.
+    /// When the attempt is considered silent.
     silent_at: Millis,
-    /// When this is checked next, not after `silent_at`.
+    /// When the attempt is checked next, at `silent_at` at the latest.
     pub(super) poll: Timer,
 }
 
 impl Forwarding<'_> {
-    /// Checks whether the watched attempt is silent; if so, suspects its upstream, and selects one for a hedged attempt
-    /// where that is allowed.
+    /// Checks whether the watched attempt is silent or its upstream unhealthy. If so, probes that upstream and, where hedging is
+    /// allowed, returns an upstream for the hedge.
     pub(super) fn check_silence(&mut self) -> Option<usize> {
         let now = self.context.clock.now();
         let poll_interval = self.context.policy.suspect_check_ms;
@@ -46,8 +46,8 @@
         self.take_from_retry_budget(now).then_some(other)
     }
 
-    /// Sets the timer after an event of the attempt `source`. Silence counts from the last chunk that the watched attempt
-    /// relayed, or from its start.
+    /// Sets the timer after an event of the attempt `source`. Silence is measured from the last chunk relayed from the watched
+    /// attempt, or from its start.
     pub(super) fn update_silence_timer(&mut self, source: Option<AttemptId>) {
         let now = self.context.clock.now();
         let Some(watched) = self.exchange.watched_attempt() else {
@@ -68,7 +68,7 @@
         }
         let poll_interval = self.context.policy.suspect_check_ms;
         let (silent_at, poll_at) = if is_relaying && !relayed_now {
-            // The attempt that hedged it failed: it is still silent.
+            // Its hedge failed, and it is still silent.
             (now, now + poll_interval)
         } else {
             let silent_at = now + self.silence_timeout(is_relaying, watched.upstream);
@@ -86,7 +86,7 @@
         });
     }
 
-    /// The timer goes off when it would have: that is before `silent_at`.
+    /// Postpones `silent_at`. The timer need not be reset: it fires before and is set again then.
     fn extend_silence(&mut self, silent_at: Millis) {
         if let Some(silence) = &mut self.silence {
             silence.silent_at = silent_at;
@@ -98,7 +98,7 @@
         balancer.upstreams.get(upstream).failures.is_healthy()
     }
 
-    /// How long the attempt at this upstream may be silent from now on, in ms.
+    /// How long the attempt at this upstream may be silent, from now on, in ms.
     fn silence_timeout(&self, is_relaying: bool, upstream: usize) -> Millis {
         if is_relaying {
             self.max_stream_gap(upstream)
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A stream that pauses for longer is silent, in ms.
+    /// Longest pause before a stream is considered silent, in ms.
     fn max_stream_gap(&self, upstream: usize) -> Millis {
         let target = self
             .request
--- a/crates/sandtrack-proxy/src/exchange/forward/upstream_selection.rs
+++ b/crates/sandtrack-proxy/src/exchange/forward/upstream_selection.rs
@@ -1,4 +1,4 @@
-//! Waits for an upstream that the request may be sent to.
+//! Selects the upstream for the next attempt, waiting for capacity if necessary.
 use super::Forwarding;
 use crate::exchange::state::Input;
 use crate::placement::selection::Placement;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 impl Forwarding<'_> {
-    /// Selects the next upstream, waiting for capacity for a while. An attempt beyond the first is taken from the retry
-    /// budget.
+    /// Selects the upstream for the next attempt, waiting for capacity for a limited time. Attempts after the first are taken
+    /// from the retry budget.
     pub(super) async fn select_upstream(&self) -> Input {
         let request = self.request;
-        let hold = (request.route.target_latency_ms).min(request.time_left(request.arrived_at))
+        let max_wait = (request.route.target_latency_ms).min(request.time_left(request.arrived_at))
             * self.context.policy.placement_wait_ratio;
-        let reject_at = request.arrived_at + hold;
+        let reject_at = request.arrived_at + max_wait;
         let poll_interval = self.context.policy.placement_retry_ms;
         loop {
             let now = self.context.clock.now();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An upstream with capacity, other than those in `excluded`.
+    /// Selects an upstream with capacity, if possible one that is not in `excluded`.
     pub(super) fn pick_upstream(&self, now: Millis, excluded: &[usize]) -> Option<usize> {
         match self
             .context
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes one more attempt from the service's retry budget; returns whether the budget had it.
+    /// Takes one attempt from the service's retry budget; returns whether the budget allowed it.
     pub(super) fn take_from_retry_budget(&self, now: Millis) -> bool {
         self.context
             .balancer
--- a/crates/sandtrack-proxy/src/exchange/request_log.rs
+++ b/crates/sandtrack-proxy/src/exchange/request_log.rs
@@ -1,5 +1,5 @@
-//! The log of one request: it is counted however it ends, and logged where its client did not get an upstream's success, with
-//! every upstream that it was sent to.
+//! Records the outcome of one request. Every request is counted; one that did not end with an upstream's success is also logged,
+//! with every upstream that it was sent to.
 use crate::context::ProxyContext;
 use crate::placement::balancer::SendOutcome;
 use crate::request::ProxyRequest;
@@ -9,7 +9,7 @@
 use sandtrack_tiers::Millis;
 use std::fmt::Write;
 
-/// One request in flight. Where it is dropped before [`RequestLog::finished`], its client has disconnected.
+/// The record of one request in flight. If dropped before [`RequestLog::finished`], it records that the client disconnected.
 pub struct RequestLog<'a> {
     context: &'a ProxyContext,
     request: &'a ProxyRequest,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> RequestLog<'a> {
-    /// The log of a request that begins to be forwarded.
+    /// Starts the record of a request that is about to be forwarded.
     #[must_use]
     pub fn new(context: &'a ProxyContext, request: &'a ProxyRequest) -> RequestLog<'a> {
         RequestLog {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An attempt at an upstream begins.
+    /// Records the start of an attempt.
     pub fn attempt_started(&mut self, identifier: String) {
         self.attempts.push(AttemptRecord {
             identifier,
@@ -46,7 +46,7 @@
         });
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&mut self, identifier: &str, outcome: SendOutcome) {
         self.context.outcomes.borrow_mut().record_attempt(outcome);
         let now = self.context.clock.now();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The first part of the response came, of an attempt whose write began at `write_started_at`.
+    /// Records the first part of the response to an attempt whose write began at `write_started_at`.
     pub fn response_started(
         &mut self,
         identifier: &str,
@@ -92,7 +92,7 @@
             let mut details = self.attempts_text();
             let prompt_tokens = request.token_counts.map_or(0, |counts| counts.prompt);
             let shared_tokens = request.shared_tokens();
-            // Writing into memory can't fail.
+            // Writing to a String can't fail.
             let _ = write!(
                 details,
                 "; prompt of {prompt_tokens} tokens, {shared_tokens} of them shared"
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The stream paused for longer than its route's target.
+    /// Records a pause of the stream that exceeded its route's target.
     pub fn stream_paused(&mut self, pause: Millis) {
         let now = self.context.clock.now();
         let mut outcomes = self.context.outcomes.borrow_mut();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The request ended; only the first call counts.
+    /// Records the request's outcome; only the first call has an effect.
     pub fn finished(&mut self, outcome: RequestOutcome) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
@@ -141,7 +141,7 @@
         );
     }
 
-    /// The upstreams that the request was sent to, and when.
+    /// Lists the upstreams that the request was sent to, with times since its arrival in ms.
     fn attempts_text(&self) -> String {
         let arrived = self.request.arrived_at;
         let mut text = String::new();
@@ -151,7 +151,7 @@
             ended,
         } in &self.attempts
         {
-            // Writing into memory can't fail.
+            // Writing to a String can't fail.
             let _ = write!(text, "; at {identifier} from {:.0}", started_at - arrived);
             let _ = match ended {
                 Some((outcome, at)) => {
@@ -164,11 +164,11 @@
     }
 }
 
-/// The end of a line before which so many were suppressed.
+/// Suffix of a log line that says how many lines were suppressed before it; empty if none.
 fn suppressed_lines(lines: u64) -> String {
     match lines {
         0 => String::new(),
-        lines => format!(" ({lines} lines left out before)"),
+        lines => format!(" ({lines} log lines suppressed before this one)"),
     }
 }
 
--- a/crates/sandtrack-proxy/src/exchange/state.rs
+++ b/crates/sandtrack-proxy/src/exchange/state.rs
@@ -1,9 +1,9 @@
-//! The state machine of one exchange: which upstreams a request is sent to, what of their responses its client gets, which
-//! final response it gets, and which connections are kept. Pure: what happened comes in as [`Input`], what is to be done
-//! goes out as [`Action`]; sockets, clocks and the selection of upstreams are in [`forward`](crate::exchange::forward) and
-//! [`attempt`](crate::exchange::attempt).
+//! The state machine of one exchange. It decides to which upstreams the request is sent, what is relayed to the client, which
+//! final response the client gets, and which connections are reused. It does no I/O: events arrive as [`Input`], and the
+//! resulting steps are returned as [`Action`]. Sockets, clocks and the selection of upstreams are in
+//! [`forward`](crate::exchange::forward) and [`attempt`](crate::exchange::attempt).
 //!
-//! At most two attempts are in flight: the one that the request was placed with, and one that hedges it while it is silent.
+//! At most two attempts are in flight: the original one, and one that hedges it while it is silent.
 //! `docs/system/exchange.md` names the test that fails without each guard here.
 mod attempt_events;
 mod attempt_state;
@@ -13,54 +13,54 @@
 use crate::exchange::event_stream::EventScanner;
 use attempt_state::{AttemptStage, AttemptState};
 pub use messages::{
-    promises_not_executed, Action, AttemptEvent, AttemptId, ExchangeParams, FinalResponse,
+    indicates_not_executed, Action, AttemptEvent, AttemptId, ExchangeParams, FinalResponse,
     HeadSummary, Input, ResponseOwner, MAX_CONCURRENT_ATTEMPTS,
 };
 use sandtrack_invariants::{check, Invariant};
 use sandtrack_protocol::codes::{self, Code};
 
-/// Where an exchange stands.
+/// The phase of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No attempt is in flight; the request waits for an upstream.
+    /// No attempt is in flight; an upstream is to be selected.
     SelectingUpstream,
-    /// The request was sent, and no response in flight is relayed.
+    /// At least one attempt is in flight, and no stream is being relayed.
     AwaitingResponse,
-    /// The stream of this attempt is relayed.
+    /// The stream of this attempt is being relayed.
     Relaying(AttemptId),
-    /// The client got its final response.
+    /// The final response was decided; further inputs are ignored.
     Finished,
 }
 
-/// The attempt whose silence counts: one that is silent for too long may be hedged.
+/// The attempt that is watched for silence; one that is silent for too long may be hedged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WatchedAttempt {
     /// Which attempt it is.
     pub id: AttemptId,
-    /// Index of its upstream.
+    /// Index of the upstream.
     pub upstream: usize,
 }
 
-/// One request from its arrival to its final response.
+/// The state of one request from its arrival to its final response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Exchange {
     params: ExchangeParams,
     phase: Phase,
     attempts: [Option<AttemptState>; MAX_CONCURRENT_ATTEMPTS],
-    /// Attempts so far, without those whose connection was never established.
+    /// Number of attempts so far, without those whose connection could not be established.
     attempts_started: u32,
     may_have_executed: bool,
-    /// A silent attempt was hedged since an upstream was selected last.
+    /// Whether a silent attempt was hedged since the last [`Phase::SelectingUpstream`].
     hedged: bool,
-    /// Part of a stream was relayed to the client.
+    /// Whether part of a stream was relayed to the client.
     stream_started: bool,
     scanner: EventScanner,
-    /// Status of the upstream's failure that is kept.
+    /// Status of the upstream's error response that was kept.
     kept_failure: Option<u16>,
 }
 
 impl Exchange {
-    /// An exchange without attempts.
+    /// Creates an exchange without attempts.
     #[must_use]
     pub fn new(params: ExchangeParams) -> Exchange {
         Exchange {
@@ -76,26 +76,26 @@
         }
     }
 
-    /// Where the exchange stands.
+    /// The current phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether one more attempt counts against the retry budget.
+    /// Whether the next attempt counts against the retry budget.
     #[must_use]
     pub fn needs_retry_budget(&self) -> bool {
         self.attempts_started > 0
     }
 
-    /// Whether the request is rejected early where no upstream has capacity. One that was executed in part and may be
-    /// executed again waits until its deadline.
+    /// Whether the request may be rejected before its deadline if no upstream has capacity. One that may have been executed
+    /// already waits until its deadline.
     #[must_use]
     pub fn may_reject_early(&self) -> bool {
         !self.stream_started && !self.may_have_executed
     }
 
-    /// The attempt whose silence counts.
+    /// The attempt that is watched for silence.
     #[must_use]
     pub fn watched_attempt(&self) -> Option<WatchedAttempt> {
         let id = match self.phase {
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Whether the watched attempt may be hedged by one at another upstream.
+    /// Whether the watched attempt may be hedged by an attempt at another upstream.
     #[must_use]
     pub fn may_hedge(&self) -> bool {
         self.watched_attempt().is_some()
@@ -120,12 +120,12 @@
             && self.is_resumable()
     }
 
-    /// Takes what happened; returns what is to be done, in order.
+    /// Handles an input; returns the actions to perform, in order.
     pub fn handle(&mut self, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         match (self.phase, input) {
             (Phase::Finished, _) => {}
-            // Where no further attempt is allowed, the exchange was finished when the last one ended.
+            // A further attempt is allowed here: otherwise the exchange was finished when the last one ended.
             (Phase::SelectingUpstream, Input::UpstreamSelected(upstream)) => {
                 self.start_attempt(upstream, &mut actions);
                 self.phase = Phase::AwaitingResponse;
@@ -145,7 +145,7 @@
             }
             (_, Input::Attempt(id, event)) => self.on_attempt_event(id, event, &mut actions),
             (_, Input::ClientDisconnected) => self.finish(FinalResponse::Aborted, &mut actions),
-            // Too late: the exchange has gone on meanwhile.
+            // Outdated: the phase changed in the meantime.
             (
                 _,
                 Input::UpstreamSelected(_)
@@ -158,7 +158,7 @@
         actions
     }
 
-    /// The code of a response without a further attempt.
+    /// Error code of a response when no further attempt is made.
     fn no_further_attempt_code(&self) -> Code {
         if self.may_have_executed {
             codes::UPSTREAM_FAILED
@@ -175,7 +175,7 @@
         below_limit && may_execute
     }
 
-    /// Whether another upstream can continue behind what the client has of a stream.
+    /// Whether another upstream can continue after the part of the stream that the client has received.
     fn is_resumable(&self) -> bool {
         !self.stream_started || self.scanner.resume_point().is_some()
     }
@@ -206,7 +206,8 @@
         } else {
             None
         };
-        // An upstream may close an idle connection while the request is being written.
+        // An upstream may close an idle connection while the request is being written, and it is then unknown whether the request
+        // was executed.
         actions.push(Action::Start {
             id,
             upstream,
--- a/crates/sandtrack-proxy/src/exchange/state/attempt_events.rs
+++ b/crates/sandtrack-proxy/src/exchange/state/attempt_events.rs
@@ -1,4 +1,4 @@
-//! What the events of an attempt lead to: its response is collected or relayed, or the attempt failed.
+//! Handles the events of an attempt: its response is collected or relayed, or the attempt fails.
 use super::attempt_state::{AttemptStage, AttemptState};
 use super::messages::{Action, AttemptEvent, AttemptId, FinalResponse, HeadSummary, ResponseOwner};
 use super::{Exchange, Phase};
@@ -62,12 +62,12 @@
             (_, AttemptEvent::ResponseFailed(error)) => {
                 self.fail(id, outcome_of_error(attempt, error), actions);
             }
-            // No part of a response is due at this stage.
+            // The event is not expected at this stage.
             (_, _) => self.fail(id, SendOutcome::ServerError, actions),
         }
     }
 
-    /// No byte reached the upstream: the attempt does not count.
+    /// No byte reached the upstream, so that the attempt does not count against the route's limit.
     fn on_connect_failed(
         &mut self,
         id: AttemptId,
@@ -94,8 +94,8 @@
         let is_own = match head.owner {
             ResponseOwner::ThisRequest => true,
             ResponseOwner::OtherRequest => false,
-            // An upstream that rejects a request before it reads it may leave the id out. Only on a new connection can
-            // nothing else be due.
+            // An upstream that rejects a request before reading it may omit the id. On a reused connection such a response
+            // could belong to an earlier request.
             ResponseOwner::Unidentified => head.was_not_executed() && !reused_connection,
         };
         if !is_own || head.is_success() && !head.sealed {
@@ -113,7 +113,7 @@
         );
     }
 
-    /// A complete response came that is not relayed.
+    /// Handles a complete response that was collected instead of relayed.
     fn on_response_collected(
         &mut self,
         id: AttemptId,
@@ -142,7 +142,7 @@
         self.finish(FinalResponse::Complete(id), actions);
     }
 
-    /// The first chunk of a stream came: this stream is relayed from here on, and no other.
+    /// Relays this attempt's stream from its first chunk on, and abandons the other attempt.
     fn start_relaying(&mut self, id: AttemptId, head: HeadSummary, actions: &mut Vec<Action>) {
         self.abandon_other(id, actions);
         actions.push(Action::RecordLatency(id));
@@ -198,7 +198,7 @@
         if !attempt.may_have_executed() {
             return self.fail(id, SendOutcome::Cancelled, actions);
         }
-        // An upstream that has not read the request by its deadline is judged like one whose connection broke.
+        // An upstream that has not read the request by its deadline is treated like one whose connection failed.
         if attempt.stage == AttemptStage::WritingRequest {
             self.close(id, SendOutcome::ConnectionFailed, actions);
         }
@@ -206,9 +206,9 @@
     }
 }
 
-/// How an attempt whose response failed with this error is judged.
+/// The outcome reported to the balancer for an attempt whose response failed with this error.
 fn outcome_of_error(attempt: AttemptState, error: ResponseError) -> SendOutcome {
-    // An idle connection that broke without a byte says nothing of its upstream.
+    // An idle connection that was closed before any byte of the response does not count as a failure of the upstream.
     let was_idle = attempt.reused_connection && attempt.stage == AttemptStage::AwaitingHead;
     match error {
         ResponseError::Malformed => SendOutcome::ServerError,
--- a/crates/sandtrack-proxy/src/exchange/state/attempt_state.rs
+++ b/crates/sandtrack-proxy/src/exchange/state/attempt_state.rs
@@ -1,4 +1,4 @@
-//! How far one attempt has come. Pure.
+//! The progress of one attempt. No I/O.
 use super::messages::HeadSummary;
 
 /// The stages of an attempt, in order.
@@ -16,15 +16,15 @@
 /// One attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptState {
-    /// Index of its upstream.
+    /// Index of the upstream.
     pub(super) upstream: usize,
-    /// Its connection carried a response before.
+    /// Whether its connection carried a response before.
     pub(super) reused_connection: bool,
     pub(super) stage: AttemptStage,
 }
 
 impl AttemptState {
-    /// Whether the upstream may execute the request, or have executed it.
+    /// Whether the upstream may be executing the request, or have executed it.
     pub(super) fn may_have_executed(&self) -> bool {
         match self.stage {
             AttemptStage::Connecting => false,
--- a/crates/sandtrack-proxy/src/exchange/state/finish.rs
+++ b/crates/sandtrack-proxy/src/exchange/state/finish.rs
@@ -1,7 +1,7 @@
-//! The ends of attempts and of the exchange: what becomes of a connection, whether the request is retried, and the one
-//! final response.
+//! Ends attempts and the exchange: decides whether a connection is reused, whether the request is retried, and the final
+//! response.
 use super::messages::{
-    promises_not_executed, Action, AttemptId, FinalResponse, HeadSummary, MAX_CONCURRENT_ATTEMPTS,
+    indicates_not_executed, Action, AttemptId, FinalResponse, HeadSummary, MAX_CONCURRENT_ATTEMPTS,
 };
 use super::{Exchange, Phase};
 use crate::placement::balancer::SendOutcome;
@@ -9,7 +9,7 @@
 use sandtrack_protocol::codes::{self, Code};
 
 impl Exchange {
-    /// The attempt ended without a response.
+    /// Ends an attempt without a usable response; the request is retried where allowed.
     pub(super) fn fail(&mut self, id: AttemptId, outcome: SendOutcome, actions: &mut Vec<Action>) {
         self.close(id, outcome, actions);
         self.on_attempt_failed(actions);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The attempt ended with a complete response.
+    /// Ends an attempt whose response was read to its end; its connection is reused where possible.
     pub(super) fn end_attempt(
         &mut self,
         id: AttemptId,
@@ -31,7 +31,7 @@
         outcome: SendOutcome,
         actions: &mut Vec<Action>,
     ) {
-        // Bytes behind a complete response belong to no request.
+        // Bytes after a complete response belong to no request.
         if trailing_bytes || !head.keep_alive {
             return self.close(id, outcome, actions);
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// An attempt failed: the other one in flight goes on, or the request is retried where it may be.
+    /// After a failed attempt, the other one in flight continues, or the request is retried where allowed.
     pub(super) fn on_attempt_failed(&mut self, actions: &mut Vec<Action>) {
         if self.attempts.iter().any(Option::is_some) {
             if matches!(self.phase, Phase::Relaying(id) if self.attempts[id].is_none()) {
@@ -76,14 +76,16 @@
         }
     }
 
-    /// No further attempt: the best final response that there is. `code` is that of a response of this process's own.
+    /// Finishes the exchange without a further attempt: with the kept upstream failure if there is one, else with a response
+    /// of this proxy with `code`.
     pub(super) fn give_up(&mut self, code: Code, actions: &mut Vec<Action>) {
         self.abandon_all(actions);
         let response = match self.kept_failure {
-            // A response that ends early must not look complete.
+            // A truncated stream must not look complete.
             _ if self.stream_started => FinalResponse::Aborted,
-            // Under another status it is no longer the upstream's response, and must not bear its seal.
-            Some(status) if promises_not_executed(status) => {
+            // Its status would say that the request was not executed. With another status it is no longer the upstream's
+            // response and must not have its seal.
+            Some(status) if indicates_not_executed(status) => {
                 self.local_response(codes::UPSTREAM_FAILED)
             }
             Some(_) => FinalResponse::UpstreamFailure,
@@ -101,7 +103,7 @@
         FinalResponse::Local {
             status,
             code,
-            retryable: promises_not_executed(status),
+            retryable: indicates_not_executed(status),
         }
     }
 
--- a/crates/sandtrack-proxy/src/exchange/state/messages.rs
+++ b/crates/sandtrack-proxy/src/exchange/state/messages.rs
@@ -1,27 +1,27 @@
-//! Inputs and actions of an exchange: plain data, and what follows from it alone. Pure.
+//! Inputs and actions of an exchange: plain data types. No I/O.
 use crate::placement::balancer::SendOutcome;
 use crate::upstream_connections::response_error::ResponseError;
 use sandtrack_protocol::codes::Code;
 
-/// Which of the attempts in flight; below [`MAX_CONCURRENT_ATTEMPTS`].
+/// Index of an attempt in flight; less than [`MAX_CONCURRENT_ATTEMPTS`].
 pub type AttemptId = usize;
 
-/// Attempts of one exchange that may be in flight at once: one, and one that hedges it.
+/// Maximum number of attempts in flight for one exchange: the original one and its hedge.
 pub const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
-/// What a route says of its requests.
+/// Properties of a request that its route determines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ExchangeParams {
-    /// The request may be executed more than once: a `read_only` one, or a stream that may be resumed.
+    /// Whether the request may be executed more than once: a `read_only` one, or a resumable stream.
     pub idempotent: bool,
-    /// The response is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Upstreams that the request may be sent to.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
 }
 
 impl ExchangeParams {
-    /// Whether a response with this status is relayed as it comes; any other is collected first.
+    /// Whether a response with this status is relayed as it arrives; any other is collected first.
     #[must_use]
     pub fn relays(&self, status: u16) -> bool {
         self.streaming && status == 200
@@ -31,31 +31,31 @@
 /// Which request a response belongs to, by its `Request-Id`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseOwner {
-    /// The one that was sent.
+    /// The request that was sent.
     ThisRequest,
-    /// Another one.
+    /// Another request.
     OtherRequest,
     /// The response has no `Request-Id`.
     Unidentified,
 }
 
-/// What counts of a response's head.
+/// The parts of a response's head that the exchange depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeadSummary {
     /// Which request it belongs to.
     pub owner: ResponseOwner,
     /// The status code.
     pub status: u16,
-    /// It bears `Not-Executed`.
+    /// Whether it has the header `Not-Executed`.
     pub not_executed: bool,
-    /// It bears `Server-Seal`.
+    /// Whether it has the header `Server-Seal`.
     pub sealed: bool,
-    /// The upstream keeps the connection open for a while.
+    /// Whether the upstream keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
 impl HeadSummary {
-    /// Whether the upstream says that the request was not executed and won't be (421: RFC 9110, 15.5.20).
+    /// Whether the upstream states that the request was not and will not be executed (421: RFC 9110, 15.5.20).
     #[must_use]
     pub fn was_not_executed(&self) -> bool {
         self.not_executed || self.status == 421
@@ -67,129 +67,129 @@
         (200..300).contains(&self.status)
     }
 
-    /// Whether the upstream says that it failed.
+    /// Whether the status is an upstream failure: a 5xx, 408 or 429.
     pub(super) fn is_failure(&self) -> bool {
         self.status >= 500 || matches!(self.status, 408 | 429)
     }
 }
 
-/// What happened to an attempt.
+/// An event of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEvent {
-    /// A connection is established.
+    /// A connection is available.
     Connected {
-        /// It carried a response before.
+        /// Whether it carried a response before.
         reused: bool,
     },
     /// No connection could be established.
     ConnectFailed {
-        /// This process may hold no more connections to the upstream.
+        /// Whether the limit of connections from this process to the upstream was reached.
         connection_limit_reached: bool,
     },
-    /// All of the request was written.
+    /// The complete request was written.
     RequestWritten,
-    /// The connection broke while the request was written.
+    /// The connection failed while the request was being written.
     WriteFailed,
-    /// The response's head came.
+    /// The response's head was received.
     Head(HeadSummary),
-    /// A chunk of a relayed body came.
+    /// A chunk of a relayed body was received.
     BodyChunk(Vec<u8>),
     /// The body is complete.
     BodyEnd {
-        /// More bytes came behind it.
+        /// Whether more bytes followed it.
         trailing_bytes: bool,
     },
-    /// The response could not be read whole.
+    /// The response could not be read to its end.
     ResponseFailed(ResponseError),
     /// The request's deadline passed.
     DeadlineExceeded,
 }
 
-/// What happened to an exchange.
+/// An input of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// An upstream with capacity was found, and the retry budget has one more attempt where
-    /// [`Exchange::needs_retry_budget`](super::Exchange::needs_retry_budget).
+    /// An upstream with capacity was selected. Where
+    /// [`Exchange::needs_retry_budget`](super::Exchange::needs_retry_budget), the attempt was taken from the retry budget.
     UpstreamSelected(usize),
-    /// No upstream had capacity for as long as the request may wait.
+    /// No upstream had capacity within the time that the request may wait.
     NoCapacity,
-    /// An upstream was found, but the retry budget has no further attempt.
+    /// An upstream was found, but the retry budget allows no further attempt.
     RetryBudgetExhausted,
     /// The request's deadline passed before another attempt.
     DeadlineExceeded,
-    /// The silent attempt may be hedged at this upstream: it has capacity, and the retry budget has one more attempt.
+    /// An upstream with capacity was selected to hedge the silent attempt, which was taken from the retry budget.
     HedgeUpstreamSelected(usize),
-    /// An event of an attempt in flight.
+    /// An event of the attempt in flight with this id.
     Attempt(AttemptId, AttemptEvent),
-    /// The client closed its connection, or does not read.
+    /// The client closed its connection or does not read.
     ClientDisconnected,
 }
 
-/// The one final response.
+/// The final response of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// The collected response of this attempt, unchanged.
     Complete(AttemptId),
-    /// The failure that was kept by [`Action::KeepFailure`], unchanged.
+    /// The response kept by [`Action::KeepFailure`], unchanged.
     UpstreamFailure,
-    /// A response of this process's own.
+    /// A response generated by this proxy.
     Local {
         /// The status code.
         status: u16,
-        /// The numbered code in the body.
+        /// The error code in the body.
         code: Code,
-        /// The request was not executed: the response says when to retry.
+        /// Whether the response has `Retry-After`, as the request was not executed.
         retryable: bool,
     },
     /// The relayed stream is complete.
     StreamCompleted,
-    /// The connection is closed: what the client has must not look complete.
+    /// The connection is closed, so that the truncated stream does not look complete.
     Aborted,
 }
 
-/// What is to be done for an exchange.
+/// An action to perform for an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to an upstream.
+    /// Start an attempt at an upstream.
     Start {
         /// The new attempt.
         id: AttemptId,
         /// Index of the upstream.
         upstream: usize,
-        /// An idle connection will do.
+        /// Whether an idle pooled connection may be used.
         may_reuse_connection: bool,
-        /// Ask for the stream behind the event with this id (`Last-Event-Id`).
+        /// Resume the stream after the event with this id (`Last-Event-Id`).
         resume_after: Option<u64>,
     },
-    /// The head belongs to this request: the load that it reports of its upstream holds.
+    /// Apply the load report in the attempt's response head, which belongs to this request.
     ApplyLoadReport(AttemptId),
     /// Record the time to the first part of the response.
     RecordLatency(AttemptId),
     /// Write part of a stream to the client.
     Relay {
-        /// The attempt whose stream it is.
+        /// The attempt whose stream is relayed.
         id: AttemptId,
         /// Write the head of that attempt's response first.
         with_head: bool,
         /// Complete events.
         bytes: Vec<u8>,
-        /// The stream is complete with them.
+        /// Whether the stream ends with these events.
         is_last: bool,
     },
-    /// The response of the attempt that ended last says that its upstream failed: keep it in case no better one comes.
+    /// Keep the response of the attempt that ended last, an upstream failure, in case no better one follows.
     KeepFailure(AttemptId),
-    /// The attempt ended; its connection may serve the next request.
+    /// End the attempt and return its connection to the pool.
     ReleaseConnection(AttemptId, SendOutcome),
-    /// The attempt ended; close its connection.
+    /// End the attempt and close its connection.
     CloseConnection(AttemptId, SendOutcome),
-    /// Abandon the attempt in favour of another, or with the whole exchange; close its connection.
+    /// Abandon the attempt, as another one is used or the exchange is finished, and close its connection.
     Abandon(AttemptId),
-    /// Give the client its final response.
+    /// Send the client its final response.
     Finish(FinalResponse),
 }
 
-/// Whether the status tells a client that its request was not executed and never will be.
+/// Whether clients take this status to mean that the request was not and will not be executed.
 #[must_use]
-pub fn promises_not_executed(status: u16) -> bool {
+pub fn indicates_not_executed(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/sandtrack-proxy/src/lib.rs
+++ b/crates/sandtrack-proxy/src/lib.rs
@@ -1,11 +1,12 @@
 //! The data plane of the system: accepts clients' requests and forwards each to an upstream of its route's service.
 //!
-//! Decisions are pure and apart from sockets: [`placement`] (which upstream a request is sent to), [`exchange::state`]
-//! (one request: where it is sent, and which response its client gets), [`exchange::event_stream`] (events of a stream),
-//! [`control_session::decisions`] (which control node). All tasks run on one thread and share a [`context::ProxyContext`].
+//! The decision logic does no I/O and is kept apart from sockets: [`placement`] (selects an upstream for a request),
+//! [`exchange::state`] (the attempts and the final response of one request), [`exchange::event_stream`] (splits streams into
+//! events), [`control_session::decisions`] (selects a control node). All tasks run on one thread and share a
+//! [`context::ProxyContext`].
 //!
-//! The way of a request: [`listener`] reads it, [`request`] decodes it, [`exchange::forward`] runs its exchange, with an
-//! [`exchange::attempt`] for each send to an upstream over [`upstream_connections`].
+//! Request path: [`listener`] reads a request, [`request`] decodes it, and [`exchange::forward`] runs its exchange, with one
+//! [`exchange::attempt`] for each upstream that the request is sent to over [`upstream_connections`].
 #![warn(
     missing_docs,
     clippy::missing_errors_doc,
--- a/crates/sandtrack-proxy/src/listener.rs
+++ b/crates/sandtrack-proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepts them, reads one request after another, and has each forwarded.
+//! Client connections: accepts them, reads requests one after another, and forwards each.
 //!
 //! [`connection`] serves one connection, [`read_request`] reads a request from it, and [`readiness`] answers the platform's
 //! readiness check.
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after an error of `accept`, as where the process has no file descriptors left.
+/// Pause after an error of `accept`, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Accepts clients' connections until the sender of `stop` is closed.
+/// Accepts client connections until the sender of `stop` is closed.
 pub async fn accept(
     context: Rc<ProxyContext>,
     listener: Async<TcpListener>,
--- a/crates/sandtrack-proxy/src/listener/limits.rs
+++ b/crates/sandtrack-proxy/src/listener/limits.rs
@@ -1,15 +1,15 @@
-//! The operator's limits for clients.
+//! Limits on client connections, from the operator's configuration.
 use crate::context::ProxyContext;
 use sandtrack_tiers::Millis;
 
-// Limits until a configuration is in force.
+// Limits that apply until there is a configuration.
 /// Longest head of a request, in bytes.
 pub(super) const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 const DEFAULT_IDLE_TIMEOUT_MS: Millis = 15_000.0;
 const DEFAULT_HEADER_TIMEOUT_MS: Millis = 3_000.0;
 
-/// The buffer of a connection holds twice this many bytes at least (ours).
+/// The input buffer of a connection is at least twice this size, in bytes.
 const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
 /// Limits of one connection.
@@ -21,7 +21,7 @@
 }
 
 impl ClientLimits {
-    /// Those of the configuration in force.
+    /// The limits in the current configuration, or the defaults if there is none.
     pub(super) fn current(context: &ProxyContext) -> ClientLimits {
         let balancer = context.balancer.borrow();
         let limits = balancer
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Size of the buffer that a connection is read into: it holds a whole head and what came with it.
+    /// Size of a connection's input buffer, in bytes: enough for a complete head and the data received with it.
     pub(super) fn input_buffer_bytes(&self) -> usize {
         2 * self.max_head_bytes.max(MIN_HEAD_BUFFER_BYTES)
     }
--- a/crates/sandtrack-proxy/src/listener/read_request.rs
+++ b/crates/sandtrack-proxy/src/listener/read_request.rs
@@ -1,4 +1,4 @@
-//! Reads one request from a client's connection, within the operator's limits.
+//! Reads one request from a client connection, within the operator's limits.
 use super::limits::ClientLimits;
 use crate::context::ProxyContext;
 use crate::request::time_limit;
@@ -15,23 +15,24 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How long the write of `100 Continue` may take.
+/// Timeout for writing `100 Continue`.
 const CONTINUE_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
-/// While the process is draining, an idle connection is kept this long for what its client has on the way, in ms.
+/// While the process is draining, an idle connection is kept this long for requests already on the way, in ms.
 const DRAINING_IDLE_TIMEOUT_MS: Millis = 1500.0;
-/// A body may take this many times as long as a head ...
+/// The body timeout is this multiple of the header timeout, or of [`MIN_BODY_BASE_TIMEOUT_MS`] if that is longer, but at most the
+/// request's time limit.
 const BODY_TIMEOUT_FACTOR: f64 = 4.0;
-/// ... counted as this at least, in ms, and not over the time that the request may be held (ours).
+/// Lower bound of the header timeout as the base of the body timeout, in ms.
 const MIN_BODY_BASE_TIMEOUT_MS: Millis = 5_000.0;
 
 /// A complete request.
 pub(super) struct ReceivedRequest {
     pub(super) head: Head,
     pub(super) body: Vec<u8>,
-    /// The body's part of the process's memory budget, until this is dropped.
+    /// The body's share of the process's memory budget, released on drop.
     #[expect(dead_code, reason = "held for its Drop")]
     pub(super) reservation: Held,
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub(super) arrived_at: Millis,
 }
 
@@ -39,29 +40,29 @@
 pub(super) struct RejectedRequest {
     pub(super) status: u16,
     pub(super) code: Code,
-    /// Empty where it is not known.
+    /// Empty if unknown.
     pub(super) request_id: String,
 }
 
 /// Why no request could be read.
 pub(super) enum ReadError {
-    /// The request is not acceptable, or it did not come in time.
+    /// The request is not acceptable, or was not received in time.
     Rejected(RejectedRequest),
-    /// The connection is over.
+    /// The connection was closed.
     Closed,
 }
 
-/// A request whose head came.
+/// A request whose head was received.
 struct PartialRequest {
     head: Head,
-    /// When its first byte came.
+    /// When its first byte arrived.
     arrived_at: Millis,
-    /// When all of it must be there.
+    /// When it must be complete; infinite until computed.
     deadline: Millis,
 }
 
-/// Reads the next request. `pipelined_at`: its first bytes came at that time. The limits are those in force when its head
-/// comes, also on a connection that was idle since before a change of them.
+/// Reads the next request. `pipelined_at`: when its first bytes arrived, if that was before this call. The limits in force when
+/// its head arrives apply, also on a connection that was idle when they changed.
 pub(super) async fn read_request(
     context: &ProxyContext,
     stream: &Async<TcpStream>,
@@ -95,7 +96,7 @@
     }
 }
 
-/// A request as it is being read.
+/// A request that is being read.
 struct RequestReader<'a> {
     context: &'a ProxyContext,
     stream: &'a Async<TcpStream>,
@@ -156,7 +157,7 @@
         })
     }
 
-    /// Waits for more bytes. `is_within`: a request has begun.
+    /// Waits for more bytes. `is_within`: whether part of a request has been received.
     async fn read_more(&mut self, is_within: bool, input: &mut Ring) -> Result<(), ReadError> {
         let clock = self.context.clock;
         if is_within && self.first_byte_at.is_none() {
@@ -172,7 +173,7 @@
             Some(Ok(count)) if count > 0 => Ok(()),
             Some(_) => Err(ReadError::Closed),
             None if is_within => Err(rejected(408, codes::DEADLINE, self.known_id())),
-            // The idle time-out may have grown meanwhile.
+            // The idle timeout may have been raised in the meantime.
             None if clock.now()
                 < self.started_at + ClientLimits::current(self.context).idle_timeout
                 && !self.context.balancer.borrow().draining =>
@@ -183,7 +184,7 @@
         }
     }
 
-    /// When the part that is due must have come.
+    /// When the next part (the first byte, the head or the body) must have been received.
     fn deadline(&mut self) -> Millis {
         let header_timeout = self.limits.header_timeout;
         match (self.first_byte_at, &mut self.partial) {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Returns at the deadline; an idle connection ends soon after the process began to drain.
+    /// Returns at the deadline; on an idle connection at most [`DRAINING_IDLE_TIMEOUT_MS`] after the process started to drain.
     async fn until_timeout(&self, is_within: bool, deadline: Millis) {
         let clock = self.context.clock;
         let timer = async {
@@ -219,7 +220,7 @@
         future::or(draining, timer).await;
     }
 
-    /// The id of a request whose head came; else empty.
+    /// The request's id; empty if its head has not been received.
     fn known_id(&self) -> String {
         self.partial
             .as_ref()
@@ -245,7 +246,7 @@
     rejected(bad.status(), code, String::new())
 }
 
-/// Until when a request is waited for whose head came and whose body did not.
+/// When the body of a request with this head must have been received.
 fn body_deadline(
     context: &ProxyContext,
     head: &Head,
@@ -253,15 +254,15 @@
     header_timeout: Millis,
 ) -> Millis {
     let balancer = context.balancer.borrow();
-    let max_hold = balancer
+    let time_limit_ms = balancer
         .configuration
         .as_ref()
         .and_then(|configuration| time_limit(configuration, head));
     let timeout = BODY_TIMEOUT_FACTOR * header_timeout.max(MIN_BODY_BASE_TIMEOUT_MS);
-    arrived_at + max_hold.map_or(timeout, |hold| hold.min(timeout))
+    arrived_at + time_limit_ms.map_or(timeout, |limit| limit.min(timeout))
 }
 
-/// The `Request-Id` of a head; empty where it has none.
+/// The `Request-Id` of a head; empty if it has none.
 pub(super) fn request_id(head: &Head) -> String {
     head.headers
         .get("request-id")
@@ -269,7 +270,7 @@
         .to_owned()
 }
 
-/// The length of the body that a head announces; `None` where it is chunked.
+/// The body length that a head declares; `None` for a chunked body.
 fn content_length(head: &Head) -> Option<usize> {
     head.headers.get("content-length")?.trim().parse().ok()
 }
--- a/crates/sandtrack-proxy/src/listener/readiness.rs
+++ b/crates/sandtrack-proxy/src/listener/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's readiness check: whether this process takes traffic.
+//! Endpoint for the platform's readiness check: whether this process accepts traffic.
 use super::limits::DEFAULT_MAX_HEAD_BYTES;
 use super::read_request::read_request;
 use crate::context::ProxyContext;
@@ -16,7 +16,7 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers checks for the life of the process.
+/// Serves readiness checks for the lifetime of the process.
 pub async fn run(context: Rc<ProxyContext>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
--- a/crates/sandtrack-proxy/src/main.rs
+++ b/crates/sandtrack-proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program; all of it is in the library.
+//! Entry point of the `sandtrack-proxy` binary; the implementation is in the library.
 fn main() -> std::process::ExitCode {
     sandtrack_proxy::program::main()
 }
--- a/crates/sandtrack-proxy/src/metrics.rs
+++ b/crates/sandtrack-proxy/src/metrics.rs
@@ -3,17 +3,17 @@
 use sandtrack_protocol::metrics::{MetricKind, MetricsText};
 use std::collections::BTreeMap;
 
-/// Upstreams of one service as this proxy sees them.
+/// Counts of one service's upstreams, as seen by this proxy.
 #[derive(Default)]
 struct ServiceUpstreams {
     listed: u64,
     draining: u64,
     unhealthy: u64,
-    /// Attempts of this proxy in flight.
+    /// Attempts in flight from this proxy.
     open_attempts: usize,
 }
 
-/// All metrics of this process as text.
+/// Renders all metrics of this process as text.
 pub fn render(context: &ProxyContext) -> String {
     let mut text = MetricsText::default();
     context.outcomes.borrow().append_metrics(&mut text);
--- a/crates/sandtrack-proxy/src/program.rs
+++ b/crates/sandtrack-proxy/src/program.rs
@@ -1,4 +1,4 @@
-//! The proxy's process: command line, settings, listeners, signals, and the tasks that share one thread.
+//! The proxy process: command line, settings, listeners, signals, and tasks, all on one thread.
 mod options;
 mod settings_reload;
 
@@ -24,29 +24,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Clients keep a directory entry for up to three times its lifetime of a second: this process accepts connections for so
-/// long after it began to drain, in ms.
+/// How long the process accepts connections after it started to drain, in ms, limited to [`DRAINING_ACCEPT_SHARE`] of the grace
+/// period. Clients keep a directory entry for up to three times its lifetime of 1 s.
 const DRAINING_ACCEPT_MS: f64 = 3300.0;
-/// ... and this part of its grace period at most.
+/// Largest share of the grace period in which a draining process accepts connections.
 const DRAINING_ACCEPT_SHARE: f64 = 0.5;
-/// A process that starts lets clients wait for a configuration for this long, in ms: clients give up a connection that is
-/// not read from for a second.
+/// How long a starting process waits for a configuration before it accepts connections, in ms. Clients give up a connection that
+/// is not read from for 1 s.
 const READY_TIMEOUT_MS: f64 = 800.0;
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Part of the grace period that is kept in reserve, in ms.
+/// The process exits this long before the end of the grace period, in ms.
 const GRACE_MARGIN_MS: f64 = 400.0;
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Sockets that the process listens on.
 struct Listeners {
-    /// Clients' connections.
+    /// Client connections.
     clients: Option<Async<TcpListener>>,
     /// The platform's readiness check.
     readiness: Option<Async<TcpListener>>,
     metrics: Option<Async<TcpListener>>,
 }
 
-/// The program; returns its exit code: 0 after SIGTERM, 1 when it can't listen, 2 when its settings are wrong.
+/// Runs the program. Exit codes: 0 after SIGTERM, 1 if it can't listen, 2 if its settings are invalid.
 pub fn main() -> ExitCode {
     let options = options().run();
     let path = PathBuf::from(std::env::var_os("SANDTRACK_BOOT").unwrap_or_default());
@@ -70,7 +70,7 @@
     let signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(signals) => signals,
         Err(error) => {
-            log::error!("no signals: {error}");
+            log::error!("installing signal handlers failed: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -85,7 +85,7 @@
     }
 }
 
-/// Serves until the process is told to stop, and drains it.
+/// Serves until the process receives a stop signal, then drains it.
 async fn serve(
     settings: Settings,
     policy: Policy,
@@ -105,7 +105,8 @@
     start_tasks(&context, listeners, accepting_stopped);
     log::info!("proxy started");
     reload_until_stopped(&context, &path, &mut signals).await;
-    // Out of the directory first; clients with an old entry are served on; then open connections end.
+    // First the proxy is removed from the directory, while clients with an old entry are still served; then it waits for open
+    // connections to end.
     let stopped_at = context.clock.now();
     context.balancer.borrow_mut().draining = true;
     context.notify_state_changed();
@@ -133,7 +134,7 @@
     }
 }
 
-/// Binds the address that the settings give this name; `None` where they give none.
+/// Binds the listen address with this name; `None` if the settings have none.
 fn bind(settings: &Settings, name: &str) -> std::io::Result<Option<Async<TcpListener>>> {
     let Some(address) = settings.listen.get(name) else {
         return Ok(None);
@@ -143,12 +144,12 @@
     Async::<TcpListener>::bind(address).map(Some)
 }
 
-/// A process without a metrics endpoint serves all the same.
+/// Binds the metrics address. If that fails, the process serves without a metrics endpoint.
 fn bind_metrics(settings: &Settings) -> Option<Async<TcpListener>> {
     let address = metrics::address(settings, metrics::PROXY_PORT);
     let listener = text_server::listen(&address);
     listener
-        .inspect_err(|error| log::warn!("no figures at {address}: {error}"))
+        .inspect_err(|error| log::warn!("metrics endpoint unavailable at {address}: {error}"))
         .ok()
 }
 
@@ -185,7 +186,7 @@
     executor.spawn(health_checks::run(context.clone())).detach();
 }
 
-/// Clients wait in the listener's backlog until there is a configuration to serve by, or [`READY_TIMEOUT_MS`] have passed.
+/// Waits until there is a configuration, at most [`READY_TIMEOUT_MS`]; clients wait in the listener's backlog meanwhile.
 async fn until_ready(context: &ProxyContext) {
     let deadline = context.clock.now() + READY_TIMEOUT_MS;
     while !context.balancer.borrow().is_ready() && context.clock.now() < deadline {
--- a/crates/sandtrack-proxy/src/program/options.rs
+++ b/crates/sandtrack-proxy/src/program/options.rs
@@ -2,7 +2,7 @@
 use crate::policy::Policy;
 use bpaf::{construct, long, OptionParser, Parser};
 
-/// Options of the program.
+/// Command line options.
 pub(super) struct Options {
     pub(super) check: bool,
     pub(super) log_level: String,
@@ -27,13 +27,13 @@
     .descr("The data plane of sandtrack")
 }
 
-/// The constants of the decisions: in a release build always the default.
+/// The policy constants: always the defaults in a build without the `ablation` feature.
 #[cfg(not(feature = "ablation"))]
 fn policy() -> impl Parser<Policy> {
     bpaf::pure(Policy::default())
 }
 
-/// The constants of the decisions, some of them changed.
+/// The policy constants, with the changes from `--policy`.
 #[cfg(feature = "ablation")]
 fn policy() -> impl Parser<Policy> {
     let policy = long("policy")
--- a/crates/sandtrack-proxy/src/program/settings_reload.rs
+++ b/crates/sandtrack-proxy/src/program/settings_reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the settings at SIGHUP, and where their file has changed without one.
+//! Reloads the settings on SIGHUP and when their file has changed.
 use crate::context::ProxyContext;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
@@ -8,10 +8,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How often it is checked whether the settings file has changed.
+/// How often the settings file is checked for changes.
 const FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reloads the settings until any signal but SIGHUP comes.
+/// Reloads the settings until a signal other than SIGHUP is received.
 pub(super) async fn reload_until_stopped(
     context: &ProxyContext,
     path: &Path,
@@ -33,13 +33,13 @@
     }
 }
 
-/// Reloads the settings; an invalid file changes nothing.
+/// Reloads the settings; with an invalid file, the current ones stay in force.
 fn reload(context: &ProxyContext, path: &Path) {
     match Settings::read(path) {
         Ok(settings) => {
             context.balancer.borrow_mut().apply_settings(&settings);
             *context.settings.borrow_mut() = settings;
-            log::info!("settings read again");
+            log::info!("settings reloaded");
         }
         Err(error) => log::error!("settings are kept as they were: {error}"),
     }
--- a/crates/sandtrack-proxy/src/request.rs
+++ b/crates/sandtrack-proxy/src/request.rs
@@ -1,5 +1,5 @@
-//! A client's request, decoded once its body is complete: which route and service it is for, its deadline, and what its
-//! headers say of the prompt.
+//! A client's request, decoded once its body is complete: its route, service and deadline, and what its headers say about the
+//! prompt.
 use crate::authentication::{authenticate, UnknownKey, AUTHORIZATION};
 use crate::hashing::mix64;
 use crate::home_regions::HomeRegions;
@@ -10,7 +10,7 @@
 use sandtrack_tiers::Millis;
 use std::sync::Arc;
 
-/// Start value of [`ProxyRequest::shared_key`]; the golden ratio as a 64-bit fraction, as in SplitMix64.
+/// Initial value of [`ProxyRequest::shared_key`]: the golden ratio as a 64-bit fraction, as in SplitMix64.
 const SHARED_KEY_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A request that is to be forwarded to an upstream.
@@ -24,13 +24,13 @@
     pub headers: Vec<(String, String)>,
     /// The complete body.
     pub body: Vec<u8>,
-    /// The client's `Request-Id`; empty where it sent none.
+    /// The client's `Request-Id`; empty if it sent none.
     pub id: String,
     /// The route that matched.
     pub route: Route,
-    /// The tenant whose API key it carries.
+    /// The tenant whose API key the request carries.
     pub tenant: Option<Arc<Tenant>>,
-    /// Its priority among those at an upstream, from 0, the most urgent, to 9.
+    /// Priority at the upstream, from 0 (most urgent) to 9.
     pub priority: u32,
     /// Regions that may serve it.
     pub home_regions: HomeRegions,
@@ -38,11 +38,11 @@
     pub service: String,
     /// When its first byte arrived.
     pub arrived_at: Millis,
-    /// When its time is over.
+    /// When it must be answered.
     pub deadline: Millis,
-    /// The model that it asks for; any will do where there is none.
+    /// The requested model; `None` for any.
     pub model: Option<String>,
-    /// What `Token-Counts` says, where it can be read.
+    /// The contents of `Token-Counts`; `None` if missing or malformed.
     pub token_counts: Option<TokenCounts>,
     /// Parts of the prompt in order, as `Prompt-Prefix` lists them.
     pub prompt_parts: Vec<PromptPart>,
@@ -51,9 +51,9 @@
 /// Size of a prompt and of its completion, in tokens (`Token-Counts: PROMPT,MAX`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u64,
-    /// Upper bound of the tokens to be generated.
+    /// Maximum number of tokens to generate.
     pub max_output: u64,
 }
 
@@ -62,7 +62,7 @@
 pub struct PromptPart {
     /// Identifies the content.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
@@ -71,12 +71,12 @@
 pub struct Rejection {
     /// HTTP status of the response.
     pub status: u16,
-    /// The reason, as the response body gives it.
+    /// The error code in the response body.
     pub code: Code,
 }
 
 impl ProxyRequest {
-    /// Whether it is served because of the API key that it carries.
+    /// Whether the request is only served because of its API key.
     pub fn needs_key(&self) -> bool {
         self.tenant.is_some() && !self.route.public
     }
@@ -84,7 +84,7 @@
     /// Decodes a complete request. `draw` is a number from 0 to 1, by which the service is drawn from the route's split.
     ///
     /// # Errors
-    /// 404 where no route matches, 401 where it lacks a key that it needs.
+    /// 404 if no route matches, 401 if the route requires a key and the request has no valid one.
     pub fn decode(
         configuration: &Configuration,
         head: Head,
@@ -138,27 +138,28 @@
         })
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         self.route.is_idempotent()
     }
 
-    /// Whether its response is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Streaming
     }
 
-    /// Time until its deadline, in ms; 0 once that has passed.
+    /// Time until the deadline, in ms; 0 once it has passed.
     pub fn time_left(&self, now: Millis) -> Millis {
         (self.deadline - now).max(0.0)
     }
 
-    /// Tokens of the parts that other requests may share: all but the last part, which is the request's or its session's own.
+    /// Number of tokens in the parts that other requests may share: all but the last one, which is specific to the request or its
+    /// session.
     pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// Key of the shared parts, the same at all proxies.
+    /// Hash key of the shared parts; the same on all proxies.
     pub fn shared_key(&self) -> u64 {
         self.shared_parts()
             .iter()
@@ -172,7 +173,7 @@
     }
 }
 
-/// How long the request with this head may take, in ms, known before its body has arrived; `None` where no route matches.
+/// How long the request with this head may take, in ms, computed before its body is received; `None` if no route matches.
 pub fn time_limit(configuration: &Configuration, head: &Head) -> Option<Millis> {
     matching_route(configuration, head).map(|route| route_time_limit(route, head))
 }
@@ -182,7 +183,7 @@
     configuration.route_of_request(host, &origin_form(&head.target))
 }
 
-/// The client's `Deadline-Remaining`, bounded by the route's time-out, in ms.
+/// The client's `Deadline-Remaining`, limited to the route's timeout, in ms.
 fn route_time_limit(route: &Route, head: &Head) -> Millis {
     let requested = head
         .headers
@@ -195,7 +196,7 @@
         })
 }
 
-/// The service at `draw` (0 to 1) of the cumulated weights.
+/// The service at the fraction `draw` (0 to 1) of the cumulative weights.
 fn draw_service(split: &[(String, f64)], draw: f64) -> &str {
     let mut rest = draw * split.iter().map(|(_, weight)| weight).sum::<f64>();
     for (service, weight) in split {
@@ -204,7 +205,7 @@
         }
         rest -= weight;
     }
-    // Rounding may leave a rest: the last service that has any weight.
+    // Reached through rounding errors: the last service with a positive weight.
     split
         .iter()
         .rev()
--- a/crates/sandtrack-proxy/src/socket_read.rs
+++ b/crates/sandtrack-proxy/src/socket_read.rs
@@ -1,17 +1,17 @@
-//! Reading from a socket into a ring buffer with a small future: a task that waits for bytes holds no buffer of its own,
-//! which counts where thousands of connections are idle.
+//! Reads from a socket into a ring buffer. A task that waits for bytes holds no read buffer of its own, which saves memory with
+//! thousands of idle connections.
 use async_io::Async;
 use sandtrack_net::ring::Ring;
 use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const MAX_READ_BYTES: usize = 8192;
 
-/// Waits for bytes and reads what there is, as much as the buffer has room for; 0: the other side has ended.
+/// Waits for bytes and reads as many as are available and fit into the buffer. Returns their number; 0 at the end of the stream.
 ///
 /// # Errors
-/// The socket's error.
+/// An error of the socket, or `OutOfMemory` if the buffer can't take the bytes.
 pub async fn read_available(stream: &Async<TcpStream>, ring: &mut Ring) -> io::Result<usize> {
     loop {
         match read_now(stream.get_ref(), ring) {
--- a/crates/sandtrack-proxy/src/telemetry/latency_cause.rs
+++ b/crates/sandtrack-proxy/src/telemetry/latency_cause.rs
@@ -1,23 +1,23 @@
-//! Why a response began late: the stage of the request that took longest. Pure.
+//! Why a response started late: the stage of the request that took longest. No I/O.
 use sandtrack_tiers::Millis;
 
-/// What took longest of a request whose response began after its route's latency target.
+/// The stage that took longest for a request whose response started after its route's latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LatencyCause {
-    /// It waited here for an upstream with capacity.
+    /// Waiting in this proxy for an upstream with capacity.
     AwaitingCapacity,
-    /// Earlier attempts failed.
+    /// Earlier attempts that failed.
     FailedAttempts,
-    /// The connection was established late.
+    /// Establishing the connection.
     Connecting,
-    /// It was queued and executed at an upstream of this region.
+    /// Queueing and execution at an upstream in this region.
     Upstream,
-    /// The same at an upstream of another region, with the round trip.
+    /// Queueing and execution at an upstream in another region, including the round trip.
     RemoteUpstream,
 }
 
 impl LatencyCause {
-    /// The name in logs and metrics, which operators' pages fix.
+    /// The name in logs and metrics; the operators' documentation depends on it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -33,17 +33,17 @@
 /// When a request reached each stage, in ms of the process's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestTimeline {
-    /// Its first byte came.
+    /// The request's first byte arrived.
     pub arrived_at: Millis,
-    /// Its first attempt began.
+    /// The first attempt started.
     pub first_attempt_at: Millis,
-    /// The attempt that was answered began.
+    /// The attempt that was answered started.
     pub attempt_at: Millis,
-    /// The write of that attempt's request began.
+    /// The write of the request in that attempt started.
     pub write_started_at: Millis,
-    /// The first part of the response came.
+    /// The first part of the response arrived.
     pub responded_at: Millis,
-    /// The upstream is in another region.
+    /// Whether the upstream is in another region.
     pub in_other_region: bool,
 }
 
--- a/crates/sandtrack-proxy/src/telemetry/log_rate_limit.rs
+++ b/crates/sandtrack-proxy/src/telemetry/log_rate_limit.rs
@@ -1,11 +1,11 @@
-//! Bounds the log lines of a second, so that an overload is not made worse by its log. Pure.
+//! Limits the number of log lines per second, so that logging does not aggravate an overload. No I/O.
 use sandtrack_tiers::Millis;
 
-/// Lines in a second; further ones are counted, and reported with the first line of a later second.
+/// Maximum number of lines per second. Further lines are suppressed and counted; the count is reported with the next line.
 const MAX_LINES_PER_SECOND: u32 = 20;
 const SECOND_MS: Millis = 1000.0;
 
-/// A fixed-window rate limit of log lines.
+/// A fixed-window rate limit for log lines.
 #[derive(Clone, Debug, Default)]
 pub struct LogRateLimit {
     window_started_at: Millis,
@@ -14,7 +14,7 @@
 }
 
 impl LogRateLimit {
-    /// Takes one line; `None` where there is none left in this second, else how many were suppressed before it.
+    /// Takes one line from the limit: `None` if the limit is reached, else how many lines were suppressed before this one.
     pub fn take(&mut self, now: Millis) -> Option<u64> {
         if now - self.window_started_at >= SECOND_MS {
             (self.window_started_at, self.written) = (now, 0);
--- a/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
+++ b/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
@@ -136,7 +136,7 @@
     }
     std::fs::write(&path, good.replace("\"grace_s\":8", "\"grace_s\":9")).unwrap();
     harness.proxy.signal("HUP");
-    harness.proxy.wait_for_log_lines("settings read again", 1);
+    harness.proxy.wait_for_log_lines("settings reloaded", 1);
     in_hand.respond("paid");
     assert_eq!(client.response().text(), "paid");
     let mut checker = harness.readiness_client();
@@ -179,7 +179,7 @@
         settings.replace("\"c\":\"south\"", "\"c\":\"south\",\"d\":\"south\""),
     )
     .unwrap();
-    harness.proxy.wait_for_log_lines("settings read again", 1);
+    harness.proxy.wait_for_log_lines("settings reloaded", 1);
     let mut client = harness.client();
     client.get("/slips/south/a", "r2");
     harness.next_upstream_request().respond("served at home");
--- a/crates/sandtrack-proxy/tests/exchange_states.rs
+++ b/crates/sandtrack-proxy/tests/exchange_states.rs
@@ -2,7 +2,7 @@
 //! and surplus answers, streams cut and taken up, clients that leave, time that runs out. A rule is one function; each holds in
 //! every script. What an upstream did is known here and not to the exchange: whether it has run is judged by the worst case.
 use sandtrack_proxy::exchange::state::{
-    promises_not_executed, Action, AttemptEvent, AttemptId, Exchange, ExchangeParams,
+    indicates_not_executed, Action, AttemptEvent, AttemptId, Exchange, ExchangeParams,
     FinalResponse, HeadSummary, Input, Phase, ResponseOwner, MAX_CONCURRENT_ATTEMPTS,
 };
 use sandtrack_proxy::placement::balancer::SendOutcome;
@@ -177,7 +177,7 @@
         Action::Finish(FinalResponse::Local {
             status, retryable, ..
         }) => {
-            rule(*retryable == promises_not_executed(*status), || {
+            rule(*retryable == indicates_not_executed(*status), || {
                 "when to come back, and no promise".to_owned()
             })?;
             *status
@@ -186,7 +186,7 @@
         Action::Finish(FinalResponse::UpstreamFailure) => head_status(&world.kept_failure),
         _ => return Ok(()),
     };
-    rule(!promises_not_executed(status) || world.runs == 0, || {
+    rule(!indicates_not_executed(status) || world.runs == 0, || {
         format!("{status} for what may have run")
     })
 }
