--- a/crates/sandtrack-proxy/tests/exchange/api_keys.rs
+++ b/crates/sandtrack-proxy/tests/exchange/api_keys.rs
@@ -1,7 +1,7 @@
 //! Tenants and their API keys (incidents inc1, inc2 and inc3: docs/incidents/api-keys.md).
 use crate::harness::{Harness, BOUNDS, LIMITS, ROUTES};
+use crate::http_connection::TEST_TIMEOUT;
 use crate::upstream::UpstreamRequest;
-use crate::wire::PATIENCE;
 use std::time::{Duration, Instant};
 
 /// A route that needs no key.
@@ -30,12 +30,12 @@
 /// A proxy with one upstream and these tenants.
 fn harness(name: &str, tenants: &[&str]) -> Harness {
     let harness = Harness::unconfigured(name);
-    harness.serve_routes(1, &routes(), &limits_and(tenants));
+    harness.make_ready_with(1, &routes(), &limits_and(tenants));
     harness
 }
 
 /// The values that a request's header has at the upstream.
-fn values<'a>(request: &'a UpstreamRequest, name: &str) -> Vec<&'a str> {
+fn header_values<'a>(request: &'a UpstreamRequest, name: &str) -> Vec<&'a str> {
     let prefix = format!("{name}:");
     let lines = request.message.head.lines();
     lines
@@ -94,8 +94,8 @@
             "{}",
             request.message.head
         );
-        assert!(values(&request, "authorization").is_empty());
-        assert_eq!(values(&request, "tenant-name"), [tenant], "{target}");
+        assert!(header_values(&request, "authorization").is_empty());
+        assert_eq!(header_values(&request, "tenant-name"), [tenant], "{target}");
         request.respond("whole");
         assert_eq!(client.response().text(), "whole");
     }
@@ -106,8 +106,8 @@
     {
         client.get_with("/open/a", &format!("o{at}"), &[key, "Tenant-Name: alpha"]);
         let request = harness.next_upstream_request();
-        assert!(values(&request, "authorization").is_empty());
-        assert!(values(&request, "tenant-name").is_empty());
+        assert!(header_values(&request, "authorization").is_empty());
+        assert!(header_values(&request, "tenant-name").is_empty());
         request.respond("open");
         assert_eq!(client.response().text(), "open");
     }
@@ -134,7 +134,7 @@
         &["Authorization: Bearer key-a2", "Tenant-Name: alpha"],
     );
     let request = harness.next_upstream_request();
-    assert_eq!(values(&request, "tenant-name"), ["beta"]);
+    assert_eq!(header_values(&request, "tenant-name"), ["beta"]);
     request.respond("three");
     assert_eq!(client.response().text(), "three");
     harness.finish();
@@ -213,9 +213,9 @@
             &[key, "Prompt-Prefix: 5c1e07a2:80,e4402b7d:25", "Priority: 9"],
         );
         let request = harness.next_upstream_request();
-        let values = values(&request, "priority");
-        assert_eq!(values.len(), 1);
-        let priority: u32 = values[0].parse().expect("a number");
+        let priority_values = header_values(&request, "priority");
+        assert_eq!(priority_values.len(), 1);
+        let priority: u32 = priority_values[0].parse().expect("a number");
         assert!(priority <= 9, "{priority}");
         priorities.push(priority);
         request.respond("whole");
@@ -233,14 +233,14 @@
 fn keys_are_refused_out_of_touch_where_revocation_is_closed() {
     let closed = BOUNDS.replacen('{', r#"{"revocation_closed":true,"revocation_ms":600,"#, 1);
     let harness = Harness::with_bounds("keys_are_refused_out_of_touch", &closed);
-    harness.serve_routes(1, &routes(), &limits_and(&[ALPHA]));
+    harness.make_ready_with(1, &routes(), &limits_and(&[ALPHA]));
     let mut client = harness.client();
     client.get_with("/slips/a", "r0", &[ALPHA_KEY]);
     harness.next_upstream_request().respond("whole");
     assert_eq!(client.response().status(), 200);
     harness.control_node.set_attached(false);
-    let (mut status, began) = (200, Instant::now());
-    while began.elapsed() < PATIENCE {
+    let (mut status, started_at) = (200, Instant::now());
+    while started_at.elapsed() < TEST_TIMEOUT {
         std::thread::sleep(REQUEST_INTERVAL);
         client.get_with("/slips/a", "r1", &[ALPHA_KEY]);
         match harness.upstream_request_within(Duration::from_millis(100)) {
@@ -258,6 +258,6 @@
     harness.next_upstream_request().respond("open");
     assert_eq!(client.response().text(), "open");
     harness.control_node.set_attached(true);
-    harness.wait_until_keys_pass(&mut client, "/slips/a", ALPHA_KEY);
+    harness.wait_until_key_is_accepted(&mut client, "/slips/a", ALPHA_KEY);
     harness.finish();
 }
--- a/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
+++ b/crates/sandtrack-proxy/tests/exchange/at_most_once.rs
@@ -1,6 +1,6 @@
 //! A non-idempotent request is retried only where it was certainly not executed (rule TWICE), and no response promises so
 //! where it may have been executed (rule REFUSED).
-use crate::harness::{printer, request, Harness};
+use crate::harness::{printer_entry, request, Harness};
 use crate::upstream::{seal, UpstreamRequest};
 
 /// Non-idempotent routes with two attempts.
@@ -22,8 +22,11 @@
     for (at, target) in TWO_ATTEMPTS.iter().enumerate() {
         client.post(target, &format!("a{at}"), "body");
         harness.next_upstream_request().reset();
-        let answer = client.response();
-        assert_eq!((answer.status(), answer.header("retry-after")), (502, None));
+        let response = client.response();
+        assert_eq!(
+            (response.status(), response.header("retry-after")),
+            (502, None)
+        );
         client.post(target, &format!("b{at}"), "body");
         harness.next_upstream_request().close();
         assert_eq!(client.response().status(), 502);
@@ -37,7 +40,7 @@
     let harness = Harness::unconfigured("an_upstream_that_resets_at_once_gets_one_attempt");
     harness.send_single_proxy_census();
     let listener = std::net::TcpListener::bind((harness.ip.as_str(), 0)).unwrap();
-    harness.send_upstream_list(vec![printer(
+    harness.send_upstream_list(vec![printer_entry(
         "i-resets",
         listener.local_addr().unwrap().to_string(),
     )]);
@@ -45,12 +48,12 @@
     let mut client = harness.client();
     client.post("/pay/a", "r1", "body");
     // Connections to it come up, and are reset as soon as something was written: probes, and one request.
-    let (done, over) = std::sync::mpsc::channel::<()>();
+    let (stop_resetting, stop) = std::sync::mpsc::channel::<()>();
     let address = listener.local_addr().unwrap();
     let resetting = std::thread::spawn(move || {
         let mut requests = 0;
         for stream in listener.incoming().flatten() {
-            if over.try_recv().is_ok() {
+            if stop.try_recv().is_ok() {
                 return requests;
             }
             let mut first = [0; 4];
@@ -62,7 +65,7 @@
         requests
     });
     assert_eq!(client.response().status(), 502);
-    done.send(()).unwrap();
+    stop_resetting.send(()).unwrap();
     let _ = std::net::TcpStream::connect(address);
     assert_eq!(resetting.join().unwrap(), 1, "it was written once");
     harness.finish();
@@ -74,18 +77,18 @@
     let harness =
         Harness::with_upstreams("a_request_that_was_not_executed_is_retried_elsewhere", 6);
     let mut client = harness.client();
-    let refusals = [
+    let rejections = [
         ("503 Full", "Not-Executed: 1\r\n"),
         ("429 Slow", "Not-Executed: 1\r\nRetry-After: 1\r\n"),
         ("408 Late", "Not-Executed: 1\r\n"),
         ("421 Another", ""),
     ];
-    for (at, (status, more)) in refusals.iter().enumerate() {
+    for (at, (status, headers)) in rejections.iter().enumerate() {
         let id = format!("r{at}");
         client.post("/pay/a", &id, "body");
         let first = harness.next_upstream_request();
         let rejected_by = first.identifier.clone();
-        reject(first, &id, status, more);
+        reject(first, &id, status, headers);
         let second = harness.next_upstream_request();
         assert_ne!(second.identifier, rejected_by, "it goes to another");
         assert_eq!(
@@ -93,8 +96,8 @@
             (id.as_str(), "body")
         );
         second.respond("paid");
-        let answer = client.response();
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "paid"));
+        let response = client.response();
+        assert_eq!((response.status(), response.text().as_str()), (200, "paid"));
     }
     harness.finish();
 }
@@ -125,13 +128,13 @@
         3,
     );
     let mut client = harness.client();
-    for (id, target, tries) in [
+    for (id, target, attempts) in [
         ("r1", "/pay/once/a", 1),
         ("r2", "/pay/a", 2),
         ("r3", "/letters/a", 2),
     ] {
         client.post(target, id, "body");
-        for _ in 0..tries {
+        for _ in 0..attempts {
             reject(
                 harness.next_upstream_request(),
                 id,
@@ -139,14 +142,14 @@
                 "Not-Executed: 1\r\n",
             );
         }
-        let answer = client.response();
-        assert_eq!(answer.status(), 503);
-        let again: f64 = answer
+        let response = client.response();
+        assert_eq!(response.status(), 503);
+        let retry_after: f64 = response
             .header("retry-after")
             .expect("when to come back")
             .parse()
             .unwrap();
-        assert!(again > 0.0 && again < 5.0);
+        assert!(retry_after > 0.0 && retry_after < 5.0);
     }
     harness.finish();
 }
@@ -169,8 +172,8 @@
     let harness = Harness::unconfigured("a_refused_connection_is_retried_elsewhere");
     harness.send_single_proxy_census();
     // Nothing listens there.
-    let address = format!("{}:9", crate::harness::fresh_ip());
-    harness.send_upstream_list(vec![printer("i-dead", address)]);
+    let address = format!("{}:9", crate::harness::unused_ip());
+    harness.send_upstream_list(vec![printer_entry("i-dead", address)]);
     harness.wait_until_applied();
     let mut client = harness.client();
     client.post("/pay/once/a", "r1", "body");
@@ -204,9 +207,9 @@
             &["Deadline-Remaining: 500"],
             "body",
         ));
-        let answer = client.response();
-        assert_eq!(answer.status(), 503);
-        assert!(answer.header("retry-after").is_some());
+        let response = client.response();
+        assert_eq!(response.status(), 503);
+        assert!(response.header("retry-after").is_some());
     }
     harness.finish_with_transcript();
 }
@@ -254,7 +257,7 @@
         "a_non_idempotent_request_waits_for_a_silent_upstream_until_its_deadline",
         3,
     );
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let mut clients = Vec::new();
     for (id, target) in [("r1", "/quick/pay/a"), ("r2", "/quick/letters/a")] {
         let mut client = harness.client();
@@ -269,7 +272,10 @@
     }
     for (mut client, upstream_request) in clients {
         assert_eq!(client.response().status(), 504);
-        assert!(began.elapsed().as_millis() >= 2400, "not before its time");
+        assert!(
+            started_at.elapsed().as_millis() >= 2400,
+            "not before its time"
+        );
         drop(upstream_request);
     }
     harness.finish();
@@ -358,14 +364,14 @@
             let upstream_request = harness.next_upstream_request();
             let seal = format!("Server-Seal: {}\r\nRetry-After: 1\r\n", seal(&id, "x"));
             reject(upstream_request, &id, status, &seal);
-            let answer = client.response();
+            let response = client.response();
             assert_eq!(
-                (answer.status(), answer.header("server-seal")),
+                (response.status(), response.header("server-seal")),
                 (502, None),
                 "{status}"
             );
             assert_eq!(
-                answer.header("retry-after"),
+                response.header("retry-after"),
                 None,
                 "it may have run: no promise"
             );
--- a/crates/sandtrack-proxy/tests/exchange/control_node.rs
+++ b/crates/sandtrack-proxy/tests/exchange/control_node.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the control plane: says what a test has it say, and beats.
-use crate::wire::PATIENCE;
+//! A fake control node: sends the frames that a test passes to it, and heartbeats.
+use crate::http_connection::TEST_TIMEOUT;
 use sandtrack_protocol::frames::{
     decode, encode, ProxyInfo, ProxyState, ToControl, ToProxy, FORMAT, HEARTBEAT_INTERVAL_MS,
 };
@@ -11,171 +11,182 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Port of sessions; the settings name the one before it.
+/// Port of control sessions: the second of the settings' internal port range.
 pub const PORT: u16 = 7721;
 
-/// What a proxy told.
+/// A frame received from a proxy, or the end of its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReceivedFrame {
     Hello(ProxyInfo, ProxyState),
     State(ProxyState),
     WantConfiguration,
-    /// Its session ended.
-    Ended,
+    /// The session ended.
+    SessionEnded,
 }
 
 #[derive(Default)]
-struct Said {
-    /// What each new session is told after the welcome.
-    opening: Vec<ToProxy>,
-    sessions: Vec<TcpStream>,
+struct Sessions {
+    /// Frames sent to each new session after the welcome.
+    initial_frames: Vec<ToProxy>,
+    streams: Vec<TcpStream>,
 }
 
 struct ControlNodeState {
-    said: Mutex<Said>,
+    sessions: Mutex<Sessions>,
     attached: AtomicBool,
-    /// It says nothing any more, though its connections stand.
-    silent: AtomicBool,
+    /// Whether it sends nothing more on its open connections.
+    is_silent: AtomicBool,
     stopped: AtomicBool,
 }
 
 pub struct ControlNode {
     pub address: String,
     shared: Arc<ControlNodeState>,
-    heard: Receiver<ReceivedFrame>,
-    accepting: Option<JoinHandle<()>>,
+    received: Receiver<ReceivedFrame>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
 impl ControlNode {
-    /// One that listens on this address; `None` where another process has it.
+    /// Starts one that listens on this address; `None` if the address is in use.
     pub fn start(ip: &str, attached: bool) -> Option<Self> {
         let address = format!("{ip}:{PORT}");
         let listener = TcpListener::bind(&address).ok()?;
-        let (sender, heard) = channel();
+        let (sender, received) = channel();
         let shared = Arc::new(ControlNodeState {
-            said: Mutex::new(Said::default()),
+            sessions: Mutex::new(Sessions::default()),
             attached: AtomicBool::new(attached),
-            silent: AtomicBool::new(false),
+            is_silent: AtomicBool::new(false),
             stopped: AtomicBool::new(false),
         });
-        let serving = shared.clone();
-        let accepting = std::thread::spawn(move || {
+        let thread_state = shared.clone();
+        let accept_thread = std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if serving.stopped.load(Ordering::SeqCst) {
+                if thread_state.stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let (serving, sender) = (serving.clone(), sender.clone());
-                std::thread::spawn(move || session(&serving, stream, &sender));
+                let (thread_state, sender) = (thread_state.clone(), sender.clone());
+                std::thread::spawn(move || session(&thread_state, stream, &sender));
             }
         });
         Some(ControlNode {
             address,
             shared,
-            heard,
-            accepting: Some(accepting),
+            received,
+            accept_thread: Some(accept_thread),
         })
     }
 
-    /// Tells those that have a session now, and all that open one later.
+    /// Sends a frame to all open sessions, and to later ones after their welcome.
     pub fn send(&self, message: ToProxy) {
-        let mut said = self.shared.said.lock().unwrap();
+        let mut sessions = self.shared.sessions.lock().unwrap();
         let bytes = encode(&message);
-        for mut session in &said.sessions {
+        for mut session in &sessions.streams {
             let _ = session.write_all(&bytes);
         }
-        said.opening.push(message);
+        sessions.initial_frames.push(message);
     }
 
-    /// Whether it hears a majority, as its beats tell from now on.
+    /// Sets whether its heartbeats report that it is connected to a majority.
     pub fn set_attached(&self, attached: bool) {
         self.shared.attached.store(attached, Ordering::SeqCst);
     }
 
-    pub fn fall_silent(&self) {
-        let _said = self.shared.said.lock().unwrap();
-        self.shared.silent.store(true, Ordering::SeqCst);
+    /// Stops sending, and keeps its connections open.
+    pub fn stop_sending(&self) {
+        let _lock = self.shared.sessions.lock().unwrap();
+        self.shared.is_silent.store(true, Ordering::SeqCst);
     }
 
-    /// What came next that `wanted` is looking for; other things are passed over.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&ReceivedFrame) -> bool) -> ReceivedFrame {
-        let until = Instant::now() + PATIENCE;
+    /// Waits for the next frame that satisfies `predicate`; others are skipped.
+    pub fn wait_for(
+        &self,
+        what: &str,
+        predicate: impl Fn(&ReceivedFrame) -> bool,
+    ) -> ReceivedFrame {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            match self.heard.recv_timeout(left) {
-                Ok(heard) if wanted(&heard) => return heard,
+            match self.received.recv_timeout(left) {
+                Ok(received) if predicate(&received) => return received,
                 Ok(_) => {}
-                Err(_) => panic!("the control node never heard: {what}"),
+                Err(_) => panic!("the control node did not receive: {what}"),
             }
         }
     }
 
-    pub fn wait_for_state(&self, what: &str, wanted: impl Fn(&ProxyState) -> bool) -> ProxyState {
-        let heard = self.wait_for(
+    pub fn wait_for_state(
+        &self,
+        what: &str,
+        predicate: impl Fn(&ProxyState) -> bool,
+    ) -> ProxyState {
+        let received = self.wait_for(
             what,
-            |heard| matches!(heard, ReceivedFrame::State(state) if wanted(state)),
+            |received| matches!(received, ReceivedFrame::State(state) if predicate(state)),
         );
-        let ReceivedFrame::State(state) = heard else {
+        let ReceivedFrame::State(state) = received else {
             unreachable!("only states were wanted")
         };
         state
     }
 
     pub fn wait_for_hello(&self) -> (ProxyInfo, ProxyState) {
-        let ReceivedFrame::Hello(info, state) =
-            self.wait_for("a hello", |heard| matches!(heard, ReceivedFrame::Hello(..)))
-        else {
+        let ReceivedFrame::Hello(info, state) = self.wait_for("a hello", |received| {
+            matches!(received, ReceivedFrame::Hello(..))
+        }) else {
             unreachable!("only a hello was wanted")
         };
         (info, state)
     }
 
-    /// What came up to now.
+    /// All frames received until now.
     pub fn received_so_far(&self) -> Vec<ReceivedFrame> {
-        self.heard.try_iter().collect()
+        self.received.try_iter().collect()
     }
 
-    /// Its sessions break, and it listens no longer.
-    pub fn die(&mut self) {
+    /// Closes its sessions and stops listening.
+    pub fn stop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
-        for session in self.shared.said.lock().unwrap().sessions.drain(..) {
+        for session in self.shared.sessions.lock().unwrap().streams.drain(..) {
             let _ = session.shutdown(Shutdown::Both);
         }
-        if let Some(accepting) = self.accepting.take() {
+        if let Some(accept_thread) = self.accept_thread.take() {
             let _ = TcpStream::connect(&self.address);
-            let _ = accepting.join();
+            let _ = accept_thread.join();
         }
     }
 }
 
 impl Drop for ControlNode {
     fn drop(&mut self) {
-        self.die();
+        self.stop();
     }
 }
 
-/// One session: a welcome to its hello, what there is to say, and beats until it ends.
+/// Serves one session: answers the hello with a welcome and the initial frames, and sends heartbeats until it ends.
 fn session(shared: &Arc<ControlNodeState>, mut stream: TcpStream, sender: &Sender<ReceivedFrame>) {
     stream.set_nodelay(true).unwrap();
     let (ended, end) = channel::<()>();
     let mut end = Some(end);
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     let mut bytes = [0; 4096];
     'session: loop {
         let count = match stream.read(&mut bytes) {
             Ok(count) if count > 0 => count,
             _ => break,
         };
-        held.extend_from_slice(&bytes[..count]);
-        while let Some((message, length)) = decode::<ToControl>(&held).expect("frames") {
-            held.drain(..length);
-            let heard = match message {
+        buffer.extend_from_slice(&bytes[..count]);
+        while let Some((message, length)) = decode::<ToControl>(&buffer).expect("frames") {
+            buffer.drain(..length);
+            let received = match message {
                 ToControl::Hello {
                     format,
                     info,
                     state,
                 } => {
                     assert_eq!(format, FORMAT);
-                    if let Some(end) = end.take().filter(|_| !shared.silent.load(Ordering::SeqCst))
+                    if let Some(end) = end
+                        .take()
+                        .filter(|_| !shared.is_silent.load(Ordering::SeqCst))
                     {
                         welcome(shared, &stream, end);
                     }
@@ -185,41 +196,43 @@
                 ToControl::WantConfiguration => ReceivedFrame::WantConfiguration,
                 ToControl::PromptsSent(_) => continue,
             };
-            if sender.send(heard).is_err() {
+            if sender.send(received).is_err() {
                 break 'session;
             }
         }
     }
     drop(ended);
-    let _ = sender.send(ReceivedFrame::Ended);
+    let _ = sender.send(ReceivedFrame::SessionEnded);
 }
 
 fn welcome(shared: &Arc<ControlNodeState>, stream: &TcpStream, end: Receiver<()>) {
     let attached = shared.attached.load(Ordering::SeqCst);
-    let mut said = shared.said.lock().unwrap();
-    let first = ToProxy::Welcome {
+    let mut sessions = shared.sessions.lock().unwrap();
+    let welcome_frame = ToProxy::Welcome {
         format: FORMAT,
         control_node: "a stand-in".to_owned(),
         attached,
     };
     let mut stream = stream.try_clone().unwrap();
-    let _ = stream.write_all(&encode(&first));
-    for message in &said.opening {
+    let _ = stream.write_all(&encode(&welcome_frame));
+    for message in &sessions.initial_frames {
         let _ = stream.write_all(&encode(message));
     }
-    said.sessions.push(stream.try_clone().unwrap());
+    sessions.streams.push(stream.try_clone().unwrap());
     let shared = shared.clone();
     std::thread::spawn(move || loop {
         let over = std::sync::mpsc::RecvTimeoutError::Disconnected;
         if end.recv_timeout(Duration::from_millis(HEARTBEAT_INTERVAL_MS)) == Err(over) {
             return;
         }
-        // Beats and what a test tells do not mix within a frame.
-        let _said = shared.said.lock().unwrap();
-        let beat = ToProxy::Heartbeat {
+        // The lock keeps heartbeats out of the middle of frames that a test sends.
+        let _lock = shared.sessions.lock().unwrap();
+        let heartbeat = ToProxy::Heartbeat {
             attached: shared.attached.load(Ordering::SeqCst),
         };
-        if !shared.silent.load(Ordering::SeqCst) && stream.write_all(&encode(&beat)).is_err() {
+        if !shared.is_silent.load(Ordering::SeqCst)
+            && stream.write_all(&encode(&heartbeat)).is_err()
+        {
             return;
         }
     });
--- a/crates/sandtrack-proxy/tests/exchange/control_sessions.rs
+++ b/crates/sandtrack-proxy/tests/exchange/control_sessions.rs
@@ -1,12 +1,12 @@
 //! The session with control: which control node it is with, and what that is told.
 use crate::control_node::{ControlNode, ReceivedFrame};
-use crate::harness::{control_node, fresh_ip, settings, Harness, BOUNDS, ROUTES};
+use crate::harness::{control_node, settings, unused_ip, Harness, BOUNDS, ROUTES};
 use crate::proxy_process::ProxyProcess;
 use sandtrack_protocol::frames::ProxyState;
 
 /// A proxy on a machine without a control node, whose seeds are these.
 fn proxy(name: &str, seeds: &[&str]) -> (String, ProxyProcess) {
-    let ip = fresh_ip();
+    let ip = unused_ip();
     let proxy = ProxyProcess::start(name, Some(&settings(&ip, false, seeds, BOUNDS)));
     (ip, proxy)
 }
@@ -19,7 +19,7 @@
         .control_node
         .wait_for_state("a first state", |_| true);
     assert_eq!(state, ProxyState::default());
-    harness.serve(1);
+    harness.make_ready(1);
     let state = harness
         .control_node
         .wait_for_state("ready", |state| state.ready);
@@ -80,7 +80,7 @@
 fn a_dead_control_node_is_replaced_by_the_next() {
     assert_lost_control_node_is_replaced(
         "a_dead_control_node_is_replaced_by_the_next",
-        ControlNode::die,
+        ControlNode::stop,
     );
 }
 
@@ -90,7 +90,7 @@
     assert_lost_control_node_is_replaced(
         "a_silent_control_node_is_replaced_by_the_next",
         |control_node| {
-            control_node.fall_silent();
+            control_node.stop_sending();
         },
     );
 }
@@ -101,7 +101,7 @@
     let (ip, proxy) = proxy(name, &[&first_ip, &next_ip]);
     let mut harness = Harness::of(name, &ip, proxy, first);
     let (info, _) = harness.control_node.wait_for_hello();
-    harness.serve(1);
+    harness.make_ready(1);
     harness
         .control_node
         .wait_for_state("ready", |state| state.ready);
@@ -126,32 +126,37 @@
 /// One that hears no majority is passed over where another does.
 #[test]
 fn a_detached_control_node_is_skipped() {
-    let (alone_ip, alone) = control_node(false);
-    let (better_ip, better) = control_node(true);
+    let (detached_ip, detached) = control_node(false);
+    let (attached_ip, attached) = control_node(true);
     let (_, _proxy) = proxy(
         "a_detached_control_node_is_skipped",
-        &[&alone_ip, &better_ip],
+        &[&detached_ip, &attached_ip],
     );
-    alone.wait_for_hello();
-    alone.wait_for("the end of its session", |heard| {
-        *heard == ReceivedFrame::Ended
+    detached.wait_for_hello();
+    detached.wait_for("the end of its session", |frame| {
+        *frame == ReceivedFrame::SessionEnded
     });
-    better.wait_for_hello();
+    attached.wait_for_hello();
     for _ in 0..8 {
-        better.wait_for_state("a beat", |_| true);
+        attached.wait_for_state("a beat", |_| true);
     }
-    let ended = better.received_so_far().contains(&ReceivedFrame::Ended);
-    assert!(!ended, "it stays with the one that hears a majority");
+    let session_ended = attached
+        .received_so_far()
+        .contains(&ReceivedFrame::SessionEnded);
+    assert!(
+        !session_ended,
+        "it stays with the one that hears a majority"
+    );
 }
 
 /// Where there is no other, it is taken all the same, and what it tells is served by.
 #[test]
 fn a_detached_control_node_is_accepted_where_there_is_no_other() {
-    let (alone_ip, alone) = control_node(false);
+    let (detached_ip, detached) = control_node(false);
     let name = "a_detached_control_node_is_accepted_where_there_is_no_other";
-    let (ip, proxy) = proxy(name, &[&alone_ip]);
-    let harness = Harness::of(name, &ip, proxy, alone);
-    harness.serve(1);
+    let (ip, proxy) = proxy(name, &[&detached_ip]);
+    let harness = Harness::of(name, &ip, proxy, detached);
+    harness.make_ready(1);
     harness
         .control_node
         .wait_for_state("ready", |state| state.ready);
@@ -181,14 +186,14 @@
 /// With one that hears no majority, it looks for one that does.
 #[test]
 fn a_detached_control_node_is_left_once_another_is_there() {
-    let (alone_ip, alone) = control_node(false);
+    let (detached_ip, detached) = control_node(false);
     let (other_ip, other) = control_node(false);
     let (_, _proxy) = proxy(
         "a_detached_control_node_is_left_once_another_is_there",
-        &[&alone_ip, &other_ip],
+        &[&detached_ip, &other_ip],
     );
-    alone.wait_for_hello();
-    alone.wait_for_state("a beat", |_| true);
+    detached.wait_for_hello();
+    detached.wait_for_state("a beat", |_| true);
     other.set_attached(true);
     other.wait_for_hello();
     // Past what it would stay with one that does not.
@@ -196,7 +201,9 @@
         other.wait_for_state("a beat", |_| true);
     }
     assert!(
-        !other.received_so_far().contains(&ReceivedFrame::Ended),
+        !other
+            .received_so_far()
+            .contains(&ReceivedFrame::SessionEnded),
         "it stays there"
     );
 }
@@ -205,12 +212,12 @@
 #[test]
 fn control_nodes_that_control_named_are_tried() {
     let (first_ip, first) = control_node(true);
-    let (_, named) = control_node(true);
+    let (_, listed) = control_node(true);
     let name = "control_nodes_that_control_named_are_tried";
     let (ip, proxy) = proxy(name, &[&first_ip]);
     let mut harness = Harness::of(name, &ip, proxy, first);
     harness.control_node.wait_for_hello();
-    let control_nodes = vec![harness.control_node.address.clone(), named.address.clone()];
+    let control_nodes = vec![harness.control_node.address.clone(), listed.address.clone()];
     harness
         .control_node
         .send(sandtrack_protocol::frames::ToProxy::Census {
@@ -219,27 +226,27 @@
             rank: 0,
         });
     harness.configure(ROUTES);
-    harness.control_node.die();
-    named.wait_for_hello();
+    harness.control_node.stop();
+    listed.wait_for_hello();
 }
 
 /// Where no other hears a majority, its session stands while the others are asked: it is not opened anew each time.
 #[test]
 fn a_detached_control_node_is_kept_while_others_are_asked() {
-    let (alone_ip, alone) = control_node(false);
+    let (detached_ip, detached) = control_node(false);
     let (other_ip, other) = control_node(false);
     let name = "a_detached_control_node_is_kept_while_others_are_asked";
-    let (_, _proxy) = proxy(name, &[&alone_ip, &other_ip]);
-    alone.wait_for_hello();
+    let (_, _proxy) = proxy(name, &[&detached_ip, &other_ip]);
+    detached.wait_for_hello();
     for _ in 0..2 {
         other.wait_for_hello();
-        other.wait_for("the end of what was only asked", |heard| {
-            *heard == ReceivedFrame::Ended
+        other.wait_for("the end of what was only asked", |frame| {
+            *frame == ReceivedFrame::SessionEnded
         });
     }
-    let heard = alone.received_so_far();
+    let frames = detached.received_so_far();
     assert!(
-        !heard.contains(&ReceivedFrame::Ended),
-        "it stays with the one that it had: {heard:?}"
+        !frames.contains(&ReceivedFrame::SessionEnded),
+        "it stays with the one that it had: {frames:?}"
     );
 }
--- a/crates/sandtrack-proxy/tests/exchange/deadlines.rs
+++ b/crates/sandtrack-proxy/tests/exchange/deadlines.rs
@@ -1,27 +1,27 @@
 //! No request is held a quarter of a second past its route's `timeout_ms`, whoever is silent; one that was not executed by
 //! then is told when to retry.
-use crate::harness::{printer, request, Harness, LIMITS};
+use crate::harness::{printer_entry, request, Harness, LIMITS};
 use crate::upstream::UpstreamRequest;
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::Instant;
 
 /// The time of all routes here, and what may be held beyond it, in ms.
-const TIMEOUT: u128 = 1500;
-const HELD_BEYOND: u128 = 250;
+const ROUTE_TIMEOUT_MS: u128 = 1500;
+const DEADLINE_TOLERANCE_MS: u128 = 250;
 
-/// A proxy whose routes hold a request for [`TIMEOUT`] at most; each client would wait for 20 s.
-fn short_routes(name: &str, upstreams: usize) -> Harness {
+/// A proxy whose routes hold a request for [`ROUTE_TIMEOUT_MS`] at most; each client would wait for 20 s.
+fn harness_with_short_timeouts(name: &str, upstreams: usize) -> Harness {
     let harness = Harness::unconfigured(name);
-    harness.serve_routes(upstreams, &routes(), LIMITS);
+    harness.make_ready_with(upstreams, &routes(), LIMITS);
     harness
 }
 
 fn routes() -> String {
-    let route = |name: &str, kind: &str, more: &str| {
+    let route = |name: &str, kind: &str, extra_fields: &str| {
         format!(
-            r#"{{"name":"{name}","host":"post.example","path_prefix":"/{name}/","kind":"{kind}","timeout_ms":{TIMEOUT},
-"target_latency_ms":60000,"priority":1,"service":"printer","attempts":2{more}}}"#
+            r#"{{"name":"{name}","host":"post.example","path_prefix":"/{name}/","kind":"{kind}","timeout_ms":{ROUTE_TIMEOUT_MS},
+"target_latency_ms":60000,"priority":1,"service":"printer","attempts":2{extra_fields}}}"#
         )
     };
     let routes = [
@@ -41,37 +41,40 @@
     routes.join(",")
 }
 
-fn assert_held(began: Instant, what: &str) {
-    let held = began.elapsed().as_millis();
+fn assert_answered_in_time(started_at: Instant, what: &str) {
+    let elapsed = started_at.elapsed().as_millis();
     assert!(
-        held <= TIMEOUT + HELD_BEYOND,
-        "{what} was held for {held} ms"
+        elapsed <= ROUTE_TIMEOUT_MS + DEADLINE_TOLERANCE_MS,
+        "{what} was held for {elapsed} ms"
     );
 }
 
-fn assert_let_go(began: Instant, over: Instant) {
-    let held = (over - began).as_millis();
+fn assert_upstream_released_in_time(started_at: Instant, released_at: Instant) {
+    let elapsed = (released_at - started_at).as_millis();
     assert!(
-        held <= TIMEOUT + HELD_BEYOND,
-        "its upstream was held for {held} ms"
+        elapsed <= ROUTE_TIMEOUT_MS + DEADLINE_TOLERANCE_MS,
+        "its upstream was held for {elapsed} ms"
     );
 }
 
 /// A client that keeps its body back: what has not run is told to come back, and nothing was passed on.
 #[test]
 fn a_withheld_body_times_out_at_the_deadline() {
-    let harness = short_routes("a_withheld_body_times_out_at_the_deadline", 1);
+    let harness = harness_with_short_timeouts("a_withheld_body_times_out_at_the_deadline", 1);
     for (id, target) in [("r1", "/pay/a"), ("r2", "/read/a"), ("r3", "/tags/a")] {
         let mut client = harness.client();
-        let began = Instant::now();
+        let started_at = Instant::now();
         client.send(&request("POST", target, id, &[], "").replace(": 0\r\n", ": 10\r\n"));
-        let answer = client.response();
-        assert_held(began, target);
+        let response = client.response();
+        assert_answered_in_time(started_at, target);
         assert_eq!(
-            (answer.status(), answer.header("request-id")),
+            (response.status(), response.header("request-id")),
             (408, Some(id))
         );
-        assert!(answer.header("retry-after").is_some(), "when to come back");
+        assert!(
+            response.header("retry-after").is_some(),
+            "when to come back"
+        );
         client.expect_closed();
     }
     harness.finish_with_transcript();
@@ -80,11 +83,11 @@
 /// A silent upstream, before its head and behind it, for each kind of request.
 #[test]
 fn a_silent_upstream_times_out_at_the_deadline() {
-    let harness = short_routes("a_silent_upstream_times_out_at_the_deadline", 1);
+    let harness = harness_with_short_timeouts("a_silent_upstream_times_out_at_the_deadline", 1);
     for target in ["/pay/a", "/read/a", "/letters/a", "/tags/a"] {
         for with_head in [false, true] {
             let mut client = harness.client();
-            let began = Instant::now();
+            let started_at = Instant::now();
             let id = format!("{}{with_head}", &target[1..4]);
             client.post(target, &id, "body");
             let mut upstream_request = harness.next_upstream_request();
@@ -93,9 +96,9 @@
                     "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\n"
                 ));
             }
-            let answer = client.response();
-            assert_held(began, target);
-            assert_eq!(answer.status(), 504, "{target}");
+            let response = client.response();
+            assert_answered_in_time(started_at, target);
+            assert_eq!(response.status(), 504, "{target}");
             upstream_request.expect_closed();
         }
     }
@@ -105,14 +108,14 @@
 /// A stream that began is cut at its time.
 #[test]
 fn a_stream_is_aborted_at_the_deadline() {
-    let harness = short_routes("a_stream_is_aborted_at_the_deadline", 1);
+    let harness = harness_with_short_timeouts("a_stream_is_aborted_at_the_deadline", 1);
     for target in ["/letters/a", "/tags/a"] {
         let mut client = harness.client();
-        let began = Instant::now();
+        let started_at = Instant::now();
         client.post(target, &format!("r{}", &target[1..4]), "prompt");
         let upstream_request = harness.started_stream(&mut client);
         client.expect_stream_aborted();
-        assert_held(began, target);
+        assert_answered_in_time(started_at, target);
         upstream_request.expect_closed();
     }
     harness.finish_with_transcript();
@@ -136,33 +139,33 @@
 /// An answer that never stops: there is always more to read, and the time counts all the same.
 #[test]
 fn an_endless_stream_is_aborted_at_the_deadline() {
-    let harness = short_routes("an_endless_stream_is_aborted_at_the_deadline", 1);
+    let harness = harness_with_short_timeouts("an_endless_stream_is_aborted_at_the_deadline", 1);
     let mut client = harness.client();
-    let began = Instant::now();
+    let started_at = Instant::now();
     client.post("/letters/a", "r1", "prompt");
     let mut upstream_request = harness.next_upstream_request();
     upstream_request.start_stream();
     let flood = flood(upstream_request);
     client.stream_head();
-    client.drain_until_cut();
+    client.drain_until_truncated();
     // What is left in the client's own buffers by then is not held by the proxy.
-    assert_let_go(began, flood.join().unwrap());
+    assert_upstream_released_in_time(started_at, flood.join().unwrap());
     harness.finish();
 }
 
 /// A client that takes nothing: its upstream is let go at the time, and not seconds later.
 #[test]
 fn a_client_that_does_not_read_frees_its_upstream_at_the_deadline() {
-    let harness = short_routes(
+    let harness = harness_with_short_timeouts(
         "a_client_that_does_not_read_frees_its_upstream_at_the_deadline",
         1,
     );
     let mut client = harness.client();
-    let began = Instant::now();
+    let started_at = Instant::now();
     client.post("/letters/a", "r1", "prompt");
     let mut upstream_request = harness.next_upstream_request();
     upstream_request.start_stream();
-    assert_let_go(began, flood(upstream_request).join().unwrap());
+    assert_upstream_released_in_time(started_at, flood(upstream_request).join().unwrap());
     client.disconnect();
     harness.finish();
 }
@@ -170,12 +173,12 @@
 /// A request that came while the one before it on its connection was carried: its time counts from then.
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_first_byte() {
-    let harness = short_routes(
+    let harness = harness_with_short_timeouts(
         "the_deadline_of_a_pipelined_request_counts_from_its_first_byte",
         1,
     );
     let mut client = harness.client();
-    let began = Instant::now();
+    let started_at = Instant::now();
     client.send(
         &[
             request("POST", "/pay/a", "r1", &[], "one"),
@@ -185,13 +188,13 @@
     );
     let upstream_request = harness.next_upstream_request();
     assert_eq!(client.response().status(), 504);
-    let answer = client.response();
-    assert_held(began, "the second request");
+    let response = client.response();
+    assert_answered_in_time(started_at, "the second request");
     assert_eq!(
-        (answer.status(), answer.header("request-id")),
+        (response.status(), response.header("request-id")),
         (503, Some("r2"))
     );
-    assert!(answer.header("retry-after").is_some(), "it has not run");
+    assert!(response.header("retry-after").is_some(), "it has not run");
     upstream_request.expect_closed();
     harness.finish();
 }
@@ -203,7 +206,7 @@
     harness.send_single_proxy_census();
     // Connections come up, and nothing is read from them.
     let listener = std::net::TcpListener::bind((harness.ip.as_str(), 0)).unwrap();
-    harness.send_upstream_list(vec![printer(
+    harness.send_upstream_list(vec![printer_entry(
         "i-deaf",
         listener.local_addr().unwrap().to_string(),
     )]);
@@ -212,11 +215,11 @@
     let body = "x".repeat(1_900_000);
     for (id, target) in [("r1", "/pay/a"), ("r2", "/letters/a")] {
         let mut client = harness.client();
-        let began = Instant::now();
+        let started_at = Instant::now();
         client.send_bytes(id, request("POST", target, id, &[], &body).as_bytes());
-        let answer = client.response();
-        assert_held(began, target);
-        assert_eq!(answer.status(), 504, "{target}");
+        let response = client.response();
+        assert_answered_in_time(started_at, target);
+        assert_eq!(response.status(), 504, "{target}");
     }
     drop(listener);
     harness.finish();
@@ -225,18 +228,18 @@
 /// No upstream at all: refused long before the time, with when to come back.
 #[test]
 fn without_an_upstream_a_request_is_rejected_within_its_deadline() {
-    let harness = short_routes(
+    let harness = harness_with_short_timeouts(
         "without_an_upstream_a_request_is_rejected_within_its_deadline",
         0,
     );
     for target in ["/pay/a", "/read/a", "/letters/a", "/tags/a"] {
         let mut client = harness.client();
-        let began = Instant::now();
+        let started_at = Instant::now();
         client.post(target, "r1", "body");
-        let answer = client.response();
-        assert_held(began, target);
-        assert_eq!(answer.status(), 503, "{target}");
-        assert!(answer.header("retry-after").is_some(), "{target}");
+        let response = client.response();
+        assert_answered_in_time(started_at, target);
+        assert_eq!(response.status(), 503, "{target}");
+        assert!(response.header("retry-after").is_some(), "{target}");
     }
     harness.finish();
 }
--- a/crates/sandtrack-proxy/tests/exchange/forwarding.rs
+++ b/crates/sandtrack-proxy/tests/exchange/forwarding.rs
@@ -28,34 +28,38 @@
         upstream_request.message.header("expected-instance"),
         Some(upstream_request.identifier.as_str())
     );
-    let left: f64 = upstream_request
+    let remaining: f64 = upstream_request
         .message
         .header("deadline-remaining")
         .unwrap()
         .parse()
         .unwrap();
-    assert!(left > 0.0 && left <= 20_000.0, "{left}");
-    for own in [
+    assert!(remaining > 0.0 && remaining <= 20_000.0, "{remaining}");
+    for hop_by_hop in [
         "connection",
         "x-hop",
         "keep-alive",
         "te",
         "transfer-encoding",
     ] {
-        assert_eq!(upstream_request.message.header(own), None, "{own}");
+        assert_eq!(
+            upstream_request.message.header(hop_by_hop),
+            None,
+            "{hop_by_hop}"
+        );
     }
     upstream_request.send(
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: 3e1b.07\r\nConnection: keep-alive, X-Mine\r\nX-Mine: 1\r\n\
          Keep-Alive: timeout=9\r\nX-Passed: on\r\nContent-Length: 9\r\n\r\nthe bytes",
     );
     upstream_request.keep_open();
-    let answer = client.response();
+    let response = client.response();
     assert_eq!(
-        (answer.status(), answer.text().as_str()),
+        (response.status(), response.text().as_str()),
         (200, "the bytes")
     );
-    assert_eq!(answer.header("server-seal"), Some("3e1b.07"));
-    assert_eq!(answer.header("x-mine"), None);
+    assert_eq!(response.header("server-seal"), Some("3e1b.07"));
+    assert_eq!(response.header("x-mine"), None);
     // The same connection goes on.
     client.get("/slips/2", "r2");
     harness.next_upstream_request().respond("two");
@@ -105,8 +109,8 @@
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 1500000\r\n\r\n";
     upstream_request.send_bytes("(1500000 bytes)", &[head.as_bytes(), &body].concat());
     upstream_request.keep_open();
-    let answer = client.response();
-    assert!(answer.body == body, "the body is the upstream's");
+    let response = client.response();
+    assert!(response.body == body, "the body is the upstream's");
     harness.finish_with_transcript();
 }
 
@@ -119,8 +123,8 @@
         &request("POST", "/pay/a", "r1", &["Expect: 100-continue"], "")
             .replace(": 0\r\n", ": 4\r\n"),
     );
-    let told = client.any_response().expect("it is told to go on");
-    assert_eq!(told.status(), 100);
+    let interim = client.any_response().expect("it is told to go on");
+    assert_eq!(interim.status(), 100);
     client.send("body");
     let upstream_request = harness.next_upstream_request();
     assert_eq!(
@@ -179,13 +183,13 @@
             seal(id, "x")
         ));
         upstream_request.keep_open();
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            Some(answer.status().to_string().as_str()),
+            Some(response.status().to_string().as_str()),
             status.split(' ').next()
         );
         assert_eq!(
-            (answer.text().as_str(), answer.header("server-seal")),
+            (response.text().as_str(), response.header("server-seal")),
             ("why", Some(seal(id, "x").as_str()))
         );
     }
@@ -220,22 +224,22 @@
 #[test]
 fn the_proxy_is_ready_once_it_has_a_configuration() {
     let harness = Harness::unconfigured("the_proxy_is_ready_once_it_has_a_configuration");
-    let (mut checker, mut client) = (harness.readiness_client(), harness.client());
+    let (mut readiness_client, mut client) = (harness.readiness_client(), harness.client());
     let check = "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n";
-    checker.send(check);
-    assert_eq!(checker.response().status(), 503);
+    readiness_client.send(check);
+    assert_eq!(readiness_client.response().status(), 503);
     client.post("/pay/a", "r1", "body");
-    let refused = client.response();
-    assert_eq!(refused.status(), 503);
-    let again: f64 = refused
+    let rejected = client.response();
+    assert_eq!(rejected.status(), 503);
+    let retry_after: f64 = rejected
         .header("retry-after")
         .expect("when to come back")
         .parse()
         .unwrap();
-    assert!(again > 0.0 && again < 5.0);
-    harness.serve(1);
-    checker.send(check);
-    assert_eq!(checker.response().status(), 200);
+    assert!(retry_after > 0.0 && retry_after < 5.0);
+    harness.make_ready(1);
+    readiness_client.send(check);
+    assert_eq!(readiness_client.response().status(), 200);
     client.post("/pay/a", "r2", "body");
     harness.next_upstream_request().respond("paid");
     assert_eq!(client.response().text(), "paid");
@@ -246,18 +250,18 @@
 #[test]
 fn the_proxy_is_not_ready_without_an_upstream_list() {
     let harness = Harness::unconfigured("the_proxy_is_not_ready_without_an_upstream_list");
-    let mut checker = harness.readiness_client();
+    let mut readiness_client = harness.readiness_client();
     let check = "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n";
     harness.configure(ROUTES);
-    checker.send(check);
-    assert_eq!(checker.response().status(), 503);
+    readiness_client.send(check);
+    assert_eq!(readiness_client.response().status(), 503);
     let entry = harness.add_upstream("printer", "a");
     harness.send_upstream_list(vec![entry]);
     harness
         .control_node
         .wait_for_state("ready", |state| state.ready);
-    checker.send(check);
-    assert_eq!(checker.response().status(), 200);
+    readiness_client.send(check);
+    assert_eq!(readiness_client.response().status(), 200);
     harness.finish_with_transcript();
 }
 
@@ -268,9 +272,9 @@
     let long = format!("X-Long: {}", "x".repeat(2100));
     let mut client = harness.client();
     client.get_with("/slips/a", "r1", &[&long]);
-    let refused = client.response();
+    let rejected = client.response();
     assert_eq!(
-        (refused.status(), refused.header("connection")),
+        (rejected.status(), rejected.header("connection")),
         (431, Some("close"))
     );
     client.expect_closed();
@@ -313,7 +317,7 @@
     let inner = "GET /slips/smuggled HTTP/1.1\r\nHost: post.example\r\nRequest-Id: evil\r\n\r\n";
     let start = "POST /pay/a HTTP/1.1\r\nHost: post.example\r\nRequest-Id: r1\r\n";
     let length = inner.len();
-    for wrong in [
+    for ambiguous in [
         format!(
             "{start}Content-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{inner}",
             length + 5
@@ -330,7 +334,7 @@
         format!("{start}X-A: b\nContent-Length: 0\r\n\r\n{inner}"),
     ] {
         let mut client = harness.client();
-        client.send(&wrong);
+        client.send(&ambiguous);
         assert_eq!(client.response().status(), 400);
         client.expect_closed();
     }
@@ -342,11 +346,11 @@
 fn pipelined_requests_are_answered_in_order() {
     let harness = Harness::with_upstreams("pipelined_requests_are_answered_in_order", 3);
     let mut client = harness.client();
-    let three: Vec<String> = ["r1", "r2", "r3"]
+    let requests: Vec<String> = ["r1", "r2", "r3"]
         .iter()
         .map(|id| request("POST", "/pay/a", id, &[], id))
         .collect();
-    client.send(&three.concat());
+    client.send(&requests.concat());
     for id in ["r1", "r2", "r3"] {
         let upstream_request = harness.next_upstream_request();
         assert_eq!(
@@ -364,9 +368,9 @@
         }
         harness.assert_no_upstream_request();
         upstream_request.respond(&format!("to {id}"));
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            (answer.header("request-id"), answer.text()),
+            (response.header("request-id"), response.text()),
             (Some(id), format!("to {id}"))
         );
     }
--- a/crates/sandtrack-proxy/tests/exchange/harness.rs
+++ b/crates/sandtrack-proxy/tests/exchange/harness.rs
@@ -1,9 +1,9 @@
-//! The test harness: one proxy with stand-ins for its clients, upstreams and control node, on addresses of its own.
+//! The test harness: a proxy process with fake clients, upstreams and a fake control node, on loopback addresses of its own.
 use crate::control_node::{ControlNode, PORT};
+use crate::http_connection::{Chunk, HttpConnection, Message, TEST_TIMEOUT};
 use crate::proxy_process::ProxyProcess;
 use crate::transcript::Transcript;
 use crate::upstream::{ReceivedRequest, Upstream, UpstreamRequest};
-use crate::wire::{Chunk, Message, Wire, PATIENCE};
 use sandtrack_protocol::frames::{ToProxy, UpstreamEntry};
 use sandtrack_protocol::metrics::{PATH, PROXY_PORT};
 use std::cell::{Cell, RefCell};
@@ -14,9 +14,9 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant};
 
-/// Times are long: a busy machine must not look like a slow upstream, and nothing is raced by another upstream before the
-/// test has had its say. Where a short time is meant, a request says so with `Deadline-Remaining`; the routes that begin with
-/// `/quick/` want their answers soon, so that silence is found out.
+/// Timeouts and latency targets are long, so that on a busy machine no upstream counts as slow and no request is hedged
+/// unintentionally. Tests of deadlines use `Deadline-Remaining`; tests of hedging use the routes under `/quick/`, which have a
+/// short latency target.
 pub const ROUTES: &str = r#"
 {"name":"slips","host":"post.example","path_prefix":"/slips/","kind":"read_only","timeout_ms":60000,"target_latency_ms":60000,
 "priority":2,"service":"printer","attempts":2},
@@ -55,7 +55,7 @@
 pub const LIMITS: &str = r#"{"header_size_bytes":2048,
 "body_size_bytes":2000000,"header_timeout_ms":30000,"idle_timeout_ms":60000}"#;
 
-/// The operator's document.
+/// A configuration document.
 pub fn document(version: u64, routes: &str) -> String {
     document_with_limits(version, routes, LIMITS)
 }
@@ -66,11 +66,11 @@
     )
 }
 
-/// An address of the loopback network that no other test has.
-pub fn fresh_ip() -> String {
+/// A loopback address that no other test uses.
+pub fn unused_ip() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    assert!(next < 250, "too many addresses");
+    assert!(next < 250, "too many addresses in one process");
     format!(
         "127.{}.{}.{next}",
         20 + process / 250 % 200,
@@ -78,17 +78,17 @@
     )
 }
 
-/// A stand-in control node on an address of its own.
+/// Starts a fake control node on an unused address.
 pub fn control_node(attached: bool) -> (String, ControlNode) {
     loop {
-        let ip = fresh_ip();
+        let ip = unused_ip();
         if let Some(control_node) = ControlNode::start(&ip, attached) {
             return (ip, control_node);
         }
     }
 }
 
-/// A settings file. `counted`: a control node runs on its machine.
+/// A settings file. `counted`: whether a control node runs on the proxy's machine.
 pub fn settings(ip: &str, counted: bool, seeds: &[&str], bounds: &str) -> String {
     let seeds: Vec<String> = seeds
         .iter()
@@ -106,8 +106,8 @@
     )
 }
 
-/// An upstream of the proxy's zone that is no stand-in, as the list would show it.
-pub fn printer(identifier: &str, address: String) -> UpstreamEntry {
+/// The list entry of an upstream in the proxy's zone that is not a fake [`Upstream`].
+pub fn printer_entry(identifier: &str, address: String) -> UpstreamEntry {
     UpstreamEntry {
         identifier: identifier.to_owned(),
         service: "printer".to_owned(),
@@ -118,7 +118,7 @@
     }
 }
 
-/// One proxy and its surroundings.
+/// A proxy with its fake peers.
 pub struct Harness {
     name: String,
     pub ip: String,
@@ -134,7 +134,7 @@
 }
 
 impl Harness {
-    /// A proxy whose control session is established, and that has no configuration yet.
+    /// A proxy with an established control session and without a configuration.
     pub fn unconfigured(name: &str) -> Harness {
         Harness::with_bounds(name, BOUNDS)
     }
@@ -145,9 +145,9 @@
 
     /// The same, with a memory limit in MB.
     pub fn with_memory(name: &str, memory_mb: u32) -> Harness {
-        let own = format!("\"memory_mb\":{memory_mb}");
+        let limit = format!("\"memory_mb\":{memory_mb}");
         Harness::with_settings(name, |ip| {
-            settings(ip, true, &[], BOUNDS).replace("\"memory_mb\":260", &own)
+            settings(ip, true, &[], BOUNDS).replace("\"memory_mb\":260", &limit)
         })
     }
 
@@ -176,20 +176,20 @@
         }
     }
 
-    /// A proxy that is ready, alone, with so many upstreams of the one service in its zone.
+    /// A ready proxy, the only one, with this many upstreams of the service `printer` in its zone.
     pub fn with_upstreams(name: &str, upstreams: usize) -> Harness {
         let harness = Harness::unconfigured(name);
-        harness.serve(upstreams);
+        harness.make_ready(upstreams);
         harness
     }
 
-    /// Gives the proxy what it needs to serve, with so many upstreams of the one service in its zone.
-    pub fn serve(&self, upstreams: usize) {
-        self.serve_routes(upstreams, ROUTES, LIMITS);
+    /// Sends the proxy all it needs to become ready, with this many upstreams of the service `printer` in its zone.
+    pub fn make_ready(&self, upstreams: usize) {
+        self.make_ready_with(upstreams, ROUTES, LIMITS);
     }
 
     /// The same, with these routes and limits.
-    pub fn serve_routes(&self, upstreams: usize, routes: &str, limits: &str) {
+    pub fn make_ready_with(&self, upstreams: usize, routes: &str, limits: &str) {
         self.send_single_proxy_census();
         let entries = (0..upstreams)
             .map(|_| self.add_upstream("printer", "a"))
@@ -198,7 +198,7 @@
         self.configure_limits(routes, limits);
     }
 
-    /// Tells the proxy that it is the only one.
+    /// Sends a census that lists this proxy only.
     pub fn send_single_proxy_census(&self) {
         let control_nodes = vec![self.control_node.address.clone()];
         self.control_node.send(ToProxy::Census {
@@ -208,7 +208,7 @@
         });
     }
 
-    /// A new stand-in, as the list would show it.
+    /// Starts a fake upstream; returns its list entry.
     pub fn add_upstream(&self, service: &str, zone: &str) -> UpstreamEntry {
         let identifier = format!(
             "i-{}-{}",
@@ -221,7 +221,7 @@
         entry
     }
 
-    /// Tells which upstreams there are, all of them.
+    /// Sends the complete list of upstreams.
     pub fn send_upstream_list(&self, entries: Vec<UpstreamEntry>) {
         self.poll.set(self.poll.get() + 1);
         let poll = self.poll.get();
@@ -233,20 +233,20 @@
         });
     }
 
-    /// Tells what changed in the list.
-    pub fn send_upstream_changes(&self, entries: Vec<UpstreamEntry>, gone: &[&str]) {
+    /// Sends changes of the list of upstreams.
+    pub fn send_upstream_changes(&self, entries: Vec<UpstreamEntry>, removed: &[&str]) {
         self.poll.set(self.poll.get() + 1);
-        let gone = gone.iter().map(|name| (*name).to_owned()).collect();
+        let removed = removed.iter().map(|name| (*name).to_owned()).collect();
         self.control_node.send(ToProxy::Upstreams {
             is_complete: false,
             poll: self.poll.get(),
             entries,
-            removed: gone,
+            removed,
         });
     }
 
-    /// Tells a whole configuration, with the next number and version, and waits until the proxy serves by it; all that
-    /// was told before is in force then as well.
+    /// Sends a complete configuration with the next number and version, and waits until it is in force; all frames sent before
+    /// are applied then as well.
     pub fn configure(&self, routes: &str) -> u64 {
         self.configure_limits(routes, LIMITS)
     }
@@ -265,7 +265,7 @@
         number
     }
 
-    /// Waits until what was told before is in force.
+    /// Waits until all frames sent before are applied.
     pub fn wait_until_applied(&self) {
         self.configure(ROUTES);
     }
@@ -277,8 +277,8 @@
             });
     }
 
-    pub fn note(&self, text: &str) {
-        self.transcript.note(text, "");
+    pub fn record(&self, text: &str) {
+        self.transcript.record(text, "");
     }
 
     pub fn client(&self) -> Client {
@@ -290,7 +290,7 @@
         )
     }
 
-    /// A client of the platform's check.
+    /// A client of the readiness endpoint.
     pub fn readiness_client(&self) -> Client {
         Client::connect(
             &format!("{}:8167", self.ip),
@@ -303,19 +303,19 @@
     pub fn next_upstream_request(&self) -> UpstreamRequest {
         let received = self
             .received_requests
-            .recv_timeout(PATIENCE)
-            .expect("no upstream was asked");
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("no upstream received a request");
         UpstreamRequest::new(received, self.transcript.clone())
     }
 
-    /// The next request at any upstream, if it comes within this time.
+    /// The next request at any upstream, if one arrives within this time.
     pub fn upstream_request_within(&self, time: Duration) -> Option<UpstreamRequest> {
         let received = self.received_requests.recv_timeout(time).ok()?;
         Some(UpstreamRequest::new(received, self.transcript.clone()))
     }
 
-    /// Asks with this key until the request is passed on, and answers it.
-    pub fn wait_until_keys_pass(&self, client: &mut Client, target: &str, key: &str) {
+    /// Repeats a request with this key until it is forwarded, and answers it.
+    pub fn wait_until_key_is_accepted(&self, client: &mut Client, target: &str, key: &str) {
         let began = Instant::now();
         loop {
             client.get_with(target, "again", &[key]);
@@ -325,11 +325,14 @@
                 return;
             }
             assert_eq!(client.response().status(), 503);
-            assert!(began.elapsed() < PATIENCE, "the key never passes again");
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "the key is never accepted again"
+            );
         }
     }
 
-    /// The next request at any upstream is answered by a stream, of which the client gets the head and the first event.
+    /// Answers the next request at any upstream with a stream, of which the client receives the head and the first event.
     pub fn started_stream(&self, client: &mut Client) -> UpstreamRequest {
         let mut upstream_request = self.next_upstream_request();
         upstream_request.start_stream();
@@ -339,67 +342,77 @@
         upstream_request
     }
 
-    /// Asks for the proxy's figures until this one has that value.
+    /// Polls the proxy's metrics until this one has the value.
     pub fn wait_for_metric(&self, name: &str, value: u64) {
         let (line, began) = (format!("{name} {value}\n"), Instant::now());
         loop {
-            let figures = self.figures();
-            if figures.contains(&line) {
+            let metrics = self.fetch_metrics();
+            if metrics.contains(&line) {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "never {line}{figures}");
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "never {line}last metrics: {metrics}"
+            );
         }
     }
 
-    /// The answer of the proxy to a call for its metrics.
-    pub fn figures(&self) -> String {
-        let mut stream =
-            TcpStream::connect((self.ip.as_str(), PROXY_PORT)).expect("it serves its figures");
+    /// The proxy's response to a request for its metrics.
+    pub fn fetch_metrics(&self) -> String {
+        let mut stream = TcpStream::connect((self.ip.as_str(), PROXY_PORT))
+            .expect("the metrics endpoint listens");
         stream
-            .set_read_timeout(Some(PATIENCE))
-            .expect("a time limit");
-        let call = format!("GET {PATH} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        stream.write_all(call.as_bytes()).expect("written");
-        let mut figures = String::new();
-        stream.read_to_string(&mut figures).expect("figures");
-        figures
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a read timeout");
+        let request = format!("GET {PATH} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        stream.write_all(request.as_bytes()).expect("written");
+        let mut metrics = String::new();
+        stream.read_to_string(&mut metrics).expect("a response");
+        metrics
     }
 
-    /// Nothing has come up to now.
+    /// Asserts that no request has reached an upstream that the test did not take.
     pub fn assert_no_upstream_request(&self) {
         if let Ok(received) = self.received_requests.try_recv() {
             let upstream_request = UpstreamRequest::new(received, self.transcript.clone());
-            panic!("an upstream was asked:\n{}", upstream_request.message.head);
+            panic!(
+                "unexpected request at an upstream:\n{}",
+                upstream_request.message.head
+            );
         }
     }
 
-    /// Ends the proxy and all stand-ins. No request came that the test did not take, and what was said is approved.
+    /// Ends the proxy and all fake upstreams. Asserts that no request is left that the test did not take, and that the transcript
+    /// equals the approved one.
     pub fn finish_with_transcript(mut self) {
-        self.finish_quietly().approve(&self.name);
+        self.shut_down().assert_approved(&self.name);
     }
 
-    /// The same, where what is said has no fixed order.
+    /// Like [`Harness::finish_with_transcript`], without a transcript: for tests whose messages have no fixed order.
     pub fn finish(mut self) {
-        self.finish_quietly();
+        self.shut_down();
     }
 
-    fn finish_quietly(&mut self) -> Rc<Transcript> {
+    fn shut_down(&mut self) -> Rc<Transcript> {
         self.proxy.kill();
         let upstreams: Vec<Upstream> = self.upstreams.borrow_mut().drain(..).collect();
         for upstream in upstreams {
             upstream.finish();
         }
-        let more: Vec<String> = self
+        let unexpected: Vec<String> = self
             .received_requests
             .try_iter()
             .map(|received| received.message.head.clone())
             .collect();
-        assert!(more.is_empty(), "upstreams were asked once more: {more:#?}");
+        assert!(
+            unexpected.is_empty(),
+            "unexpected requests at upstreams: {unexpected:#?}"
+        );
         self.transcript.clone()
     }
 }
 
-/// A request with its host, its id and 20 s to be answered in.
+/// A request with a host, an id and, unless given, 20 s until its deadline.
 pub fn request(method: &str, target: &str, id: &str, headers: &[&str], body: &str) -> String {
     let mut text =
         format!("{method} {target} HTTP/1.1\r\nHost: post.example\r\nRequest-Id: {id}\r\n");
@@ -422,37 +435,40 @@
 }
 
 pub struct Client {
-    wire: Wire,
+    connection: HttpConnection,
     name: String,
     transcript: Rc<Transcript>,
-    /// Of a stream: what came of its body and is no whole event yet.
-    begun: Vec<u8>,
-    /// Of a stream: how it ended.
-    pub ended: Option<Chunk>,
+    /// Received part of an incomplete event.
+    partial_event: Vec<u8>,
+    /// How the stream ended; `None` until then.
+    pub stream_end: Option<Chunk>,
 }
 
 impl Client {
     fn connect(address: &str, name: String, transcript: Rc<Transcript>) -> Client {
-        let wire = Wire::new(TcpStream::connect(address).expect("the proxy listens"));
-        wire.patience(Some(PATIENCE));
+        let connection =
+            HttpConnection::new(TcpStream::connect(address).expect("the proxy listens"));
+        connection.set_read_timeout(Some(TEST_TIMEOUT));
         Client {
-            wire,
+            connection,
             name,
             transcript,
-            begun: Vec::new(),
-            ended: None,
+            partial_event: Vec::new(),
+            stream_end: None,
         }
     }
 
     pub fn send(&mut self, text: &str) {
-        self.transcript.note(&format!("{} says", self.name), text);
-        self.wire.send(text.as_bytes());
+        self.transcript
+            .record(&format!("{} sends", self.name), text);
+        self.connection.send(text.as_bytes());
     }
 
-    /// Sends what is too long for a transcript.
+    /// Sends bytes that are too long for a transcript, which gets `what` instead.
     pub fn send_bytes(&mut self, what: &str, bytes: &[u8]) {
-        self.transcript.note(&format!("{} says", self.name), what);
-        self.wire.send(bytes);
+        self.transcript
+            .record(&format!("{} sends", self.name), what);
+        self.connection.send(bytes);
     }
 
     pub fn get(&mut self, target: &str, id: &str) {
@@ -471,83 +487,97 @@
         self.send(&request("POST", target, id, headers, body));
     }
 
-    /// The next answer, whole.
+    /// The next response, which must be complete.
     pub fn response(&mut self) -> Message {
-        let answer = self
+        let response = self
             .any_response()
-            .expect("the connection ended without an answer");
-        assert!(answer.whole, "the answer is cut:\n{}", answer.head);
-        answer
+            .expect("the connection ended without a response");
+        assert!(
+            response.complete,
+            "the response is truncated:\n{}",
+            response.head
+        );
+        response
     }
 
-    /// The next answer, however it ends.
+    /// The next response, complete or not; `None` if the connection ends without one.
     pub fn any_response(&mut self) -> Option<Message> {
-        let answer = self.wire.message();
-        match &answer {
+        let response = self.connection.read_message();
+        match &response {
             None => self
                 .transcript
-                .note(&format!("{} gets no answer", self.name), ""),
-            Some(answer) => {
-                let cut = if answer.whole { "" } else { ", cut" };
-                let body = if answer.body.len() > 300 {
-                    format!("({} bytes)", answer.body.len())
+                .record(&format!("{} receives no response", self.name), ""),
+            Some(response) => {
+                let truncated = if response.complete { "" } else { ", truncated" };
+                let body = if response.body.len() > 300 {
+                    format!("({} bytes)", response.body.len())
                 } else {
-                    answer.text()
+                    response.text()
                 };
                 let body = if body.is_empty() {
                     body
                 } else {
                     format!("\n\n{body}")
                 };
-                self.transcript.note(
-                    &format!("{} gets{cut}", self.name),
-                    &format!("{}{body}", answer.head),
+                self.transcript.record(
+                    &format!("{} receives a response{truncated}", self.name),
+                    &format!("{}{body}", response.head),
                 );
             }
         }
-        answer
+        response
     }
 
-    /// The head of a stream.
+    /// Reads the head of a stream.
     pub fn stream_head(&mut self) -> String {
         let head = self
-            .wire
-            .head()
-            .expect("the connection ended without an answer");
-        self.transcript
-            .note(&format!("{} gets the head of a stream", self.name), &head);
+            .connection
+            .read_head()
+            .expect("the connection ended without a response");
+        self.transcript.record(
+            &format!("{} receives the head of a stream", self.name),
+            &head,
+        );
         head
     }
 
-    /// The next event of a stream; `None` once it ended, and `ended` tells how.
+    /// The next event of a stream; `None` once it has ended, with `stream_end` set.
     pub fn next_event(&mut self) -> Option<String> {
         loop {
-            if let Some(at) = self.begun.windows(2).position(|bytes| bytes == b"\n\n") {
-                let event: Vec<u8> = self.begun.drain(..at + 2).collect();
+            if let Some(at) = self
+                .partial_event
+                .windows(2)
+                .position(|bytes| bytes == b"\n\n")
+            {
+                let event: Vec<u8> = self.partial_event.drain(..at + 2).collect();
                 let event = String::from_utf8_lossy(&event).trim_end().to_owned();
                 self.transcript
-                    .note(&format!("{} gets an event", self.name), &event);
+                    .record(&format!("{} receives an event", self.name), &event);
                 return Some(event);
             }
-            match self.wire.read_chunk() {
-                Chunk::Data(data) => self.begun.extend(data),
+            match self.connection.read_chunk() {
+                Chunk::Data(data) => self.partial_event.extend(data),
                 end => {
                     assert_eq!(
-                        String::from_utf8_lossy(&self.begun),
+                        String::from_utf8_lossy(&self.partial_event),
                         "",
-                        "no event is passed on in part"
+                        "no partial event is relayed"
                     );
-                    let how = if end == Chunk::Last { "whole" } else { "cut" };
+                    let how = if end == Chunk::Last {
+                        "complete"
+                    } else {
+                        "truncated"
+                    };
                     self.transcript
-                        .note(&format!("{} sees its stream end, {how}", self.name), "");
-                    self.ended = Some(end);
+                        .record(&format!("{}: the stream ended, {how}", self.name), "");
+                    self.stream_end = Some(end);
                     return None;
                 }
             }
         }
     }
 
-    /// The next event has this id and data.
+    /// Asserts the id and data of the next event.
     pub fn expect_event(&mut self, id: u64, data: &str) {
         assert_eq!(
             self.next_event().as_deref(),
@@ -555,55 +585,56 @@
         );
     }
 
-    /// Takes pieces of a stream that are too many for a transcript, until it is cut.
-    pub fn drain_until_cut(&mut self) {
+    /// Reads and discards a stream until it is truncated.
+    pub fn drain_until_truncated(&mut self) {
         loop {
-            match self.wire.read_chunk() {
+            match self.connection.read_chunk() {
                 Chunk::Data(_) => {}
-                Chunk::Cut => return,
-                Chunk::Last => panic!("it looks complete"),
+                Chunk::Truncated => return,
+                Chunk::Last => panic!("the stream looks complete"),
             }
         }
     }
 
     pub fn expect_stream_complete(&mut self) {
         assert_eq!(self.next_event(), None, "no more events");
-        assert_eq!(self.ended, Some(Chunk::Last));
+        assert_eq!(self.stream_end, Some(Chunk::Last));
     }
 
     pub fn expect_stream_aborted(&mut self) {
         assert_eq!(self.next_event(), None, "no more events");
-        assert_eq!(self.ended, Some(Chunk::Cut));
+        assert_eq!(self.stream_end, Some(Chunk::Truncated));
     }
 
-    /// Waits until the proxy has closed the connection; nothing more came.
+    /// Waits until the proxy has closed the connection, without sending anything more.
     pub fn expect_closed(mut self) {
         assert_eq!(
-            String::from_utf8_lossy(&self.wire.rest()),
+            String::from_utf8_lossy(&self.connection.read_to_end()),
             "",
-            "nothing more comes"
+            "no further bytes"
         );
         self.transcript
-            .note(&format!("{} sees its connection closed", self.name), "");
+            .record(&format!("{}: its connection was closed", self.name), "");
     }
 
-    /// The connection is neither closed nor spoken on for that long.
+    /// Asserts that the connection stays open and receives nothing for this time.
     pub fn expect_idle_for(&mut self, time: Duration) {
-        self.wire.patience(Some(time));
+        self.connection.set_read_timeout(Some(time));
         let mut byte = [0];
         let read = self
-            .wire
+            .connection
             .stream
             .peek(&mut byte)
             .map_err(|error| error.kind());
         assert!(
             matches!(read, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)),
-            "it rests: {read:?}"
+            "the connection is not idle: {read:?}"
         );
-        self.wire.patience(Some(PATIENCE));
+        self.connection.set_read_timeout(Some(TEST_TIMEOUT));
     }
 
     pub fn disconnect(self) {
-        self.transcript.note(&format!("{} leaves", self.name), "");
+        self.transcript
+            .record(&format!("{} disconnects", self.name), "");
     }
 }
--- a/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
+++ b/crates/sandtrack-proxy/tests/exchange/lifecycle.rs
@@ -1,5 +1,5 @@
 //! Signals, and settings that are wrong. LOST: around planned work nobody loses a request.
-use crate::harness::{fresh_ip, settings, Harness, BOUNDS};
+use crate::harness::{settings, unused_ip, Harness, BOUNDS};
 use crate::proxy_process::ProxyProcess;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -9,38 +9,38 @@
 #[test]
 fn open_requests_are_finished_while_draining() {
     let mut harness = Harness::with_upstreams("open_requests_are_finished_while_draining", 1);
-    let (mut held, mut idle, mut checker) = (
+    let (mut busy_client, mut idle_client, mut readiness_client) = (
         harness.client(),
         harness.client(),
         harness.readiness_client(),
     );
-    held.post("/pay/a", "r1", "body");
-    let in_hand = harness.next_upstream_request();
-    idle.get("/slips/a", "r2");
+    busy_client.post("/pay/a", "r1", "body");
+    let open_request = harness.next_upstream_request();
+    idle_client.get("/slips/a", "r2");
     harness.next_upstream_request().respond("before");
-    assert_eq!(idle.response().header("connection"), None);
+    assert_eq!(idle_client.response().header("connection"), None);
     harness.proxy.signal("TERM");
-    harness.note("SIGTERM");
+    harness.record("SIGTERM");
     let state = harness
         .control_node
         .wait_for_state("leaving", |state| state.draining);
     assert!(!state.ready);
-    checker.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(checker.response().status(), 503);
+    readiness_client.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(readiness_client.response().status(), 503);
     // On a connection that stood idle, and on a new one.
-    for (mut client, id) in [(idle, "r3"), (harness.client(), "r4")] {
+    for (mut client, id) in [(idle_client, "r3"), (harness.client(), "r4")] {
         client.post("/pay/a", id, "body");
         harness.next_upstream_request().respond("while leaving");
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            (answer.text().as_str(), answer.header("connection")),
+            (response.text().as_str(), response.header("connection")),
             ("while leaving", Some("close"))
         );
         client.expect_closed();
     }
-    in_hand.respond("paid");
-    assert_eq!(held.response().text(), "paid");
-    held.expect_closed();
+    open_request.respond("paid");
+    assert_eq!(busy_client.response().text(), "paid");
+    busy_client.expect_closed();
     harness.proxy.assert_exits_within(8.0);
     harness.finish_with_transcript();
 }
@@ -53,7 +53,7 @@
     client.post("/letters/a", "r1", "body");
     let mut upstream_request = harness.started_stream(&mut client);
     harness.proxy.signal("TERM");
-    let told = Instant::now();
+    let draining_since = Instant::now();
     harness
         .control_node
         .wait_for_state("leaving", |state| state.draining);
@@ -61,7 +61,7 @@
     let mut id = 2;
     while TcpStream::connect(format!("{}:8161", harness.ip)).is_ok() {
         assert!(
-            told.elapsed() < Duration::from_secs(20),
+            draining_since.elapsed() < Duration::from_secs(20),
             "it accepts without end"
         );
         harness.control_node.wait_for_state("a beat", |_| true);
@@ -85,10 +85,10 @@
         "an_endless_stream_does_not_outlast_the_grace_period",
         &bounds,
     );
-    harness.serve(1);
+    harness.make_ready(1);
     let mut client = harness.client();
     client.post("/letters/a", "r1", "body");
-    let _asked = harness.started_stream(&mut client);
+    let _upstream_request = harness.started_stream(&mut client);
     harness.proxy.signal("TERM");
     harness.proxy.assert_exits_within(5.0);
     client.expect_stream_aborted();
@@ -100,7 +100,7 @@
 fn a_short_grace_period_is_kept() {
     let bounds = BOUNDS.replace("\"grace_s\":8", "\"grace_s\":3");
     let mut harness = Harness::with_bounds("a_short_grace_period_is_kept", &bounds);
-    harness.serve(1);
+    harness.make_ready(1);
     harness.proxy.signal("TERM");
     harness.proxy.assert_exits_within(3.0);
     harness.finish_with_transcript();
@@ -124,30 +124,30 @@
     let harness = Harness::with_upstreams("settings_are_reloaded_while_serving", 1);
     let mut client = harness.client();
     let path = harness.proxy.settings.clone();
-    let good = std::fs::read_to_string(&path).unwrap();
+    let valid = std::fs::read_to_string(&path).unwrap();
     client.post("/pay/a", "r1", "body");
-    let in_hand = harness.next_upstream_request();
-    for (at, faulty) in ["", "{\"node_name\":", "{}", "[]"].iter().enumerate() {
-        std::fs::write(&path, faulty).unwrap();
+    let open_request = harness.next_upstream_request();
+    for (at, invalid) in ["", "{\"node_name\":", "{}", "[]"].iter().enumerate() {
+        std::fs::write(&path, invalid).unwrap();
         harness.proxy.signal("HUP");
         harness
             .proxy
             .wait_for_log_lines("settings are kept as they were: E10", at + 1);
     }
-    std::fs::write(&path, good.replace("\"grace_s\":8", "\"grace_s\":9")).unwrap();
+    std::fs::write(&path, valid.replace("\"grace_s\":8", "\"grace_s\":9")).unwrap();
     harness.proxy.signal("HUP");
     harness.proxy.wait_for_log_lines("settings reloaded", 1);
-    in_hand.respond("paid");
+    open_request.respond("paid");
     assert_eq!(client.response().text(), "paid");
-    let mut checker = harness.readiness_client();
-    checker.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(checker.response().status(), 200);
+    let mut readiness_client = harness.readiness_client();
+    readiness_client.send("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(readiness_client.response().status(), 200);
     for mut client in [client, harness.client()] {
         client.get("/slips/a", "r2");
         harness.next_upstream_request().respond("on");
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            (answer.text().as_str(), answer.header("connection")),
+            (response.text().as_str(), response.header("connection")),
             ("on", None)
         );
     }
@@ -190,21 +190,21 @@
 /// Settings that are wrong: exit code 2, and the code of what is wrong in the log.
 #[test]
 fn invalid_settings_end_the_process_with_their_code() {
-    let good = settings("127.0.0.1", false, &[], BOUNDS);
+    let valid = settings("127.0.0.1", false, &[], BOUNDS);
     for (name, settings, code) in [
         ("no-file", None, "E101"),
         ("no-json", Some("{\"node_name\":".to_owned()), "E101"),
         (
             "no-zone",
-            Some(good.replace("\"zone\":", "\"zoe\":")),
+            Some(valid.replace("\"zone\":", "\"zoe\":")),
             "E102",
         ),
         (
             "no-ports",
-            Some(good.replace("internal_port_range", "ports")),
+            Some(valid.replace("internal_port_range", "ports")),
             "E102",
         ),
-        ("bad-ports", Some(good.replace("7735]", "\"x\"]")), "E102"),
+        ("bad-ports", Some(valid.replace("7735]", "\"x\"]")), "E102"),
     ] {
         let mut proxy = ProxyProcess::start(&format!("wrong-{name}"), settings.as_deref());
         assert_eq!(
@@ -212,10 +212,10 @@
             Some(2),
             "{name}"
         );
-        let logged = proxy.logged();
+        let log_text = proxy.log_text();
         assert!(
-            logged.contains(code) && logged.contains("\"level\":\"ERROR\""),
-            "{name}: {logged}"
+            log_text.contains(code) && log_text.contains("\"level\":\"ERROR\""),
+            "{name}: {log_text}"
         );
     }
 }
@@ -223,12 +223,12 @@
 /// An address that can't be listened on: exit code 1, and its code.
 #[test]
 fn an_address_in_use_ends_the_process_with_its_code() {
-    let ip = fresh_ip();
+    let ip = unused_ip();
     let _taken = std::net::TcpListener::bind(format!("{ip}:8161")).unwrap();
-    let good = settings(&ip, false, &[], BOUNDS);
-    let no_address = good.replace(":8167", ":readiness");
+    let valid = settings(&ip, false, &[], BOUNDS);
+    let no_address = valid.replace(":8167", ":readiness");
     for (name, settings) in [
-        ("taken", good),
+        ("taken", valid),
         ("no-address", no_address.replace(":8161", ":8162")),
     ] {
         let mut proxy = ProxyProcess::start(&format!("listen-{name}"), Some(&settings));
@@ -238,9 +238,9 @@
             "{name}"
         );
         assert!(
-            proxy.logged().contains("E103"),
+            proxy.log_text().contains("E103"),
             "{name}: {}",
-            proxy.logged()
+            proxy.log_text()
         );
     }
 }
--- a/crates/sandtrack-proxy/tests/exchange/limits.rs
+++ b/crates/sandtrack-proxy/tests/exchange/limits.rs
@@ -2,7 +2,7 @@
 use crate::harness::{request, Harness, ROUTES};
 use std::time::Duration;
 
-const SHORT_REST_MS: u64 = 2000;
+const SHORT_IDLE_TIMEOUT_MS: u64 = 2000;
 
 fn limits(header_size_bytes: usize, idle_timeout_ms: u64) -> String {
     format!(
@@ -25,14 +25,14 @@
 fn an_idle_connection_is_kept_when_the_idle_timeout_grows() {
     let harness = with_limits(
         "an_idle_connection_is_kept_when_the_idle_timeout_grows",
-        &limits(2048, SHORT_REST_MS),
+        &limits(2048, SHORT_IDLE_TIMEOUT_MS),
     );
     let mut client = harness.client();
     client.get("/slips/a", "r1");
     harness.next_upstream_request().respond("first");
     client.response();
     harness.configure_limits(ROUTES, &limits(2048, 60_000));
-    client.expect_idle_for(Duration::from_millis(SHORT_REST_MS + 500));
+    client.expect_idle_for(Duration::from_millis(SHORT_IDLE_TIMEOUT_MS + 500));
     client.get("/slips/b", "r2");
     harness.next_upstream_request().respond("second");
     assert_eq!(client.response().text(), "second");
@@ -66,15 +66,15 @@
 /// "No limit", as an operator may write it: no clock tells such a time, and no process may end by it.
 #[test]
 fn a_timeout_beyond_the_clocks_range_is_a_long_one() {
-    let endless = r#"{"header_size_bytes":2048,"body_size_bytes":2000000,"header_timeout_ms":1e300,"idle_timeout_ms":1e300}"#;
-    let harness = with_limits("a_timeout_beyond_the_clocks_range_is_a_long_one", endless);
+    let unlimited = r#"{"header_size_bytes":2048,"body_size_bytes":2000000,"header_timeout_ms":1e300,"idle_timeout_ms":1e300}"#;
+    let harness = with_limits("a_timeout_beyond_the_clocks_range_is_a_long_one", unlimited);
     let mut client = harness.client();
     client.get("/slips/a", "r1");
     harness.next_upstream_request().respond("first");
     assert_eq!(client.response().text(), "first");
     let routes = ROUTES.replace("\"timeout_ms\":60000", "\"timeout_ms\":1e300");
     assert_ne!(routes, ROUTES, "the routes have such a time");
-    harness.configure_limits(&routes, endless);
+    harness.configure_limits(&routes, unlimited);
     client.get("/slips/b", "r2");
     harness.next_upstream_request().respond("second");
     assert_eq!(client.response().text(), "second");
--- a/crates/sandtrack-proxy/tests/exchange/main.rs
+++ b/crates/sandtrack-proxy/tests/exchange/main.rs
@@ -1,6 +1,6 @@
-//! Whole exchanges: the built proxy between a scripted client, scripted upstreams and a scripted control node, on loopback
-//! addresses. Tests wait on sockets and never on the clock. What was said is held against approved transcripts
-//! (tests/transcripts): with `APPROVE_TRANSCRIPTS=1` they are written anew, to be read before they are committed.
+//! End-to-end tests of exchanges: the built proxy with scripted clients, upstreams and control nodes on loopback addresses.
+//! Tests wait for sockets instead of sleeping. The recorded messages are compared with approved transcripts
+//! (tests/transcripts); with `APPROVE_TRANSCRIPTS=1` they are rewritten, to be reviewed before they are committed.
 mod api_keys;
 mod at_most_once;
 mod control_node;
@@ -8,6 +8,7 @@
 mod deadlines;
 mod forwarding;
 mod harness;
+mod http_connection;
 mod lifecycle;
 mod limits;
 mod memory_budget;
@@ -18,4 +19,3 @@
 mod transcript;
 mod upstream;
 mod upstream_selection;
-mod wire;
--- a/crates/sandtrack-proxy/tests/exchange/memory_budget.rs
+++ b/crates/sandtrack-proxy/tests/exchange/memory_budget.rs
@@ -5,12 +5,12 @@
 
 const MEMORY_MB: u32 = 64;
 const LIMITS: &str = r#"{"header_size_bytes":2048,"body_size_bytes":4194304,"header_timeout_ms":30000,"idle_timeout_ms":60000}"#;
-const LONG: usize = 4 << 20;
-const LONGEST_ANSWER: usize = 8 << 20;
+const LARGE_BODY_BYTES: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-fn serving(name: &str, upstreams: usize) -> Harness {
+fn ready_harness(name: &str, upstreams: usize) -> Harness {
     let harness = Harness::with_memory(name, MEMORY_MB);
-    harness.serve_routes(upstreams, ROUTES, LIMITS);
+    harness.make_ready_with(upstreams, ROUTES, LIMITS);
     harness
 }
 
@@ -20,7 +20,7 @@
 }
 
 /// What is short is served while long bodies are in hand, some of which are forwarded; these.
-fn forwarded_while_short_is_served(harness: &Harness) -> Vec<UpstreamRequest> {
+fn serve_short_request_while_large_ones_are_in_flight(harness: &Harness) -> Vec<UpstreamRequest> {
     let mut short = harness.client();
     short.post("/pay/b", "short", "one");
     let mut forwarded = Vec::new();
@@ -42,14 +42,14 @@
 #[test]
 fn concurrent_large_bodies_stay_within_the_memory_budget_and_the_rest_is_rejected() {
     const CLIENTS: usize = 32;
-    let harness = serving("long_bodies_at_once", 10);
-    let body = "x".repeat(LONG);
+    let harness = ready_harness("long_bodies_at_once", 10);
+    let body = "x".repeat(LARGE_BODY_BYTES);
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| harness.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let bytes = request("POST", "/pay/a", &format!("r{number}"), &[], &body);
         client.send_bytes("a long body", bytes.as_bytes());
     }
-    let forwarded = forwarded_while_short_is_served(&harness);
+    let forwarded = serve_short_request_while_large_ones_are_in_flight(&harness);
     let forwarded: Vec<String> = forwarded
         .into_iter()
         .map(|upstream_request| {
@@ -59,13 +59,13 @@
         })
         .collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        let answer = client.response();
+        let response = client.response();
         if forwarded.contains(&format!("r{number}")) {
-            assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
+            assert_eq!((response.status(), response.text().as_str()), (200, "done"));
         } else {
-            assert_eq!(answer.status(), 503, "it is not forwarded");
+            assert_eq!(response.status(), 503, "it is not forwarded");
             assert!(
-                answer.header("retry-after").is_some(),
+                response.header("retry-after").is_some(),
                 "it is told when to come back"
             );
         }
@@ -86,15 +86,18 @@
 #[test]
 fn large_chunked_bodies_stay_within_the_memory_budget() {
     const CLIENTS: usize = 32;
-    let harness = serving("long_bodies_in_chunks", 10);
-    let body = format!("{LONG:x}\r\n{}\r\n0\r\n\r\n", "x".repeat(LONG));
+    let harness = ready_harness("long_bodies_in_chunks", 10);
+    let body = format!(
+        "{LARGE_BODY_BYTES:x}\r\n{}\r\n0\r\n\r\n",
+        "x".repeat(LARGE_BODY_BYTES)
+    );
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| harness.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let id = format!("r{number}");
         let head = request("POST", "/pay/a", &id, &["Transfer-Encoding: chunked"], "");
         client.send_bytes("a long body in chunks", format!("{head}{body}").as_bytes());
     }
-    let forwarded = forwarded_while_short_is_served(&harness);
+    let forwarded = serve_short_request_while_large_ones_are_in_flight(&harness);
     forwarded
         .into_iter()
         .for_each(|upstream_request| upstream_request.respond("done"));
@@ -113,8 +116,8 @@
 #[test]
 fn concurrent_large_responses_stay_within_the_memory_budget() {
     const CLIENTS: usize = 20;
-    let harness = serving("long_answers_at_once", 10);
-    let body = vec![b'y'; LONGEST_ANSWER];
+    let harness = ready_harness("long_answers_at_once", 10);
+    let body = vec![b'y'; MAX_RESPONSE_BYTES];
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| harness.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.post("/pay/once/a", &format!("r{number}"), "");
@@ -126,7 +129,7 @@
     for mut upstream_request in upstream_request {
         let id = upstream_request.id().to_owned();
         let head = format!(
-            "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Seal: {}\r\nContent-Length: {LONGEST_ANSWER}\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Seal: {}\r\nContent-Length: {MAX_RESPONSE_BYTES}\r\n\r\n",
             seal(&id, "long")
         );
         upstream_request.send_bytes("a long answer", &[head.as_bytes(), &body].concat());
@@ -135,9 +138,12 @@
     let statuses: Vec<u16> = clients
         .iter_mut()
         .map(|client| {
-            let answer = client.response();
-            assert!(answer.status() != 200 || answer.body == body, "it is whole");
-            answer.status()
+            let response = client.response();
+            assert!(
+                response.status() != 200 || response.body == body,
+                "it is whole"
+            );
+            response.status()
         })
         .collect();
     assert_memory(&harness);
--- a/crates/sandtrack-proxy/tests/exchange/proxy_process.rs
+++ b/crates/sandtrack-proxy/tests/exchange/proxy_process.rs
@@ -1,5 +1,5 @@
-//! The built proxy as a process: its settings file, its log, signals and its end.
-use crate::wire::PATIENCE;
+//! Runs the built proxy as a process, with its settings file, log, signals and exit status.
+use crate::http_connection::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -19,7 +19,7 @@
 }
 
 impl ProxyProcess {
-    /// Starts it with a settings file of this content; `None`: there is no such file.
+    /// Starts the proxy with a settings file of this content; `None`: the file does not exist.
     pub fn start(name: &str, settings: Option<&str>) -> Self {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}.json", std::process::id()));
@@ -38,14 +38,14 @@
             .spawn()
             .unwrap();
         let log = Arc::new((Mutex::new(Log::default()), Condvar::new()));
-        let (stderr, written) = (child.stderr.take().unwrap(), log.clone());
+        let (stderr, thread_log) = (child.stderr.take().unwrap(), log.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                written.0.lock().unwrap().lines.push(line);
-                written.1.notify_all();
+                thread_log.0.lock().unwrap().lines.push(line);
+                thread_log.1.notify_all();
             }
-            written.0.lock().unwrap().ended = true;
-            written.1.notify_all();
+            thread_log.0.lock().unwrap().ended = true;
+            thread_log.1.notify_all();
         });
         ProxyProcess {
             child,
@@ -54,25 +54,25 @@
         }
     }
 
-    /// Waits until so many lines of its log have this text.
+    /// Waits until this many log lines contain the text.
     pub fn wait_for_log_lines(&self, text: &str, times: usize) {
         let (log, changed) = &*self.log;
         let count = |log: &Log| log.lines.iter().filter(|line| line.contains(text)).count();
         let missing = |log: &mut Log| !log.ended && count(log) < times;
         let (log, _) = changed
-            .wait_timeout_while(log.lock().unwrap(), PATIENCE, missing)
+            .wait_timeout_while(log.lock().unwrap(), TEST_TIMEOUT, missing)
             .unwrap();
         let found = count(&log);
         drop(log);
         assert!(found >= times, "logged {found} of {times} times: {text}");
     }
 
-    pub fn logged(&self) -> String {
+    pub fn log_text(&self) -> String {
         self.log.0.lock().unwrap().lines.join("\n")
     }
 
-    /// The proxy's own time of the first line with this text, in s.
-    pub fn logged_at(&self, text: &str) -> f64 {
+    /// Timestamp of the first log line that contains the text, in s.
+    pub fn log_time_s(&self, text: &str) -> f64 {
         let log = self.log.0.lock().unwrap();
         let line = log.lines.iter().find(|line| line.contains(text)).cloned();
         drop(log);
@@ -80,15 +80,15 @@
         let time = line
             .strip_prefix("{\"at\":")
             .and_then(|rest| rest.split(',').next()?.parse().ok());
-        time.unwrap_or_else(|| panic!("a line without its time: {line}"))
+        time.unwrap_or_else(|| panic!("a line without a timestamp: {line}"))
     }
 
-    /// It ends with status 0, and by its own clock so many seconds after it was told to stop at most: what a busy machine
-    /// takes until the test sees it is not counted.
+    /// Asserts that it exits with status 0 within `grace` seconds after the stop signal, by the timestamps in its log: delays of
+    /// the test on a busy machine do not count.
     pub fn assert_exits_within(&mut self, grace: f64) {
-        assert_eq!(self.wait_for_exit(PATIENCE).code(), Some(0));
-        let took = self.logged_at("proxy ends") - self.logged_at("told to stop");
-        assert!(took < grace, "it took {took:.3} s of {grace} s");
+        assert_eq!(self.wait_for_exit(TEST_TIMEOUT).code(), Some(0));
+        let took = self.log_time_s("proxy ends") - self.log_time_s("told to stop");
+        assert!(took < grace, "draining took {took:.3} s of {grace} s");
     }
 
     /// Sends a signal by its short name.
@@ -104,7 +104,7 @@
         );
     }
 
-    /// Its exit status; it must end within this time.
+    /// Waits for its exit and returns the status; it must exit within this time.
     pub fn wait_for_exit(&mut self, within: Duration) -> ExitStatus {
         let until = Instant::now() + within;
         let (log, changed) = &*self.log;
@@ -113,20 +113,20 @@
         let (log, _) = changed
             .wait_timeout_while(log.lock().unwrap(), left, running)
             .unwrap();
-        let over = log.ended;
+        let ended_in_time = log.ended;
         drop(log);
-        assert!(over, "it had not ended after {within:?}");
+        assert!(ended_in_time, "it had not exited after {within:?}");
         self.child.wait().unwrap()
     }
 
-    /// The most memory that it has had so far, in MB.
+    /// Its peak resident memory, in MB.
     pub fn peak_memory_mb(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).expect("the process runs");
         let peak = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))
-            .expect("a peak");
+            .expect("VmHWM");
         let kilobytes: f64 = peak
             .trim_end_matches("kB")
             .trim()
@@ -146,7 +146,7 @@
         self.kill();
         let _ = std::fs::remove_file(&self.settings);
         if std::thread::panicking() {
-            eprintln!("the proxy's log:\n{}", self.logged());
+            eprintln!("the proxy's log:\n{}", self.log_text());
         }
     }
 }
--- a/crates/sandtrack-proxy/tests/exchange/response_integrity.rs
+++ b/crates/sandtrack-proxy/tests/exchange/response_integrity.rs
@@ -1,8 +1,8 @@
 //! A client gets the complete response to its own request, with its seal, or one that is no success, whatever upstreams send
 //! (rule MIXED).
 use crate::harness::Harness;
+use crate::http_connection::TEST_TIMEOUT;
 use crate::upstream::UpstreamRequest;
-use crate::wire::PATIENCE;
 use std::io::{Read, Write};
 
 const SHORT_BODY: &str =
@@ -33,9 +33,12 @@
     let second = harness.next_upstream_request();
     assert_eq!(second.id(), "r1");
     second.respond("whole");
-    let answer = client.response();
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "whole"));
-    assert_eq!(answer.header("server-seal"), Some("seal.r1"));
+    let response = client.response();
+    assert_eq!(
+        (response.status(), response.text().as_str()),
+        (200, "whole")
+    );
+    assert_eq!(response.header("server-seal"), Some("seal.r1"));
     // Nothing of the first one comes later either.
     client.post_with("/pay/b", "r2", &["Connection: close"], "body");
     harness.next_upstream_request().respond("next");
@@ -110,7 +113,7 @@
     let mut upstream_request = harness.next_upstream_request();
     upstream_request.send(&format!(
         "{}{OTHER_REQUEST_ID}",
-        crate::upstream::answer("r1", "one")
+        crate::upstream::response_text("r1", "one")
     ));
     assert_eq!(client.response().text(), "one");
     upstream_request.expect_closed();
@@ -147,12 +150,12 @@
         let mut writer = upstream_request.respond_and_keep_writer("one");
         assert_eq!(client.response().text(), "one");
         writer.write_all(surplus.as_bytes()).unwrap();
-        harness.note("a surplus answer comes on it");
+        harness.record("a surplus response is sent on the idle connection");
         client.get("/slips/b", &next);
         harness.next_upstream_request().respond("two");
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            (answer.text().as_str(), answer.header("request-id")),
+            (response.text().as_str(), response.header("request-id")),
             ("two", Some(next.as_str()))
         );
     }
@@ -178,9 +181,9 @@
         upstream_request.respond("behind it");
         // The same upstream is asked again, as there is no other.
         harness.next_upstream_request().respond("whole");
-        let answer = client.response();
+        let response = client.response();
         assert_eq!(
-            (answer.text().as_str(), answer.header("request-id")),
+            (response.text().as_str(), response.header("request-id")),
             ("whole", Some(id.as_str()))
         );
     }
@@ -228,7 +231,7 @@
     let mut writer = upstream_request.respond_and_keep_writer("one");
     assert_eq!(client.response().text(), "one");
     writer.shutdown(std::net::Shutdown::Both).unwrap();
-    writer.set_read_timeout(Some(PATIENCE)).unwrap();
+    writer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(writer.read(&mut [0; 16]).unwrap_or(0), 0);
     client.get("/slips/once/b", "r2");
     harness.next_upstream_request().respond("two");
--- a/crates/sandtrack-proxy/tests/exchange/streams.rs
+++ b/crates/sandtrack-proxy/tests/exchange/streams.rs
@@ -14,11 +14,11 @@
     let head = client.stream_head();
     assert!(head.starts_with("HTTP/1.1 200 "));
     assert_eq!(
-        crate::wire::header(&head, "server-seal"),
+        crate::http_connection::header(&head, "server-seal"),
         Some("r1.upstream.1")
     );
     assert_eq!(
-        crate::wire::header(&head, "content-type"),
+        crate::http_connection::header(&head, "content-type"),
         Some("text/event-stream")
     );
     client.expect_event(1, "one");
@@ -33,14 +33,14 @@
         Some("versions: 2\nid: 5\ndata: five\ndata: more")
     );
     // One in three pieces is passed on once it is whole.
-    for piece in ["id: 6\nda", "ta: six\n", "\n"] {
-        upstream_request.send_chunk(piece);
+    for chunk in ["id: 6\nda", "ta: six\n", "\n"] {
+        upstream_request.send_chunk(chunk);
     }
     client.expect_event(6, "six");
     upstream_request.end_stream();
     client.expect_stream_complete();
     // The client's connection goes on.
-    client.ended = None;
+    client.stream_end = None;
     client.get("/slips/a", "r2");
     harness.next_upstream_request().respond("two");
     assert_eq!(client.response().text(), "two");
@@ -133,7 +133,7 @@
     client.expect_event(5, "five");
     client.expect_stream_complete();
     assert_eq!(
-        crate::wire::header(&head, "server-seal"),
+        crate::http_connection::header(&head, "server-seal"),
         Some("r1.upstream.1")
     );
     harness.finish_with_transcript();
@@ -153,13 +153,13 @@
     client.expect_event(8, "eight");
     first.close();
     let mut second = harness.next_upstream_request();
-    let all: Vec<&str> = second
+    let last_event_ids: Vec<&str> = second
         .message
         .head
         .lines()
         .filter(|line| line.to_lowercase().starts_with("last-event-id"))
         .collect();
-    assert_eq!(all, ["Last-Event-Id: 8"]);
+    assert_eq!(last_event_ids, ["Last-Event-Id: 8"]);
     second.start_stream();
     second.send_event(9, "nine");
     second.end_stream();
@@ -188,7 +188,7 @@
     second.end_stream();
     let head = client.stream_head();
     assert_eq!(
-        crate::wire::header(&head, "server-seal"),
+        crate::http_connection::header(&head, "server-seal"),
         Some("r1.upstream.2")
     );
     client.expect_event(1, "one");
@@ -324,9 +324,9 @@
         ("r2", vec!["id: 1\ndata: one\n\n", "data: two\n\n"]),
     ];
     for (id, events) in events {
-        for breaks in [false, true] {
+        for reset in [false, true] {
             let mut client = harness.client();
-            let id = format!("{id}{breaks}");
+            let id = format!("{id}{reset}");
             client.post_with("/tags/a", &id, &["Deadline-Remaining: 2500"], "prompt");
             let mut upstream_request = harness.next_upstream_request();
             upstream_request.start_stream();
@@ -337,7 +337,7 @@
             for event in &events {
                 assert_eq!(client.next_event().as_deref(), Some(event.trim_end()));
             }
-            if breaks {
+            if reset {
                 upstream_request.reset();
                 client.expect_stream_aborted();
             } else {
@@ -370,7 +370,7 @@
         second.send_event(1, "one");
         let head = client.stream_head();
         assert_eq!(
-            crate::wire::header(&head, "server-seal"),
+            crate::http_connection::header(&head, "server-seal"),
             Some("r1.upstream.2")
         );
         client.expect_event(1, "one");
@@ -436,7 +436,7 @@
     harness.wait_until_applied();
     let mut first = harness.client();
     first.get("/slips/a", "first");
-    let in_hand = harness.next_upstream_request();
+    let open_request = harness.next_upstream_request();
     let mut waiting = harness.client();
     waiting.get("/slips/a", "waiting");
     harness.wait_for_metric("sandtrack_proxy_requests_open", 2);
@@ -444,7 +444,7 @@
     harness
         .proxy
         .wait_for_log_lines("request waiting on slips: its client left", 1);
-    in_hand.respond("whole");
+    open_request.respond("whole");
     assert_eq!(first.response().text(), "whole");
     let mut next = harness.client();
     next.get("/slips/b", "next");
@@ -502,12 +502,12 @@
     let mut upstream_request = harness.next_upstream_request();
     upstream_request.send("HTTP/1.1 404 Not Found\r\nRequest-Id: r1\r\nServer-Seal: s1\r\nContent-Length: 3\r\n\r\nwhy");
     upstream_request.keep_open();
-    let answer = client.response();
+    let response = client.response();
     assert_eq!(
         (
-            answer.status(),
-            answer.text().as_str(),
-            answer.header("server-seal")
+            response.status(),
+            response.text().as_str(),
+            response.header("server-seal")
         ),
         (404, "why", Some("s1"))
     );
--- a/crates/sandtrack-proxy/tests/exchange/upstream.rs
+++ b/crates/sandtrack-proxy/tests/exchange/upstream.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for upstreams: they answer probes at once, record every request, and answer it when the test says so.
+//! Fake upstreams: they answer probes immediately, and pass requests to the test, which answers them.
+use crate::http_connection::{HttpConnection, Message, TEST_TIMEOUT};
 use crate::transcript::Transcript;
-use crate::wire::{Message, Wire, PATIENCE};
 use sandtrack_protocol::frames::UpstreamEntry;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -11,58 +11,58 @@
 
 pub const HEALTH: &str = "/health";
 
-/// A request that came, with the connection it came on.
+/// A received request, with its connection.
 pub struct ReceivedRequest {
     pub identifier: String,
     pub message: Message,
-    /// Requests and probes that came on the connection before.
+    /// Number of earlier requests and probes on the connection.
     pub earlier_requests: usize,
-    wire: Wire,
-    home: Arc<Home>,
+    connection: HttpConnection,
+    state: Arc<UpstreamState>,
 }
 
-struct Home {
+struct UpstreamState {
     identifier: String,
     sender: Sender<ReceivedRequest>,
     stopped: AtomicBool,
-    reading: Mutex<Vec<JoinHandle<()>>>,
+    reader_threads: Mutex<Vec<JoinHandle<()>>>,
 }
 
 pub struct Upstream {
     pub identifier: String,
     pub address: String,
-    home: Arc<Home>,
-    accepting: Option<JoinHandle<()>>,
+    state: Arc<UpstreamState>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
 impl Upstream {
     pub fn start(ip: &str, identifier: &str, sender: Sender<ReceivedRequest>) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let home = Arc::new(Home {
+        let state = Arc::new(UpstreamState {
             identifier: identifier.to_owned(),
             sender,
             stopped: AtomicBool::new(false),
-            reading: Mutex::new(Vec::new()),
+            reader_threads: Mutex::new(Vec::new()),
         });
-        let serving = home.clone();
-        let accepting = std::thread::spawn(move || {
+        let serving = state.clone();
+        let accept_thread = std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if serving.stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                read(&serving, Wire::new(stream), 0);
+                read(&serving, HttpConnection::new(stream), 0);
             }
         });
         Upstream {
             identifier: identifier.to_owned(),
             address,
-            home,
-            accepting: Some(accepting),
+            state,
+            accept_thread: Some(accept_thread),
         }
     }
 
-    /// As the platform's list shows it.
+    /// Its entry in the platform's list of upstreams.
     pub fn entry(&self, service: &str, zone: &str) -> UpstreamEntry {
         UpstreamEntry {
             identifier: self.identifier.clone(),
@@ -74,62 +74,70 @@
         }
     }
 
-    /// Accepts no more, and waits until all that came on its connections was read: their other ends are closed.
+    /// Stops accepting, and waits until its connections were read to their ends; the proxy must have closed them.
     pub fn finish(mut self) {
-        self.home.stopped.store(true, Ordering::SeqCst);
+        self.state.stopped.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(&self.address);
-        if let Some(accepting) = self.accepting.take() {
-            accepting.join().expect("it accepted to the end");
+        if let Some(accept_thread) = self.accept_thread.take() {
+            accept_thread
+                .join()
+                .expect("the accept thread does not panic");
         }
-        let reading: Vec<_> = self.home.reading.lock().unwrap().drain(..).collect();
-        for reading in reading {
-            reading.join().expect("it read to the end");
+        let reader_threads: Vec<_> = self
+            .state
+            .reader_threads
+            .lock()
+            .unwrap()
+            .drain(..)
+            .collect();
+        for thread in reader_threads {
+            thread.join().expect("the reader thread does not panic");
         }
     }
 }
 
-/// Reads the next request of a connection on a thread.
-fn read(home: &Arc<Home>, mut wire: Wire, earlier_requests: usize) {
-    let reader = home.clone();
-    let reading = std::thread::spawn(move || {
+/// Starts a thread that reads the next request of a connection.
+fn read(state: &Arc<UpstreamState>, mut connection: HttpConnection, earlier_requests: usize) {
+    let reader = state.clone();
+    let thread = std::thread::spawn(move || {
         let mut earlier_requests = earlier_requests;
-        wire.patience(None);
-        while let Some(request) = wire.message() {
-            if !request.whole {
+        connection.set_read_timeout(None);
+        while let Some(request) = connection.read_message() {
+            if !request.complete {
                 return;
             }
             if request.head.starts_with(&format!("GET {HEALTH} ")) {
                 let identifier = &reader.identifier;
-                let well = format!(
+                let response = format!(
                     "HTTP/1.1 200 OK\r\nInstance-Id: {identifier}\r\nContent-Length: 0\r\n\r\n"
                 );
-                wire.send(well.as_bytes());
+                connection.send(response.as_bytes());
                 earlier_requests += 1;
                 continue;
             }
-            wire.patience(Some(PATIENCE));
-            let (identifier, home) = (reader.identifier.clone(), reader.clone());
+            connection.set_read_timeout(Some(TEST_TIMEOUT));
+            let (identifier, state) = (reader.identifier.clone(), reader.clone());
             let _ = reader.sender.send(ReceivedRequest {
                 identifier,
                 message: request,
                 earlier_requests,
-                wire,
-                home,
+                connection,
+                state,
             });
             return;
         }
     });
-    home.reading.lock().unwrap().push(reading);
+    state.reader_threads.lock().unwrap().push(thread);
 }
 
-/// A request that came to an upstream, to be answered when the test says so.
+/// A request at an upstream, which the test answers.
 pub struct UpstreamRequest {
     pub identifier: String,
     pub message: Message,
     pub earlier_requests: usize,
     name: String,
-    wire: Wire,
-    home: Arc<Home>,
+    connection: HttpConnection,
+    state: Arc<UpstreamState>,
     transcript: Rc<Transcript>,
 }
 
@@ -139,17 +147,17 @@
             identifier,
             message,
             earlier_requests,
-            wire,
-            home,
+            connection,
+            state,
         } = received;
-        let name = format!("upstream {}", transcript.number(&identifier));
+        let name = format!("upstream {}", transcript.upstream_number(&identifier));
         let body = match message.body.len() {
             0 => String::new(),
-            long @ 300.. => format!("\n\n({long} bytes)"),
+            length @ 300.. => format!("\n\n({length} bytes)"),
             _ => format!("\n\n{}", message.text()),
         };
-        transcript.note(
-            &format!("{name} is asked"),
+        transcript.record(
+            &format!("{name} receives a request"),
             &format!("{}{body}", message.head),
         );
         UpstreamRequest {
@@ -157,8 +165,8 @@
             message,
             earlier_requests,
             name,
-            wire,
-            home,
+            connection,
+            state,
             transcript,
         }
     }
@@ -168,24 +176,26 @@
     }
 
     pub fn send(&mut self, text: &str) {
-        self.transcript.note(&format!("{} says", self.name), text);
-        self.wire.send(text.as_bytes());
+        self.transcript
+            .record(&format!("{} sends", self.name), text);
+        self.connection.send(text.as_bytes());
     }
 
-    /// Says what is too long for a transcript.
+    /// Sends bytes that are too long for a transcript, which gets `what` instead.
     pub fn send_bytes(&mut self, what: &str, bytes: &[u8]) {
-        self.transcript.note(&format!("{} says", self.name), what);
-        self.wire.send(bytes);
+        self.transcript
+            .record(&format!("{} sends", self.name), what);
+        self.connection.send(bytes);
     }
 
-    /// Answers whole with its seal, and stays open for more.
+    /// Sends a complete response with a seal, and keeps the connection open.
     pub fn respond(mut self, body: &str) {
-        let text = answer(self.id(), body);
+        let text = response_text(self.id(), body);
         self.send(&text);
         self.keep_open();
     }
 
-    /// The head of a stream.
+    /// Sends the head of a stream.
     pub fn start_stream(&mut self) {
         let id = self.id().to_owned();
         self.send(&format!(
@@ -195,67 +205,73 @@
         ));
     }
 
-    /// One event, in a chunk of its own.
+    /// Sends an event in its own chunk.
     pub fn send_event(&mut self, id: u64, data: &str) {
         self.send_chunk(&format!("id: {id}\ndata: {data}\n\n"));
     }
 
     pub fn send_chunk(&mut self, text: &str) {
         self.transcript
-            .note(&format!("{} says, in a chunk", self.name), text);
-        self.wire
+            .record(&format!("{} sends a chunk", self.name), text);
+        self.connection
             .send(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
-    /// The end of a chunked body; it stays open for more.
+    /// Sends the end of a chunked body, and keeps the connection open.
     pub fn end_stream(mut self) {
         self.transcript
-            .note(&format!("{} ends its chunks", self.name), "");
-        self.wire.send(b"0\r\n\r\n");
+            .record(&format!("{} ends its chunked body", self.name), "");
+        self.connection.send(b"0\r\n\r\n");
         self.keep_open();
     }
 
-    /// Further requests on its connection are read.
+    /// Keeps the connection open and reads further requests from it.
     pub fn keep_open(self) {
-        read(&self.home, self.wire, self.earlier_requests + 1);
+        read(&self.state, self.connection, self.earlier_requests + 1);
     }
 
-    /// As [`Asked::answer`]; this end can still write.
+    /// As [`UpstreamRequest::respond`]; returns the connection for further writes.
     pub fn respond_and_keep_writer(self, body: &str) -> TcpStream {
-        let stream = self.wire.stream.try_clone().unwrap();
+        let stream = self.connection.stream.try_clone().unwrap();
         self.respond(body);
         stream
     }
 
-    /// This end of the connection, to be written to by hand.
+    /// The connection, for raw writes.
     pub fn into_stream(self) -> TcpStream {
-        self.wire.stream.try_clone().unwrap()
+        self.connection.stream.try_clone().unwrap()
     }
 
     pub fn close(self) {
-        self.transcript.note(&format!("{} closes", self.name), "");
+        self.transcript
+            .record(&format!("{} closes the connection", self.name), "");
     }
 
     pub fn reset(self) {
-        self.transcript.note(&format!("{} resets", self.name), "");
-        self.wire.reset();
+        self.transcript
+            .record(&format!("{} resets the connection", self.name), "");
+        self.connection.reset();
     }
 
-    /// Waits until the proxy has closed the connection, on which nothing more came.
+    /// Waits until the proxy has closed the connection, without another request on it.
     pub fn expect_closed(mut self) {
-        assert_eq!(self.wire.rest(), b"", "nothing more is asked on it");
+        assert_eq!(
+            self.connection.read_to_end(),
+            b"",
+            "no further request on the connection"
+        );
         self.transcript
-            .note(&format!("{} sees its connection closed", self.name), "");
+            .record(&format!("{}: its connection was closed", self.name), "");
     }
 }
 
-/// The seal that stand-ins put on an answer.
+/// The seal of a response from a fake upstream.
 pub fn seal(id: &str, name: &str) -> String {
     format!("{id}.{}", name.replace(' ', "."))
 }
 
-/// A whole answer to the request of that id.
-pub fn answer(id: &str, body: &str) -> String {
+/// A complete response to the request with this id.
+pub fn response_text(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Seal: seal.{id}\r\nContent-Length: {length}\r\n\r\n{body}"
--- a/crates/sandtrack-proxy/tests/exchange/upstream_selection.rs
+++ b/crates/sandtrack-proxy/tests/exchange/upstream_selection.rs
@@ -4,12 +4,12 @@
 use sandtrack_protocol::document::Document;
 use sandtrack_protocol::frames::{ItemChange, ToProxy, UpstreamEntry};
 
-const TRIES: usize = 12;
+const REQUESTS: usize = 12;
 
 /// So many requests all go to this upstream. Among several, chance would pass another in one of 2^12 runs.
-fn all_go_to(harness: &Harness, upstream: &UpstreamEntry, what: &str) {
+fn assert_all_go_to(harness: &Harness, upstream: &UpstreamEntry, what: &str) {
     let mut client = harness.client();
-    for at in 0..TRIES {
+    for at in 0..REQUESTS {
         let target = ["/slips/a", "/pay/a", "/letters/a", "/tags/slow/a"][at % 4];
         client.post_with(target, &format!("{what}-{at}"), &[], "body");
         let upstream_request = harness.next_upstream_request();
@@ -19,7 +19,7 @@
     }
 }
 
-fn none_goes(harness: &Harness, target: &str, id: &str) {
+fn assert_unavailable(harness: &Harness, target: &str, id: &str) {
     let mut client = harness.client();
     client.post_with(target, id, &["Deadline-Remaining: 500"], "body");
     assert_eq!(client.response().status(), 503);
@@ -36,25 +36,25 @@
     );
     harness.send_upstream_list(vec![one.clone()]);
     harness.wait_until_applied();
-    all_go_to(&harness, &one, "alone");
+    assert_all_go_to(&harness, &one, "alone");
     let draining = UpstreamEntry {
         draining: true,
         ..one.clone()
     };
     harness.send_upstream_changes(vec![draining.clone(), two.clone()], &[]);
     harness.wait_until_applied();
-    all_go_to(&harness, &two, "one-drains");
+    assert_all_go_to(&harness, &two, "one-drains");
     harness.send_upstream_changes(vec![one.clone()], &[&two.identifier]);
     harness.wait_until_applied();
-    all_go_to(&harness, &one, "two-is-gone");
+    assert_all_go_to(&harness, &one, "two-is-gone");
     // A whole list has all that there are.
     harness.send_upstream_list(vec![two.clone()]);
     harness.wait_until_applied();
-    all_go_to(&harness, &two, "one-is-not-listed");
+    assert_all_go_to(&harness, &two, "one-is-not-listed");
     harness.send_upstream_list(vec![draining]);
     harness.wait_until_applied();
-    none_goes(&harness, "/pay/a", "none");
-    none_goes(&harness, "/slips/a", "none-either");
+    assert_unavailable(&harness, "/pay/a", "none");
+    assert_unavailable(&harness, "/slips/a", "none-either");
     harness.finish();
 }
 
@@ -63,11 +63,11 @@
 fn evacuated_zones_get_no_requests() {
     let harness = Harness::unconfigured("evacuated_zones_get_no_requests");
     harness.send_single_proxy_census();
-    let (near, far) = (
+    let (zone_a, zone_b) = (
         harness.add_upstream("printer", "a"),
         harness.add_upstream("printer", "b"),
     );
-    harness.send_upstream_list(vec![near.clone(), far.clone()]);
+    harness.send_upstream_list(vec![zone_a.clone(), zone_b.clone()]);
     let evacuate = |number: u64, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
         harness
@@ -76,17 +76,17 @@
         harness.wait_until_applied();
     };
     evacuate(5, &["a"]);
-    all_go_to(&harness, &far, "a-is-evacuated");
+    assert_all_go_to(&harness, &zone_b, "a-is-evacuated");
     evacuate(4, &[]);
-    all_go_to(&harness, &far, "an-older-word");
+    assert_all_go_to(&harness, &zone_b, "an-older-word");
     evacuate(6, &["a", "b"]);
-    none_goes(&harness, "/slips/a", "both-are");
+    assert_unavailable(&harness, "/slips/a", "both-are");
     evacuate(7, &["b"]);
-    all_go_to(&harness, &near, "b-is-evacuated");
+    assert_all_go_to(&harness, &zone_a, "b-is-evacuated");
     evacuate(8, &[]);
-    harness.send_upstream_list(vec![far.clone()]);
+    harness.send_upstream_list(vec![zone_b.clone()]);
     harness.wait_until_applied();
-    all_go_to(&harness, &far, "none-is");
+    assert_all_go_to(&harness, &zone_b, "none-is");
     harness.finish();
 }
 
@@ -101,11 +101,11 @@
     );
     harness.send_upstream_list(vec![north.clone()]);
     harness.wait_until_applied();
-    none_goes(&harness, "/slips/south/a", "no-home");
+    assert_unavailable(&harness, "/slips/south/a", "no-home");
     harness.send_upstream_list(vec![north.clone(), south.clone()]);
     harness.wait_until_applied();
     let mut client = harness.client();
-    for at in 0..TRIES {
+    for at in 0..REQUESTS {
         client.get_with("/slips/south/a", &format!("home-{at}"), &[]);
         let upstream_request = harness.next_upstream_request();
         assert_eq!(upstream_request.identifier, south.identifier);
@@ -138,7 +138,7 @@
     harness.send_upstream_list(vec![one.clone(), two.clone()]);
     harness.wait_until_applied();
     let mut client = harness.client();
-    for at in 0..TRIES {
+    for at in 0..REQUESTS {
         let (model, entry) = if at % 2 == 0 {
             ("Model: m", &one)
         } else {
@@ -164,7 +164,7 @@
 }
 
 /// The routes with `/pay/` moved to another service.
-fn moved() -> String {
+fn routes_with_pay_moved() -> String {
     ROUTES.replace(
         r#""priority":2,"service":"printer","attempts":2},
 {"name":"pay-once""#,
@@ -196,7 +196,8 @@
     let before = Document::parse(document(1, ROUTES).as_bytes()).unwrap();
     let routes = format!(
         "{},{added}",
-        moved().replace(r#""path_prefix":"/letters/""#, r#""path_prefix":"/mail/""#)
+        routes_with_pay_moved()
+            .replace(r#""path_prefix":"/letters/""#, r#""path_prefix":"/mail/""#)
     );
     let after = Document::parse(document(77, &routes).as_bytes()).unwrap();
     let (mut items, fields) = before.changes(&after);
@@ -235,14 +236,14 @@
     let binder = harness.add_upstream("binder", "a");
     harness.send_upstream_changes(vec![binder.clone()], &[]);
     let number = harness.configure(ROUTES);
-    let gone = vec![ItemChange {
+    let removal = vec![ItemChange {
         list: "routes".to_owned(),
         name: "pay".to_owned(),
         json: None,
     }];
     harness
         .control_node
-        .send(changes(number + 1, number + 2, 900, gone));
+        .send(changes(number + 1, number + 2, 900, removal));
     harness
         .control_node
         .wait_for("the whole is wanted", |heard| {
@@ -254,7 +255,7 @@
     assert_ne!(upstream_request.identifier, binder.identifier);
     upstream_request.respond("paid");
     assert_eq!(client.response().status(), 200);
-    let document = document(900, &moved());
+    let document = document(900, &routes_with_pay_moved());
     harness.control_node.send(ToProxy::Configuration {
         number: number + 2,
         version: 900,
@@ -276,30 +277,30 @@
     let harness = Harness::with_upstreams("an_older_configuration_is_not_applied", 1);
     let number = harness.configure(ROUTES);
     let other = r#"{"name":"x","host":"post.example","path_prefix":"/x/","kind":"read_only","timeout_ms":60000,"service":"printer"}"#;
-    let tell = |number: u64, document: String| {
+    let send_configuration = |number: u64, document: String| {
         harness.control_node.send(ToProxy::Configuration {
             number,
             version: 5000,
             document,
         });
     };
-    tell(number - 1, document(5000, other));
-    tell(number, document(5000, other));
-    let gone = vec![ItemChange {
+    send_configuration(number - 1, document(5000, other));
+    send_configuration(number, document(5000, other));
+    let removal = vec![ItemChange {
         list: "routes".to_owned(),
         name: "pay".to_owned(),
         json: None,
     }];
     harness
         .control_node
-        .send(changes(number - 1, number, 5000, gone));
-    tell(number + 1, "{\"version_number\":5000".to_owned());
-    tell(
+        .send(changes(number - 1, number, 5000, removal));
+    send_configuration(number + 1, "{\"version_number\":5000".to_owned());
+    send_configuration(
         number + 1,
         document(5000, &other.replace("printer", "unknown")),
     );
-    tell(number + 1, document(5000, &other.replace("60000", "0")));
-    tell(
+    send_configuration(number + 1, document(5000, &other.replace("60000", "0")));
+    send_configuration(
         number + 1,
         format!(r#"{{"version_number":5000,"services":[{SERVICES}]}}"#),
     );
@@ -341,8 +342,8 @@
         ..one.clone()
     };
     harness.send_upstream_changes(vec![other], &[&one.identifier]);
-    harness.configure(&moved());
-    none_goes(&harness, "/slips/a", "old");
+    harness.configure(&routes_with_pay_moved());
+    assert_unavailable(&harness, "/slips/a", "old");
     client.post("/pay/a", "r2", "body");
     let upstream_request = harness.next_upstream_request();
     assert_eq!(
