--- a/crates/sandtrack-replication/src/calls/head.rs
+++ b/crates/sandtrack-replication/src/calls/head.rs
@@ -20,9 +20,9 @@
         hops: u8,
         effects: &mut Vec<Effect>,
     ) {
-        let heads = self.durable.view.epoch == self.latest_view.epoch
+        let is_head_of_view = self.durable.view.epoch == self.latest_view.epoch
             && self.durable.view.is_head(&self.me);
-        if !heads {
+        if !is_head_of_view {
             if let Some(head) = self.forward_target(hops) {
                 self.calls
                     .add_waiter(call.clone(), &sender.address, self.now);
@@ -38,7 +38,7 @@
             }
             return;
         }
-        if self.calls.refused.contains(&call) {
+        if self.calls.rejected.contains(&call) {
             let head = self.me.clone();
             self.send(&sender.address, Body::DiskFull { call, head }, effects);
             return;
@@ -73,11 +73,11 @@
         calls: &mut Vec<CallId>,
     ) {
         let epoch = self.durable.view.epoch;
-        let able = self.durable.view.may_commit(
+        let can_commit = self.durable.view.may_commit(
             self.settings.tolerated_machine_losses,
             self.settings.tolerated_zone_losses,
         );
-        if !self.is_head() || !able {
+        if !self.is_head() || !can_commit {
             return;
         }
         let committed = self.committed_in_log();
@@ -125,25 +125,25 @@
             return;
         }
         // Answered once all of the present chain are known to have it.
-        let mut notified = Vec::new();
-        for call in self.calls.waiting.keys() {
+        let mut answers = Vec::new();
+        for call in self.calls.waiters.keys() {
             if let Some(found) = self.applied.outcome(call) {
                 if found.number <= self.chain.confirmed {
-                    notified.push((call.clone(), found.outcome.clone()));
+                    answers.push((call.clone(), found.outcome.clone()));
                 }
             }
         }
-        for (call, outcome) in notified {
+        for (call, outcome) in answers {
             self.handle_outcome(&call, outcome, effects);
         }
     }
 
     /// As the head: the command could not be written.
     pub(crate) fn reject_disk_full(&mut self, call: &CallId, effects: &mut Vec<Effect>) {
-        if self.calls.refused.len() == MAX_COMMANDS_PER_WRITE * 16 {
-            self.calls.refused.pop_front();
+        if self.calls.rejected.len() == MAX_COMMANDS_PER_WRITE * 16 {
+            self.calls.rejected.pop_front();
         }
-        self.calls.refused.push_back(call.clone());
+        self.calls.rejected.push_back(call.clone());
         self.handle_disk_full(call, self.me.clone(), effects);
     }
 }
--- a/crates/sandtrack-replication/src/calls/mod.rs
+++ b/crates/sandtrack-replication/src/calls/mod.rs
@@ -36,7 +36,7 @@
     /// The heads that it was given to, or sent towards.
     offered_to_heads: BTreeSet<Member>,
     /// Those whose disk was too full for the command. They refuse it for good.
-    full: BTreeSet<Member>,
+    full_heads: BTreeSet<Member>,
     /// It was sent to another process to forward, which may know of other heads.
     relayed: bool,
 }
@@ -58,10 +58,10 @@
     }
 
     /// Why there was no answer.
-    fn refusal(&self) -> CallError {
+    fn failure(&self) -> CallError {
         match &self.kind {
             _ if self.offered_to_heads.is_empty() => CallError::NoMajority,
-            Request::Submit(_) if self.offered_to_heads == self.full && !self.relayed => {
+            Request::Submit(_) if self.offered_to_heads == self.full_heads && !self.relayed => {
                 CallError::Full
             }
             _ => CallError::TimedOut,
@@ -75,9 +75,9 @@
     pending: BTreeMap<u64, Pending>,
     queue: VecDeque<Queued>,
     /// At the head: to whom the outcome has to be sent.
-    waiting: BTreeMap<CallId, (BTreeSet<Address>, f64)>,
+    waiters: BTreeMap<CallId, (BTreeSet<Address>, f64)>,
     /// At the head: commands that were rejected, so that a delayed duplicate is not applied.
-    refused: VecDeque<CallId>,
+    rejected: VecDeque<CallId>,
 }
 
 impl<M: StateMachine> Replica<M> {
@@ -123,18 +123,18 @@
         );
         if call.origin == self.me.address && call.start == self.start {
             if let Some(pending) = self.calls.pending.get_mut(&call.number) {
-                pending.full.insert(head);
+                pending.full_heads.insert(head);
             }
         }
     }
 
     /// To all other processes that gave the call to this one.
     fn reply(&mut self, call: &CallId, body: &Body, effects: &mut Vec<Effect>) {
-        let Some((mut waiting, _)) = self.calls.waiting.remove(call) else {
+        let Some((mut waiters, _)) = self.calls.waiters.remove(call) else {
             return;
         };
-        waiting.remove(&self.me.address);
-        for address in waiting {
+        waiters.remove(&self.me.address);
+        for address in waiters {
             self.send(&address, body.clone(), effects);
         }
     }
@@ -142,8 +142,8 @@
 
 impl Calls {
     fn add_waiter(&mut self, call: CallId, address: &Address, now: f64) {
-        let (waiting, since) = self.waiting.entry(call).or_default();
-        waiting.insert(address.clone());
+        let (waiters, since) = self.waiters.entry(call).or_default();
+        waiters.insert(address.clone());
         *since = now;
     }
 }
--- a/crates/sandtrack-replication/src/calls/origin.rs
+++ b/crates/sandtrack-replication/src/calls/origin.rs
@@ -19,7 +19,7 @@
         let (started_at, last_attempt) = (self.now, f64::NEG_INFINITY);
         self.calls.next += 1;
         let number = self.calls.next;
-        let (offered_to_heads, full) = (BTreeSet::new(), BTreeSet::new());
+        let (offered_to_heads, full_heads) = (BTreeSet::new(), BTreeSet::new());
         let pending = Pending {
             call,
             kind,
@@ -27,7 +27,7 @@
             last_attempt,
             attempts: 0,
             offered_to_heads,
-            full,
+            full_heads,
             relayed: false,
         };
         self.calls.pending.insert(number, pending);
@@ -52,11 +52,11 @@
             number,
         };
         let head = self.latest_view.chain.first().cloned();
-        let patience = self.settings.timings.call_timeout;
+        let call_timeout = self.settings.timings.call_timeout;
         let Some(pending) = self.calls.pending.get_mut(&number) else {
             return;
         };
-        if self.now - pending.started_at > patience {
+        if self.now - pending.started_at > call_timeout {
             // Its caller does not wait any more; this process may not have run for a while.
             return;
         }
@@ -88,12 +88,12 @@
         if attempts.is_multiple_of(2) || head == self.me.address {
             return Some(head);
         }
-        let near = self
+        let live_peers = self
             .peers
             .heard_within(self.now, self.settings.timings.failure_timeout);
         let chain = self.latest_view.chain.iter().map(|member| &member.address);
         let others: Vec<&Address> = chain
-            .filter(|address| **address != head && near.contains(address))
+            .filter(|address| **address != head && live_peers.contains(address))
             .collect();
         Some(
             others
@@ -124,7 +124,7 @@
         let now = self.now;
         let timings = self.settings.timings.clone();
         self.calls
-            .waiting
+            .waiters
             .retain(|_, (_, since)| now - *since <= WAITER_TIMEOUT_MS);
         self.calls
             .queue
@@ -137,7 +137,7 @@
             if now - pending.started_at > timings.call_timeout {
                 effects.push(Effect::Answer {
                     call: pending.call,
-                    result: Err(pending.refusal()),
+                    result: Err(pending.failure()),
                 });
                 self.calls.pending.remove(&number);
                 continue;
@@ -147,8 +147,8 @@
                 start: self.start,
                 number,
             };
-            let stuck = self.fragments.is_stalled(&call, now);
-            let transmission_time_ms = if stuck {
+            let is_stalled = self.fragments.is_stalled(&call, now);
+            let transmission_time_ms = if is_stalled {
                 0.0
             } else {
                 pending.transmission_time_ms()
--- a/crates/sandtrack-replication/src/chain.rs
+++ b/crates/sandtrack-replication/src/chain.rs
@@ -23,9 +23,9 @@
     /// Committed, as confirmed in this epoch and since the start of this process.
     pub(crate) confirmed: u64,
     /// The end of the log as this part of the epoch began: all that may have been acknowledged before.
-    pub(crate) floor: u64,
+    pub(crate) initial_end: u64,
     /// The end of the successor's log, once it is known to be in sync.
-    successor: Option<u64>,
+    successor_end: Option<u64>,
     /// Up to where the successor was sent entries.
     sent: u64,
     /// Since when the successor has not acknowledged any more of them. Entries that are sent meanwhile don't count:
@@ -39,9 +39,9 @@
 }
 
 impl ChainState {
-    pub(crate) fn new(floor: u64) -> Self {
+    pub(crate) fn new(initial_end: u64) -> Self {
         Self {
-            floor,
+            initial_end,
             ..Self::default()
         }
     }
@@ -87,14 +87,14 @@
         if !self.is_in_sync() || self.durable.view.successor(&self.me) != Some(sender) {
             return;
         }
-        let known = self.chain.successor.unwrap_or(0);
-        if self.chain.successor.is_none() {
+        let acknowledged = self.chain.successor_end.unwrap_or(0);
+        if self.chain.successor_end.is_none() {
             self.chain.sent = durable_end;
         }
-        if durable_end > known {
+        if durable_end > acknowledged {
             self.chain.unacknowledged_since = self.now;
         }
-        self.chain.successor = Some(known.max(durable_end));
+        self.chain.successor_end = Some(acknowledged.max(durable_end));
         self.advance_commit(committed, effects);
         self.advance_chain(effects);
     }
@@ -130,7 +130,7 @@
         };
         if self
             .chain
-            .successor
+            .successor_end
             .is_some_and(|acknowledged| acknowledged >= self.chain.sent)
         {
             self.chain.unacknowledged_since = self.now;
@@ -150,7 +150,7 @@
     fn unacknowledged(&self) -> Option<usize> {
         Some(
             self.durable
-                .bytes_between(self.chain.successor?, self.chain.sent),
+                .bytes_between(self.chain.successor_end?, self.chain.sent),
         )
     }
 
@@ -215,15 +215,15 @@
 
     /// Tells the predecessor, when there is something new.
     pub(crate) fn ack(&mut self, effects: &mut Vec<Effect>) {
-        let news = (self.durable.last_position().number, self.chain.confirmed);
+        let latest = (self.durable.last_position().number, self.chain.confirmed);
         let Some(predecessor) = self.durable.view.predecessor(&self.me).cloned() else {
             return;
         };
-        if self.is_in_sync() && self.chain.last_ack != Some(news) {
-            self.chain.last_ack = Some(news);
+        if self.is_in_sync() && self.chain.last_ack != Some(latest) {
+            self.chain.last_ack = Some(latest);
             let body = Body::Ack {
-                durable_end: news.0,
-                committed: news.1,
+                durable_end: latest.0,
+                committed: latest.1,
             };
             self.send(&predecessor.address, body, effects);
         }
@@ -231,12 +231,13 @@
 
     /// Passes again what the successor doesn't seem to have got.
     pub(crate) fn retransmit_unacknowledged(&mut self, effects: &mut Vec<Effect>) {
-        let (Some(durable_end), Some(bytes)) = (self.chain.successor, self.unacknowledged()) else {
+        let (Some(durable_end), Some(bytes)) = (self.chain.successor_end, self.unacknowledged())
+        else {
             return;
         };
-        let transmission_time_ms =
+        let timeout_ms =
             self.settings.timings.retry_interval + bytes as f64 / SLOWEST_LINK_BYTES_PER_MS;
-        if !self.is_in_sync() || self.now - self.chain.unacknowledged_since < transmission_time_ms {
+        if !self.is_in_sync() || self.now - self.chain.unacknowledged_since < timeout_ms {
             return;
         }
         let successor = self.durable.view.successor(&self.me).cloned();
@@ -252,24 +253,24 @@
     /// Whether `machine()` holds all that was committed, as far as can be known here. False for a process that hears
     /// no other.
     pub fn is_caught_up(&self) -> bool {
-        let silence = self.settings.timings.failure_timeout;
-        let near = |address: &String| {
+        let failure_timeout = self.settings.timings.failure_timeout;
+        let live_peer = |address: &String| {
             self.peers
                 .all
                 .get(address)
-                .filter(|peer| self.now - peer.last_heard <= silence)
+                .filter(|peer| self.now - peer.last_heard <= failure_timeout)
         };
         if self.is_in_chain() {
             let view = &self.durable.view;
             let neighbours = [view.predecessor(&self.me), view.successor(&self.me)];
-            let heard = |member: &&Member| {
-                near(&member.address).is_some_and(|peer| {
+            let is_live = |member: &&Member| {
+                live_peer(&member.address).is_some_and(|peer| {
                     peer.incarnation == member.incarnation && peer.epoch == view.epoch
                 })
             };
             return self.is_in_sync()
-                && self.chain.confirmed >= self.chain.floor
-                && neighbours.iter().flatten().all(heard);
+                && self.chain.confirmed >= self.chain.initial_end
+                && neighbours.iter().flatten().all(is_live);
         }
         let is_in_chain = |address: &&String| {
             self.latest_view
@@ -281,7 +282,7 @@
             .source
             .as_ref()
             .filter(is_in_chain)
-            .and_then(near)
+            .and_then(live_peer)
             .filter(|peer| peer.epoch >= self.latest_view.epoch);
         let committed = source
             .and_then(|peer| peer.status.as_ref())
--- a/crates/sandtrack-replication/src/disk/records.rs
+++ b/crates/sandtrack-replication/src/disk/records.rs
@@ -71,12 +71,19 @@
 
     pub(super) fn append_compaction(&mut self, records: &mut Vec<WalRecord>) -> bool {
         // Who fetches a snapshot from here will want the log after it.
-        let is_wanted = self.snapshot_transfers.is_sending() || self.is_log_needed_by_peer();
-        let patience = if is_wanted { RETAINED_LOG_FACTOR } else { 1 };
-        let long = self.durable.entries.len() > COMPACTION_ENTRIES * patience
-            || self.disk.appended > COMPACTION_BYTES.max(self.disk.rewritten) * patience;
+        let is_log_wanted = self.snapshot_transfers.is_sending() || self.is_log_needed_by_peer();
+        let factor = if is_log_wanted {
+            RETAINED_LOG_FACTOR
+        } else {
+            1
+        };
+        let is_large = self.durable.entries.len() > COMPACTION_ENTRIES * factor
+            || self.disk.appended > COMPACTION_BYTES.max(self.disk.rewritten) * factor;
         // An entry that no one may read again has to be behind the snapshot.
-        if !long || self.applied.position.number < self.durable.log_start.number || self.disk.full {
+        if !is_large
+            || self.applied.position.number < self.durable.log_start.number
+            || self.disk.full
+        {
             return false;
         }
         let at = self.applied.position;
--- a/crates/sandtrack-replication/src/dispatch.rs
+++ b/crates/sandtrack-replication/src/dispatch.rs
@@ -53,8 +53,8 @@
         if *from == self.me.address {
             return;
         }
-        let anew = self.peers.on_message(self.now, from, &message);
-        if anew {
+        let is_new_process = self.peers.on_message(self.now, from, &message);
+        if is_new_process {
             self.fragments.remove(from);
             self.send_status(from, effects);
         }
--- a/crates/sandtrack-replication/src/fragments/incoming.rs
+++ b/crates/sandtrack-replication/src/fragments/incoming.rs
@@ -16,7 +16,7 @@
     /// Pieces that came before one in front of them.
     pub(super) out_of_order: BTreeMap<u64, Vec<u8>>,
     /// When a fragment was last received.
-    pub(super) progress: f64,
+    pub(super) last_progress: f64,
 }
 
 impl Incoming {
@@ -32,11 +32,11 @@
         self.bytes.len() as u64
     }
 
-    pub(super) fn is_under_way(&self) -> bool {
+    pub(super) fn is_in_progress(&self) -> bool {
         self.id > self.finished
     }
 
-    pub(super) fn take(&mut self, offset: u64, bytes: Vec<u8>) {
+    pub(super) fn add_fragment(&mut self, offset: u64, bytes: Vec<u8>) {
         if offset >= self.received()
             && offset < self.received() + MAX_WINDOW_BYTES
             && !bytes.is_empty()
--- a/crates/sandtrack-replication/src/fragments/mod.rs
+++ b/crates/sandtrack-replication/src/fragments/mod.rs
@@ -43,36 +43,40 @@
     /// Drops messages of earlier epochs, which the receiver would ignore.
     pub(crate) fn drop_earlier_epochs(&mut self, epoch: u64) {
         for queue in self.outgoing.values_mut() {
-            queue.retain(|outgoing| outgoing.epoch == epoch || !outgoing.topic.is_epoch_bound());
+            queue.retain(|outgoing| outgoing.epoch == epoch || !outgoing.key.is_epoch_bound());
         }
         self.outgoing.retain(|_, queue| !queue.is_empty());
     }
 
     /// Whether a long call waits for a receiver that has acknowledged nothing for a while.
     pub(crate) fn is_stalled(&self, call: &CallId, now: f64) -> bool {
-        let log_contains = |queue: &VecDeque<Outgoing>| {
+        let contains_call = |queue: &VecDeque<Outgoing>| {
             queue
                 .iter()
-                .any(|outgoing| matches!(&outgoing.topic, MessageKey::Submit(it) | MessageKey::Other(it) if it == call))
+                .any(|outgoing| matches!(&outgoing.key, MessageKey::Submit(it) | MessageKey::Other(it) if it == call))
         };
         let is_queue_stalled = |queue: &VecDeque<Outgoing>| {
             queue
                 .front()
-                .is_some_and(|outgoing| now - outgoing.progress > RETRANSMIT_TIMEOUT_MS)
+                .is_some_and(|outgoing| now - outgoing.last_progress > RETRANSMIT_TIMEOUT_MS)
         };
         self.outgoing
             .values()
-            .any(|queue| is_queue_stalled(queue) && log_contains(queue))
+            .any(|queue| is_queue_stalled(queue) && contains_call(queue))
     }
 
     /// Whether a long message is being received from a process.
     pub(crate) fn is_receiving(&self, from: &Address) -> bool {
-        self.incoming.get(from).is_some_and(Incoming::is_under_way)
+        self.incoming
+            .get(from)
+            .is_some_and(Incoming::is_in_progress)
     }
 
     /// When a fragment of a process was last received, in milliseconds.
-    pub(crate) fn progress(&self, from: &Address) -> Option<f64> {
-        self.incoming.get(from).map(|incoming| incoming.progress)
+    pub(crate) fn last_progress(&self, from: &Address) -> Option<f64> {
+        self.incoming
+            .get(from)
+            .map(|incoming| incoming.last_progress)
     }
 
     /// Bytes buffered for long messages.
--- a/crates/sandtrack-replication/src/fragments/outgoing.rs
+++ b/crates/sandtrack-replication/src/fragments/outgoing.rs
@@ -21,21 +21,21 @@
 pub(super) struct SendWindow {
     pub(super) window: u64,
     /// The shortest time between a fragment and its acknowledgement, in milliseconds.
-    pub(super) fastest: f64,
+    pub(super) min_rtt_ms: f64,
 }
 
 impl SendWindow {
     pub(super) fn new() -> Self {
         Self {
             window: MIN_WINDOW_BYTES,
-            fastest: f64::INFINITY,
+            min_rtt_ms: f64::INFINITY,
         }
     }
 
     /// A fragment was acknowledged this many milliseconds after it was sent.
-    pub(super) fn acknowledged(&mut self, took: f64) {
-        self.fastest = self.fastest.min(took);
-        let is_queued = took > self.fastest + MAX_QUEUEING_DELAY_MS;
+    pub(super) fn acknowledged(&mut self, rtt_ms: f64) {
+        self.min_rtt_ms = self.min_rtt_ms.min(rtt_ms);
+        let is_queued = rtt_ms > self.min_rtt_ms + MAX_QUEUEING_DELAY_MS;
         let next = if is_queued {
             self.window - FRAGMENT_BYTES as u64
         } else {
@@ -50,17 +50,17 @@
 pub(super) struct Outgoing {
     pub(super) id: u64,
     pub(super) epoch: u64,
-    pub(super) topic: MessageKey,
+    pub(super) key: MessageKey,
     pub(super) bytes: Vec<u8>,
     /// Up to which byte it was sent, and acknowledged.
     pub(super) sent: u64,
     pub(super) acknowledged: u64,
     /// When each byte offset was sent; retransmissions are not included.
-    pub(super) times: VecDeque<(u64, f64)>,
+    pub(super) send_times: VecDeque<(u64, f64)>,
     /// When it was last acknowledged, or retransmitted.
-    pub(super) moved: f64,
+    pub(super) last_activity: f64,
     /// When an acknowledgement last brought it forward.
-    pub(super) progress: f64,
+    pub(super) last_progress: f64,
 }
 
 impl Outgoing {
@@ -73,7 +73,7 @@
             let end = (start + FRAGMENT_BYTES).min(self.bytes.len());
             fragments_to_send.push((self.sent, self.bytes[start..end].to_vec()));
             self.sent = end as u64;
-            self.times.push_back((self.sent, now));
+            self.send_times.push_back((self.sent, now));
         }
         fragments_to_send
     }
@@ -82,23 +82,25 @@
     pub(super) fn on_acknowledged(&mut self, now: f64, received: u64) -> Option<f64> {
         self.acknowledged = received;
         self.sent = self.sent.max(received);
-        (self.moved, self.progress) = (now, now);
-        let mut took = None;
+        (self.last_activity, self.last_progress) = (now, now);
+        let mut rtt_ms = None;
         while let Some((_, sent)) = self.pop_send_time(received) {
-            took = Some(now - sent);
+            rtt_ms = Some(now - sent);
         }
-        took
+        rtt_ms
     }
 
     pub(super) fn pop_send_time(&mut self, received: u64) -> Option<(u64, f64)> {
-        self.times.front().filter(|(end, _)| *end <= received)?;
-        self.times.pop_front()
+        self.send_times
+            .front()
+            .filter(|(end, _)| *end <= received)?;
+        self.send_times.pop_front()
     }
 
     /// What is not acknowledged is sent once more.
     pub(super) fn rewind_to_acknowledged(&mut self, now: f64) {
         self.sent = self.acknowledged;
-        self.moved = now;
-        self.times.clear();
+        self.last_activity = now;
+        self.send_times.clear();
     }
 }
--- a/crates/sandtrack-replication/src/fragments/transport.rs
+++ b/crates/sandtrack-replication/src/fragments/transport.rs
@@ -28,7 +28,7 @@
         message: Message,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(topic) = message.body.fragmentation_key() else {
+        let Some(key) = message.body.fragmentation_key() else {
             effects.push(Effect::Send {
                 to: to.clone(),
                 message,
@@ -36,23 +36,23 @@
             return;
         };
         let queue = self.fragments.outgoing.entry(to.clone()).or_default();
-        let waiting: usize = queue.iter().map(|outgoing| outgoing.bytes.len()).sum();
-        let is_there = queue.iter().any(|outgoing| outgoing.topic == topic);
-        if is_there || waiting > MAX_QUEUED_BYTES {
+        let queued_bytes: usize = queue.iter().map(|outgoing| outgoing.bytes.len()).sum();
+        let is_queued_already = queue.iter().any(|outgoing| outgoing.key == key);
+        if is_queued_already || queued_bytes > MAX_QUEUED_BYTES {
             return; // whoever wants it sends it again
         }
         self.fragments.last_id += 1;
         queue.push_back(Outgoing {
             id: self.fragments.last_id,
             epoch: message.epoch,
-            topic,
+            key,
             // Writing into memory can't fail.
             bytes: borsh::to_vec(&message).unwrap_or_default(),
             sent: 0,
             acknowledged: 0,
-            times: VecDeque::new(),
-            moved: self.now,
-            progress: self.now,
+            send_times: VecDeque::new(),
+            last_activity: self.now,
+            last_progress: self.now,
         });
         self.send_fragments(to, effects);
     }
@@ -112,21 +112,21 @@
             if id < incoming.id {
                 return; // the sender gave it up
             }
-            incoming.take(offset, bytes);
-            incoming.progress = self.now;
+            incoming.add_fragment(offset, bytes);
+            incoming.last_progress = self.now;
         }
         let received = if id > incoming.finished {
             incoming.received()
         } else {
             length
         };
-        let mut whole = None;
+        let mut complete = None;
         if id > incoming.finished && received >= length {
             incoming.finished = id;
-            whole = Some(std::mem::take(&mut incoming.bytes));
+            complete = Some(std::mem::take(&mut incoming.bytes));
         }
         self.send(&sender.address, Body::FragmentAck { id, received }, effects);
-        let message = whole.and_then(|bytes| borsh::from_slice::<Message>(&bytes).ok());
+        let message = complete.and_then(|bytes| borsh::from_slice::<Message>(&bytes).ok());
         // A message of this kind within another is none of ours.
         if let Some(message) = message.filter(|message| message.body.fragmentation_key().is_some())
         {
@@ -149,18 +149,20 @@
             return;
         };
         if received > outgoing.acknowledged {
-            let took = outgoing.on_acknowledged(now, received);
-            let pace = self
+            let rtt_ms = outgoing.on_acknowledged(now, received);
+            let send_window = self
                 .fragments
                 .windows
                 .entry(sender.address.clone())
                 .or_insert_with(SendWindow::new);
-            took.into_iter().for_each(|took| pace.acknowledged(took));
+            rtt_ms
+                .into_iter()
+                .for_each(|rtt_ms| send_window.acknowledged(rtt_ms));
         }
         if outgoing.acknowledged >= outgoing.bytes.len() as u64 {
             queue.pop_front();
             if let Some(next) = queue.front_mut() {
-                (next.moved, next.progress) = (now, now);
+                (next.last_activity, next.last_progress) = (now, now);
             }
         }
         self.send_fragments(&sender.address, effects);
@@ -169,28 +171,30 @@
     /// Sends again what was not acknowledged, and gives up what gets nowhere.
     pub(crate) fn retransmit_fragments(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
-        let is_moving = |queue: &VecDeque<Outgoing>| {
+        let is_progressing = |queue: &VecDeque<Outgoing>| {
             queue
                 .front()
-                .is_some_and(|outgoing| now - outgoing.progress <= ABANDON_TIMEOUT_MS)
+                .is_some_and(|outgoing| now - outgoing.last_progress <= ABANDON_TIMEOUT_MS)
         };
-        self.fragments.outgoing.retain(|_, queue| is_moving(queue));
+        self.fragments
+            .outgoing
+            .retain(|_, queue| is_progressing(queue));
         for incoming in self.fragments.incoming.values_mut() {
-            if incoming.is_under_way() && now - incoming.progress > ABANDON_TIMEOUT_MS {
+            if incoming.is_in_progress() && now - incoming.last_progress > ABANDON_TIMEOUT_MS {
                 incoming.begin(incoming.finished);
             }
         }
-        let mut late = Vec::new();
+        let mut stalled = Vec::new();
         for (address, queue) in &mut self.fragments.outgoing {
             if let Some(outgoing) = queue
                 .front_mut()
-                .filter(|outgoing| now - outgoing.moved > RETRANSMIT_TIMEOUT_MS)
+                .filter(|outgoing| now - outgoing.last_activity > RETRANSMIT_TIMEOUT_MS)
             {
                 outgoing.rewind_to_acknowledged(now);
-                late.push(address.clone());
+                stalled.push(address.clone());
             }
         }
-        for address in late {
+        for address in stalled {
             self.send_fragments(&address, effects);
         }
     }
--- a/crates/sandtrack-replication/src/heartbeat.rs
+++ b/crates/sandtrack-replication/src/heartbeat.rs
@@ -6,13 +6,13 @@
 
 impl<M: StateMachine> Replica<M> {
     pub(crate) fn status(&self) -> Status {
-        let mut hears = self
+        let mut heard_from = self
             .peers
             .heard_within(self.now, self.settings.timings.failure_timeout);
         let members = self.latest_view.addresses();
         if !members.is_empty() && !members.contains(&self.me.address) {
             // Nobody uses what observers hear of each other.
-            hears.retain(|address| members.contains(address));
+            heard_from.retain(|address| members.contains(address));
         }
         Status {
             zone: self.settings.zone.clone(),
@@ -26,7 +26,7 @@
             } else {
                 0
             },
-            hears,
+            heard_from,
             source: self.source.clone(),
         }
     }
@@ -68,13 +68,13 @@
     pub(crate) fn send_heartbeats(&mut self, effects: &mut Vec<Effect>) {
         let timings = &self.settings.timings;
         let members = self.latest_view.addresses();
-        let inside = members.contains(&self.me.address);
+        let is_member = members.contains(&self.me.address);
         let mut to = if self.latest_view.epoch == 0 {
             self.settings.seeds.clone()
         } else {
             members.clone()
         };
-        if inside || self.latest_view.epoch == 0 {
+        if is_member || self.latest_view.epoch == 0 {
             let others = self
                 .peers
                 .heard_within(self.now, timings.failure_timeout * 3.0);
@@ -85,20 +85,21 @@
             );
         }
         // Many observers get it less often.
-        let slower = 1.0 + to.len().saturating_sub(members.len()) as f64 / 16.0;
+        let observer_factor = 1.0 + to.len().saturating_sub(members.len()) as f64 / 16.0;
         for address in to {
-            let (sent, span) = match self.peers.all.get(&address) {
-                Some(peer) if members.contains(&address) && inside => (peer.status_sent_at, 1.0),
-                Some(peer) => (peer.status_sent_at, slower),
-                None => (self.last_unheard_heartbeat, 1.0),
+            let (sent, factor) = match self.peers.all.get(&address) {
+                Some(peer) if members.contains(&address) && is_member => (peer.status_sent_at, 1.0),
+                Some(peer) => (peer.status_sent_at, observer_factor),
+                None => (self.last_heartbeat_to_unknown, 1.0),
             };
-            if self.now - sent >= self.settings.timings.heartbeat_interval * span - 1.0 {
+            if self.now - sent >= self.settings.timings.heartbeat_interval * factor - 1.0 {
                 self.send_status(&address, effects);
             }
         }
-        if self.now - self.last_unheard_heartbeat >= self.settings.timings.heartbeat_interval - 1.0
+        if self.now - self.last_heartbeat_to_unknown
+            >= self.settings.timings.heartbeat_interval - 1.0
         {
-            self.last_unheard_heartbeat = self.now;
+            self.last_heartbeat_to_unknown = self.now;
         }
     }
 
--- a/crates/sandtrack-replication/src/log_sync.rs
+++ b/crates/sandtrack-replication/src/log_sync.rs
@@ -22,9 +22,9 @@
 
 #[derive(Clone, Debug, BorshSerialize)]
 pub(crate) struct LogSync {
-    asked: f64,
+    requested_at: f64,
     /// When the sync last progressed, or could not because the predecessor itself was not in sync.
-    progress: f64,
+    last_progress: f64,
     /// What the predecessor sent, until it is written.
     received: Option<SyncBatch>,
     /// When this member last asked the others to continue without it.
@@ -35,8 +35,8 @@
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
         Self {
-            asked: never,
-            progress: f64::INFINITY,
+            requested_at: never,
+            last_progress: f64::INFINITY,
             received: None,
             gave_up_at: never,
         }
@@ -63,11 +63,11 @@
             return;
         }
         self.update_sync_progress();
-        let lately = self.snapshot_transfers.is_fetching()
-            || self.now - self.log_sync.asked < SYNC_RETRY_INTERVAL_MS;
+        let requested_recently = self.snapshot_transfers.is_fetching()
+            || self.now - self.log_sync.requested_at < SYNC_RETRY_INTERVAL_MS;
         // Entries in transit, or being written, are not requested again.
         let busy = |predecessor: &&Member| {
-            lately
+            requested_recently
                 || self.disk.is_writing_log()
                 || self.fragments.is_receiving(&predecessor.address)
         };
@@ -75,10 +75,10 @@
             .durable
             .view
             .predecessor(&self.me)
-            .filter(|it| !busy(it))
+            .filter(|predecessor| !busy(predecessor))
             .cloned()
         {
-            self.log_sync.asked = self.now;
+            self.log_sync.requested_at = self.now;
             let body = Body::SyncRequest {
                 epoch_ends: self.durable.epoch_ends(),
                 applied: self.applied.position,
@@ -89,7 +89,7 @@
 
     /// As `request_log_sync`, without waiting for the retry interval.
     pub(crate) fn request_log_sync_now(&mut self, effects: &mut Vec<Effect>) {
-        self.log_sync.asked = f64::NEG_INFINITY;
+        self.log_sync.requested_at = f64::NEG_INFINITY;
         self.request_log_sync(effects);
     }
 
@@ -107,15 +107,15 @@
                         .as_ref()
                         .is_some_and(|status| status.in_sync_epoch == epoch)
             });
-        if !is_in_sync || self.log_sync.progress > self.now {
-            self.log_sync.progress = self.now;
+        if !is_in_sync || self.log_sync.last_progress > self.now {
+            self.log_sync.last_progress = self.now;
         }
-        let piece = predecessor.and_then(|member| self.fragments.progress(&member.address));
-        let pieces = [self.snapshot_transfers.progress(), piece]
+        let fragment = predecessor.and_then(|member| self.fragments.last_progress(&member.address));
+        let transfers = [self.snapshot_transfers.last_progress(), fragment]
             .into_iter()
             .flatten();
-        self.log_sync.progress = pieces.fold(self.log_sync.progress, f64::max);
-        if self.now - self.log_sync.progress > SYNC_STALL_TIMEOUT_MS {
+        self.log_sync.last_progress = transfers.fold(self.log_sync.last_progress, f64::max);
+        if self.now - self.log_sync.last_progress > SYNC_STALL_TIMEOUT_MS {
             self.log_sync.gave_up_at = self.now;
         }
     }
@@ -261,7 +261,7 @@
 
     /// After a batch was written that was not the last one.
     pub(crate) fn on_log_extended(&mut self, effects: &mut Vec<Effect>) {
-        self.log_sync.progress = self.now;
+        self.log_sync.last_progress = self.now;
         self.request_log_sync_now(effects);
     }
 
@@ -270,7 +270,7 @@
         if !self.is_in_sync() {
             return;
         }
-        self.chain.floor = self.durable.last_position().number;
+        self.chain.initial_end = self.durable.last_position().number;
         self.ack(effects);
         if let Some(successor) = self.durable.view.successor(&self.me).cloned() {
             self.send_status(&successor.address, effects);
--- a/crates/sandtrack-replication/src/message.rs
+++ b/crates/sandtrack-replication/src/message.rs
@@ -152,7 +152,7 @@
     /// applied as an observer is not included: that may be of a later epoch, and differ from the log.
     pub(crate) confirmed: u64,
     /// Whom it heard from recently.
-    pub(crate) hears: Vec<Address>,
+    pub(crate) heard_from: Vec<Address>,
     /// From whom it wants committed entries.
     pub(crate) source: Option<Address>,
 }
--- a/crates/sandtrack-replication/src/message_display.rs
+++ b/crates/sandtrack-replication/src/message_display.rs
@@ -181,7 +181,7 @@
             DiskHealth::CatchingUp => write!(f, ", catching up")?,
             DiskHealth::Leaving => write!(f, ", leaving")?,
         }
-        write!(f, ", hears [{}]", self.hears.join(" "))?;
+        write!(f, ", hears [{}]", self.heard_from.join(" "))?;
         match &self.source {
             Some(source) => write!(f, ", learns from {source}"),
             None => Ok(()),
--- a/crates/sandtrack-replication/src/observer.rs
+++ b/crates/sandtrack-replication/src/observer.rs
@@ -29,7 +29,7 @@
 
 impl ObserverState {
     /// Keeps an entry that is not the next one, as long as there are few.
-    fn keep(&mut self, entry: Entry) {
+    fn buffer_out_of_order(&mut self, entry: Entry) {
         if self.out_of_order.len() < MAX_OUT_OF_ORDER_ENTRIES && entry.size() <= MAX_BATCH_BYTES {
             self.out_of_order.insert(entry.position.number, entry);
         }
@@ -39,7 +39,7 @@
 impl<M: StateMachine> Replica<M> {
     /// Picks the replication source: a member of the chain that was heard recently, or else any process that has applied more.
     pub(crate) fn choose_replication_source(&mut self) {
-        let near = self
+        let live_peers = self
             .peers
             .heard_within(self.now, self.settings.timings.failure_timeout * 2.0);
         if self.is_in_chain() {
@@ -47,15 +47,15 @@
             return;
         }
         let chain = &self.latest_view.chain;
-        let fits = |address: &Address| {
-            near.contains(address) && chain.iter().any(|member| member.address == *address)
+        let is_usable = |address: &Address| {
+            live_peers.contains(address) && chain.iter().any(|member| member.address == *address)
         };
-        if self.source.as_ref().is_some_and(fits) {
+        if self.source.as_ref().is_some_and(is_usable) {
             return;
         }
         let sum: usize = self.me.address.bytes().map(usize::from).sum();
-        let turned = (0..chain.len()).map(|step| &chain[(sum + step) % chain.len()].address);
-        let knows_more = |address: &&Address| {
+        let rotated = (0..chain.len()).map(|step| &chain[(sum + step) % chain.len()].address);
+        let is_ahead = |address: &&Address| {
             let status = self
                 .peers
                 .all
@@ -63,10 +63,10 @@
                 .and_then(|peer| peer.status.as_ref());
             status.is_some_and(|status| status.applied > self.applied.position.number)
         };
-        let source = turned
+        let source = rotated
             .into_iter()
-            .find(|address| fits(address))
-            .or_else(|| near.iter().find(knows_more));
+            .find(|address| is_usable(address))
+            .or_else(|| live_peers.iter().find(is_ahead));
         self.source = source.cloned();
     }
 
@@ -84,8 +84,8 @@
         let Some(peer) = self.peers.all.get_mut(to) else {
             return;
         };
-        let moved = status.applied > peer.observer_progress.applied;
-        if moved || peer.observer_progress.sent <= status.applied {
+        let has_progressed = status.applied > peer.observer_progress.applied;
+        if has_progressed || peer.observer_progress.sent <= status.applied {
             peer.observer_progress = ObserverProgress {
                 applied: status.applied,
                 since: self.now,
@@ -94,12 +94,12 @@
         }
         let observer_progress = peer.observer_progress;
         // What is sent meanwhile does not count: while changes keep coming, a gap before them would never be filled.
-        let under_way = self
+        let in_flight_bytes = self
             .durable
             .bytes_between(status.applied, observer_progress.sent);
-        let patience = self.settings.timings.retry_interval * 2.0
-            + under_way as f64 / SLOWEST_LINK_BYTES_PER_MS;
-        let is_lost = self.now - observer_progress.since > patience;
+        let timeout = self.settings.timings.retry_interval * 2.0
+            + in_flight_bytes as f64 / SLOWEST_LINK_BYTES_PER_MS;
+        let is_lost = self.now - observer_progress.since > timeout;
         let after = if is_lost {
             status.applied
         } else {
@@ -114,7 +114,7 @@
             return self.offer_snapshot(to, effects);
         }
         // More is sent once the observer reports some of what is in flight.
-        if after > status.applied && under_way > MAX_IN_FLIGHT_BYTES {
+        if after > status.applied && in_flight_bytes > MAX_IN_FLIGHT_BYTES {
             return;
         }
         let entries = self.durable.batch(after, last, MAX_BATCH_BYTES);
@@ -135,16 +135,16 @@
 
     /// Sends newly committed entries to all observers whose source is this process.
     pub(crate) fn update_observers(&mut self, effects: &mut Vec<Effect>) {
-        let silence = self.settings.timings.failure_timeout * 3.0;
-        let learners: Vec<(Address, Status)> = self
+        let timeout = self.settings.timings.failure_timeout * 3.0;
+        let observers: Vec<(Address, Status)> = self
             .peers
             .all
             .iter()
-            .filter(|(_, peer)| self.now - peer.last_heard <= silence)
+            .filter(|(_, peer)| self.now - peer.last_heard <= timeout)
             .filter_map(|(address, peer)| Some((address.clone(), peer.status.clone()?)))
             .filter(|(_, status)| status.source.as_ref() == Some(&self.me.address))
             .collect();
-        for (address, status) in learners {
+        for (address, status) in observers {
             self.send_committed_entries(&address, &status, effects);
         }
     }
@@ -165,7 +165,7 @@
             {
                 Ordering::Less => {}
                 Ordering::Equal => self.apply_committed(&entry, effects),
-                Ordering::Greater => self.observer.keep(entry),
+                Ordering::Greater => self.observer.buffer_out_of_order(entry),
             }
         }
         self.observer
@@ -196,17 +196,17 @@
     /// Whether a process with a disk that is not in sync lacks only what the log holds: if the log were compacted, it would
     /// have to fetch the whole state.
     pub(crate) fn is_log_needed_by_peer(&self) -> bool {
-        let lacking = self.durable.log_start.number..self.applied.position.number;
-        let near = self
+        let retained = self.durable.log_start.number..self.applied.position.number;
+        let live_peers = self
             .peers
             .all
             .values()
             .filter(|peer| self.now - peer.last_heard <= self.settings.timings.failure_timeout);
-        let mut statuses = near.filter_map(|peer| peer.status.as_ref());
+        let mut statuses = live_peers.filter_map(|peer| peer.status.as_ref());
         statuses.any(|status| {
             let may_join = status.disk != DiskHealth::Absent
                 && status.in_sync_epoch != self.durable.view.epoch;
-            may_join && lacking.contains(&status.applied)
+            may_join && retained.contains(&status.applied)
         })
     }
 
--- a/crates/sandtrack-replication/src/paxos/proposer.rs
+++ b/crates/sandtrack-replication/src/paxos/proposer.rs
@@ -178,7 +178,7 @@
             {
                 self.abandon_proposal();
             } else if self.now - proposal.sent_at > self.settings.timings.retry_interval {
-                self.repeat_proposal(effects);
+                self.resend_proposal(effects);
             }
             return;
         }
@@ -189,19 +189,21 @@
             .accepted
             .clone()
             .map(|(_, view)| (view, ChangeReason::UnfinishedProposal));
-        let known = self.peer_states();
-        let Some((view, reason)) = self.next_view(&known).or(unfinished) else {
+        let peers = self.peer_states();
+        let Some((view, reason)) = self.next_view(&peers).or(unfinished) else {
             self.proposer.wanted = None;
             self.proposer.consecutive_failures = 0;
             return;
         };
-        let since = match &self.proposer.wanted {
-            Some((wanted, since)) if wanted.chain == view.chain && wanted.voters == view.voters => {
-                *since
+        let wanted_since = match &self.proposer.wanted {
+            Some((wanted, wanted_since))
+                if wanted.chain == view.chain && wanted.voters == view.voters =>
+            {
+                *wanted_since
             }
             _ => self.now,
         };
-        self.proposer.wanted = Some((view, since));
+        self.proposer.wanted = Some((view, wanted_since));
         let jitter = match self.proposer.jitter {
             Some(jitter) => jitter,
             None => self.random.next_unit_f64() * 0.5,
@@ -213,10 +215,10 @@
             ChangeReason::NeighboursDisconnected => self.settings.timings.failure_timeout,
             ChangeReason::UnfinishedProposal => self.settings.timings.proposal_timeout / 2.0,
         };
-        let stagger = (self.rank(&known) as f64 + jitter) * self.settings.timings.proposer_stagger;
+        let stagger = (self.rank(&peers) as f64 + jitter) * self.settings.timings.proposer_stagger;
         if self.now >= self.proposer.backoff_until
-            && self.now - since >= wait + stagger
-            && self.is_majority_connected(&known)
+            && self.now - wanted_since >= wait + stagger
+            && self.is_majority_connected(&peers)
         {
             self.propose(effects);
         }
@@ -256,7 +258,7 @@
     }
 
     /// Sends the messages of the current phase again to the voters that have not answered.
-    fn repeat_proposal(&mut self, effects: &mut Vec<Effect>) {
+    fn resend_proposal(&mut self, effects: &mut Vec<Effect>) {
         let voters = self.durable.view.voters.clone();
         let Some(proposal) = &mut self.proposer.proposal else {
             return;
@@ -290,11 +292,11 @@
     }
 
     /// The rank of this process among the voters that may propose: the chain first, then the rest.
-    fn rank(&self, known: &BTreeMap<Address, PeerState>) -> usize {
+    fn rank(&self, peers: &BTreeMap<Address, PeerState>) -> usize {
         let alive = |member: &&Member| {
-            known
+            peers
                 .get(&member.address)
-                .is_some_and(|known| known.is_alive(member))
+                .is_some_and(|peer| peer.is_alive(member))
         };
         let view = &self.durable.view;
         let rest = view
@@ -313,22 +315,22 @@
     }
 
     /// Whether a majority of the voters is heard, hears this process, and can write.
-    fn is_majority_connected(&self, known: &BTreeMap<Address, PeerState>) -> bool {
-        let near = self.durable.view.voters.iter().filter(|voter| {
-            known
+    fn is_majority_connected(&self, peers: &BTreeMap<Address, PeerState>) -> bool {
+        let connected = self.durable.view.voters.iter().filter(|voter| {
+            peers
                 .get(&voter.address)
-                .is_some_and(|known| known.is_alive(voter) && known.can_write())
+                .is_some_and(|peer| peer.is_alive(voter) && peer.can_write())
         });
-        near.count() >= self.durable.view.majority()
+        connected.count() >= self.durable.view.majority()
     }
 
     /// The view that should follow, as far as this process can see.
-    fn next_view(&self, known: &BTreeMap<Address, PeerState>) -> Option<(View, ChangeReason)> {
-        let limits = ReconfigurationPolicy {
+    fn next_view(&self, peers: &BTreeMap<Address, PeerState>) -> Option<(View, ChangeReason)> {
+        let policy = ReconfigurationPolicy {
             tolerated_machine_losses: self.settings.tolerated_machine_losses,
             tolerated_zone_losses: self.settings.tolerated_zone_losses,
             voter_replacement_timeout: self.settings.timings.voter_replacement_timeout,
         };
-        next_view(&self.durable.view, &self.me, known, &limits)
+        next_view(&self.durable.view, &self.me, peers, &policy)
     }
 }
--- a/crates/sandtrack-replication/src/peers.rs
+++ b/crates/sandtrack-replication/src/peers.rs
@@ -74,8 +74,8 @@
             status_sent_at: f64::NEG_INFINITY,
             observer_progress: ObserverProgress::default(),
         });
-        let anew = (peer.start, peer.incarnation) != (start, incarnation);
-        if anew {
+        let is_new_process = (peer.start, peer.incarnation) != (start, incarnation);
+        if is_new_process {
             peer.start = start;
             peer.incarnation = incarnation;
             peer.epoch = epoch;
@@ -93,7 +93,7 @@
         }
         peer.epoch = peer.epoch.max(epoch);
         peer.highest_epoch = peer.highest_epoch.max(highest_epoch);
-        anew
+        is_new_process
     }
 
     pub(crate) fn status(&mut self, now: f64, from: &Address, me: &Address, status: Status) {
@@ -103,7 +103,7 @@
             .filter(|peer| peer.sent >= peer.latest_status)
         {
             peer.latest_status = peer.sent;
-            if status.hears.contains(me) {
+            if status.heard_from.contains(me) {
                 peer.listed_at = now;
             }
             peer.status = Some(status);
--- a/crates/sandtrack-replication/src/reconfiguration/joiners.rs
+++ b/crates/sandtrack-replication/src/reconfiguration/joiners.rs
@@ -15,33 +15,33 @@
     view: &View,
     next: &mut View,
     me: &Member,
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) -> bool {
-    let full = MIN_FULL_CHAIN_LENGTH.max(2 * limits.tolerated_machine_losses + 1);
+    let target_length = MIN_FULL_CHAIN_LENGTH.max(2 * policy.tolerated_machine_losses + 1);
     let mut joined = false;
     let is_leaving = |member: &&Member| {
-        known
+        peers
             .get(&member.address)
             .is_some_and(PeerState::is_leaving)
     };
     // A member that is about to leave, and has to wait for others, takes no place of theirs.
-    let full = full + next.chain.iter().filter(is_leaving).count();
-    while next.chain.len() < full {
-        let Some(member) = choose_joiner(view, next, me, known, limits) else {
+    let target_length = target_length + next.chain.iter().filter(is_leaving).count();
+    while next.chain.len() < target_length {
+        let Some(member) = choose_joiner(view, next, me, peers, policy) else {
             break;
         };
-        push(next, member, known);
+        push(next, member, peers);
         joined = true;
     }
     joined
 }
 
-pub(super) fn push(next: &mut View, member: Member, known: &PeerStates) {
+pub(super) fn push(next: &mut View, member: Member, peers: &PeerStates) {
     next.zones.push(
-        known
+        peers
             .get(&member.address)
-            .map(|it| it.zone.clone())
+            .map(|peer| peer.zone.clone())
             .unwrap_or_default(),
     );
     next.since.push(next.epoch);
@@ -53,35 +53,35 @@
     view: &View,
     next: &View,
     me: &Member,
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) -> Option<Member> {
-    let newest = known
+    let max_applied = peers
         .values()
-        .filter(|it| it.is_connected)
-        .map(|it| it.applied)
+        .filter(|peer| peer.is_connected)
+        .map(|peer| peer.applied)
         .max()
         .unwrap_or(0);
-    let needed = !next.may_commit(
-        limits.tolerated_machine_losses,
-        limits.tolerated_zone_losses,
+    let is_needed = !next.may_commit(
+        policy.tolerated_machine_losses,
+        policy.tolerated_zone_losses,
     );
     let tail = next.chain.last()?;
-    let ready = known.iter().filter_map(|(address, it)| {
-        let member = ready(view, address, it, known)?;
+    let candidates = peers.iter().filter_map(|(address, peer)| {
+        let member = eligible_member(view, address, peer, peers)?;
         // The chain can't go on while a member fetches the state, so also one that is needed does so before.
-        let fresh = it.disk != DiskHealth::CatchingUp
-            && (needed || it.applied + MAX_JOINER_LAG_ENTRIES >= newest);
-        let linked = known
+        let is_caught_up = peer.disk != DiskHealth::CatchingUp
+            && (is_needed || peer.applied + MAX_JOINER_LAG_ENTRIES >= max_applied);
+        let is_linked = peers
             .get(&tail.address)
             .is_some_and(|tail| tail.is_connected)
-            && are_connected(&tail.address, address, known);
-        (fresh && linked && !next.chain.contains(&member)).then_some((member, it))
+            && are_connected(&tail.address, address, peers);
+        (is_caught_up && is_linked && !next.chain.contains(&member)).then_some((member, peer))
     });
-    let best = ready.min_by_key(|(member, it)| {
-        let zone_there = !it.zone.is_empty() && next.zones.contains(&it.zone);
+    let best = candidates.min_by_key(|(member, peer)| {
+        let zone_present = !peer.zone.is_empty() && next.zones.contains(&peer.zone);
         (
-            zone_there,
+            zone_present,
             !view.voters.contains(member),
             member != me,
             member.address.clone(),
@@ -91,26 +91,26 @@
 }
 
 /// The process as a member, if it may enter the chain: it is connected, has this view, and can write.
-pub(super) fn ready(
+pub(super) fn eligible_member(
     view: &View,
     address: &Address,
-    it: &PeerState,
-    known: &PeerStates,
+    peer: &PeerState,
+    peers: &PeerStates,
 ) -> Option<Member> {
-    let without_disk = |it: &PeerState| it.disk == DiskHealth::Absent;
-    let all_without = || {
+    let has_no_disk = |peer: &PeerState| peer.disk == DiskHealth::Absent;
+    let chain_has_no_disks = || {
         view.chain
             .iter()
-            .filter_map(|member| known.get(&member.address))
-            .all(without_disk)
+            .filter_map(|member| peers.get(&member.address))
+            .all(has_no_disk)
     };
-    let fits = it.is_connected
-        && it.epoch == view.epoch
-        && it.disk_works()
-        && (!without_disk(it) || all_without());
-    fits.then_some(Member {
+    let is_eligible = peer.is_connected
+        && peer.epoch == view.epoch
+        && peer.disk_works()
+        && (!has_no_disk(peer) || chain_has_no_disks());
+    is_eligible.then_some(Member {
         address: address.clone(),
-        incarnation: it.incarnation?,
+        incarnation: peer.incarnation?,
     })
 }
 
@@ -120,8 +120,8 @@
     view: &View,
     next: &mut View,
     me: &Member,
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) -> bool {
     let duplicate_zone = (0..next.chain.len()).rev().find(|position| {
         next.zones[..*position].contains(&next.zones[*position])
@@ -139,15 +139,15 @@
         .iter()
         .filter(|since| **since < other.epoch)
         .count();
-    let joiner = choose_joiner(view, &other, me, known, limits).filter(|joiner| {
-        known
+    let joiner = choose_joiner(view, &other, me, peers, policy).filter(|joiner| {
+        peers
             .get(&joiner.address)
-            .is_some_and(|it| !it.zone.is_empty() && !other.zones.contains(&it.zone))
+            .is_some_and(|peer| !peer.zone.is_empty() && !other.zones.contains(&peer.zone))
     });
-    let Some(joiner) = joiner.filter(|_| complete > limits.tolerated_machine_losses) else {
+    let Some(joiner) = joiner.filter(|_| complete > policy.tolerated_machine_losses) else {
         return false;
     };
-    push(&mut other, joiner, known);
+    push(&mut other, joiner, peers);
     *next = other;
     true
 }
--- a/crates/sandtrack-replication/src/reconfiguration/mod.rs
+++ b/crates/sandtrack-replication/src/reconfiguration/mod.rs
@@ -43,26 +43,26 @@
 pub(crate) fn next_view(
     view: &View,
     me: &Member,
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) -> Option<(View, ChangeReason)> {
-    let survivors = surviving_members(view, me, known);
-    let survivors = without_leaving_members(view, survivors, known, limits);
+    let survivors = surviving_members(view, me, peers);
+    let survivors = without_leaving_members(view, survivors, peers, policy);
     let lost = survivors.len() < view.chain.len();
-    let (survivors, disconnected) = without_disconnected(survivors, known);
-    let mut next = view_of_survivors(view, &survivors, known)?;
-    let mut joined = add_joiners(view, &mut next, me, known, limits);
-    if limits.tolerated_zone_losses > 0 && !lost && !disconnected && !joined {
-        joined = improve_zone_spread(view, &mut next, me, known, limits);
+    let (survivors, disconnected) = without_disconnected(survivors, peers);
+    let mut next = view_of_survivors(view, &survivors, peers)?;
+    let mut joined = add_joiners(view, &mut next, me, peers, policy);
+    if policy.tolerated_zone_losses > 0 && !lost && !disconnected && !joined {
+        joined = improve_zone_spread(view, &mut next, me, peers, policy);
     }
-    choose_voters(view, &mut next, known, limits);
+    choose_voters(view, &mut next, peers, policy);
     if next.chain == view.chain && next.voters == view.voters {
         return None;
     }
     let commits = |view: &View| {
         view.may_commit(
-            limits.tolerated_machine_losses,
-            limits.tolerated_zone_losses,
+            policy.tolerated_machine_losses,
+            policy.tolerated_zone_losses,
         )
     };
     if !commits(&next) && (commits(view) || next.chain.len() <= view.chain.len()) {
@@ -78,16 +78,20 @@
 
 /// Whether `me`, which is shutting down, has to stay until the others can continue without it: it is in the chain (see
 /// [`without_leaving_members`]), or the voters have no majority without it.
-pub(crate) fn is_needed(view: &View, me: &Member, known: &PeerStates) -> bool {
+pub(crate) fn is_needed(view: &View, me: &Member, peers: &PeerStates) -> bool {
     let mut members = view.chain.iter().chain(&view.voters);
     if members.all(|member| member == me) {
         return false; // nobody could take its place
     }
     let stays = |voter: &&Member| {
-        let it = known.get(&voter.address).filter(|it| it.is_alive(voter));
+        let peer = peers
+            .get(&voter.address)
+            .filter(|peer| peer.is_alive(voter));
         // One of the chain that is about to leave has to stay as well.
         *voter != me
-            && it.is_some_and(|it| it.disk_works() || it.is_leaving() && view.chain.contains(voter))
+            && peer.is_some_and(|peer| {
+                peer.disk_works() || peer.is_leaving() && view.chain.contains(voter)
+            })
     };
     let is_vote_needed =
         || view.voters.contains(me) && view.voters.iter().filter(stays).count() < view.majority();
--- a/crates/sandtrack-replication/src/reconfiguration/peer_state.rs
+++ b/crates/sandtrack-replication/src/reconfiguration/peer_state.rs
@@ -15,9 +15,9 @@
     pub(crate) epoch: u64,
     pub(crate) in_sync_epoch: u64,
     pub(crate) applied: u64,
-    pub(crate) hears: Vec<Address>,
+    pub(crate) heard_from: Vec<Address>,
     /// Heard recently: what it reports is no older than that.
-    pub(crate) is_heard: bool,
+    pub(crate) is_reporting: bool,
     /// Heard recently, and hears this process.
     pub(crate) is_connected: bool,
     /// Neither for so long, while this process was awake.
@@ -27,7 +27,7 @@
 }
 
 impl PeerState {
-    pub(crate) fn never_heard(awake: f64, silence: f64) -> Self {
+    pub(crate) fn unknown(running_for: f64, failure_timeout: f64) -> Self {
         Self {
             incarnation: None,
             zone: String::new(),
@@ -35,11 +35,11 @@
             epoch: 0,
             in_sync_epoch: 0,
             applied: 0,
-            hears: Vec::new(),
-            is_heard: false,
+            heard_from: Vec::new(),
+            is_reporting: false,
             is_connected: false,
-            is_silent: awake > silence,
-            silent_for: awake,
+            is_silent: running_for > failure_timeout,
+            silent_for: running_for,
         }
     }
 
@@ -71,18 +71,18 @@
 impl<M: StateMachine> Replica<M> {
     /// What is known of each process that matters for the next view, including this one.
     pub(crate) fn peer_states(&self) -> BTreeMap<Address, PeerState> {
-        let silence = self.settings.timings.failure_timeout;
-        let mut known = BTreeMap::new();
+        let failure_timeout = self.settings.timings.failure_timeout;
+        let mut peers = BTreeMap::new();
         for address in self.durable.view.addresses() {
-            known.insert(
+            peers.insert(
                 address,
-                PeerState::never_heard(self.now - self.running_since, silence),
+                PeerState::unknown(self.now - self.running_since, failure_timeout),
             );
         }
         for (address, peer) in &self.peers.all {
-            let heard = self.now - peer.last_heard;
-            let two_way = heard.max(self.now - peer.listed_at);
-            let patience = silence + self.settings.timings.heartbeat_interval;
+            let since_received = self.now - peer.last_heard;
+            let since_two_way = since_received.max(self.now - peer.listed_at);
+            let connection_timeout = failure_timeout + self.settings.timings.heartbeat_interval;
             let Some(status) = &peer.status else {
                 continue;
             };
@@ -93,13 +93,14 @@
                 epoch: peer.epoch,
                 in_sync_epoch: status.in_sync_epoch,
                 applied: status.applied,
-                hears: status.hears.clone(),
-                is_heard: heard <= silence,
-                is_connected: heard <= silence && two_way <= patience,
-                is_silent: two_way.min(self.now - self.running_since) > silence,
-                silent_for: heard.min(self.now - self.running_since),
+                heard_from: status.heard_from.clone(),
+                is_reporting: since_received <= failure_timeout,
+                is_connected: since_received <= failure_timeout
+                    && since_two_way <= connection_timeout,
+                is_silent: since_two_way.min(self.now - self.running_since) > failure_timeout,
+                silent_for: since_received.min(self.now - self.running_since),
             };
-            known.insert(address.clone(), entry);
+            peers.insert(address.clone(), entry);
         }
         let me = self.status();
         let own = PeerState {
@@ -109,13 +110,13 @@
             epoch: self.durable.view.epoch,
             in_sync_epoch: me.in_sync_epoch,
             applied: me.applied,
-            hears: me.hears,
-            is_heard: true,
+            heard_from: me.heard_from,
+            is_reporting: true,
             is_connected: true,
             is_silent: false,
             silent_for: 0.0,
         };
-        known.insert(self.me.address.clone(), own);
-        known
+        peers.insert(self.me.address.clone(), own);
+        peers
     }
 }
--- a/crates/sandtrack-replication/src/reconfiguration/voters.rs
+++ b/crates/sandtrack-replication/src/reconfiguration/voters.rs
@@ -1,6 +1,6 @@
 //! Who votes on the view after the next.
 
-use super::joiners::ready;
+use super::joiners::eligible_member;
 use super::peer_state::{PeerState, PeerStates};
 use super::survivors::zone;
 use super::ReconfigurationPolicy;
@@ -13,20 +13,20 @@
 pub(super) fn choose_voters(
     view: &View,
     next: &mut View,
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) {
-    let most = MIN_FULL_CHAIN_LENGTH
-        .max(2 * limits.tolerated_machine_losses + 1)
+    let max_voters = MIN_FULL_CHAIN_LENGTH
+        .max(2 * policy.tolerated_machine_losses + 1)
         .max(view.voters.len());
     next.voters = view.voters.clone();
     next.voter_zones = view
         .voters
         .iter()
-        .map(|voter| zone(view, voter, known))
+        .map(|voter| zone(view, voter, peers))
         .collect();
     let is_leaving = |member: &&Member| {
-        known
+        peers
             .get(&member.address)
             .is_some_and(PeerState::is_leaving)
     };
@@ -37,9 +37,9 @@
         .cloned()
         .collect();
     candidates.extend(
-        known
+        peers
             .iter()
-            .filter_map(|(address, it)| ready(view, address, it, known)),
+            .filter_map(|(address, peer)| eligible_member(view, address, peer, peers)),
     );
     for member in &candidates {
         if next.voters.contains(member) {
@@ -53,23 +53,23 @@
             next.voters[position] = member.clone();
             continue;
         }
-        let free = (next.voters.len() < most).then_some(next.voters.len());
-        let place = replaceable_voter(next, known, limits.voter_replacement_timeout)
+        let free = (next.voters.len() < max_voters).then_some(next.voters.len());
+        let position_to_fill = replaceable_voter(next, peers, policy.voter_replacement_timeout)
             .or(free)
-            .or_else(|| colocated_voter(next, limits));
-        let Some(position) = place else {
+            .or_else(|| colocated_voter(next, policy));
+        let Some(position) = position_to_fill else {
             continue;
         };
         let mut other = next.clone();
-        set_voter(&mut other, position, member, zone(view, member, known));
-        if other.voters_survive_zone_loss(limits.tolerated_zone_losses)
-            || !next.voters_survive_zone_loss(limits.tolerated_zone_losses)
+        set_voter(&mut other, position, member, zone(view, member, peers));
+        if other.voters_survive_zone_loss(policy.tolerated_zone_losses)
+            || !next.voters_survive_zone_loss(policy.tolerated_zone_losses)
         {
             *next = other;
         }
     }
-    while next.voters.len() + 2 <= most {
-        let Some(larger) = with_two_more_voters(view, next, &candidates, known, limits) else {
+    while next.voters.len() + 2 <= max_voters {
+        let Some(larger) = with_two_more_voters(view, next, &candidates, peers, policy) else {
             break;
         };
         *next = larger;
@@ -93,8 +93,8 @@
     view: &View,
     next: &View,
     candidates: &[Member],
-    known: &PeerStates,
-    limits: &ReconfigurationPolicy,
+    peers: &PeerStates,
+    policy: &ReconfigurationPolicy,
 ) -> Option<View> {
     let outside: Vec<&Member> = candidates
         .iter()
@@ -110,39 +110,39 @@
             let mut larger = next.clone();
             for member in [one, other] {
                 let end = larger.voters.len();
-                set_voter(&mut larger, end, member, zone(view, member, known));
+                set_voter(&mut larger, end, member, zone(view, member, peers));
             }
             larger
         });
     larger
         .into_iter()
-        .find(|larger| larger.voters_survive_zone_loss(limits.tolerated_zone_losses))
+        .find(|larger| larger.voters_survive_zone_loss(policy.tolerated_zone_losses))
 }
 
 /// The voter outside the chain that has been dead for longest, or leaves.
 pub(super) fn replaceable_voter(
     next: &View,
-    known: &PeerStates,
+    peers: &PeerStates,
     voter_replacement_timeout: f64,
 ) -> Option<usize> {
-    let is_silent = |voter: &Member| {
-        known
+    let silence = |voter: &Member| {
+        peers
             .get(&voter.address)
-            .map_or(f64::MAX, |it| it.silent_for)
+            .map_or(f64::MAX, |peer| peer.silent_for)
     };
     let outside = next
         .voters
         .iter()
         .enumerate()
         .filter(|(_, voter)| !next.chain.contains(voter));
-    let dead = outside.filter(|(_, voter)| is_dead(voter, known, voter_replacement_timeout));
-    dead.max_by(|one, other| is_silent(one.1).total_cmp(&is_silent(other.1)))
+    let dead = outside.filter(|(_, voter)| is_dead(voter, peers, voter_replacement_timeout));
+    dead.max_by(|one, other| silence(one.1).total_cmp(&silence(other.1)))
         .map(|(position, _)| position)
 }
 
 /// While the loss of a zone would take the majority: the last voter outside the chain that shares its zone.
-pub(super) fn colocated_voter(next: &View, limits: &ReconfigurationPolicy) -> Option<usize> {
-    if next.voters_survive_zone_loss(limits.tolerated_zone_losses) {
+pub(super) fn colocated_voter(next: &View, policy: &ReconfigurationPolicy) -> Option<usize> {
+    if next.voters_survive_zone_loss(policy.tolerated_zone_losses) {
         return None;
     }
     (0..next.voters.len()).rev().find(|position| {
@@ -151,15 +151,17 @@
     })
 }
 
-pub(super) fn is_dead(voter: &Member, known: &PeerStates, voter_replacement_timeout: f64) -> bool {
-    let Some(it) = known.get(&voter.address) else {
+pub(super) fn is_dead(voter: &Member, peers: &PeerStates, voter_replacement_timeout: f64) -> bool {
+    let Some(peer) = peers.get(&voter.address) else {
         return true;
     };
-    let other_identity = it
+    let other_identity = peer
         .incarnation
         .is_some_and(|incarnation| incarnation != voter.incarnation);
-    let is_heard = known
+    let is_reachable = peers
         .values()
-        .any(|other| other.is_connected && other.hears.contains(&voter.address));
-    other_identity || it.is_leaving() || (it.silent_for > voter_replacement_timeout && !is_heard)
+        .any(|other| other.is_connected && other.heard_from.contains(&voter.address));
+    other_identity
+        || peer.is_leaving()
+        || (peer.silent_for > voter_replacement_timeout && !is_reachable)
 }
--- a/crates/sandtrack-replication/src/replica.rs
+++ b/crates/sandtrack-replication/src/replica.rs
@@ -50,7 +50,7 @@
     pub(crate) source: Option<Address>,
     pub(crate) observer: ObserverState,
     /// When a status was last sent to the members that were never heard.
-    pub(crate) last_unheard_heartbeat: f64,
+    pub(crate) last_heartbeat_to_unknown: f64,
     pub(crate) leaving: bool,
     /// Messages to this process itself.
     pub(crate) loopback: VecDeque<Message>,
@@ -115,7 +115,7 @@
             calls: Calls::default(),
             source: None,
             observer: ObserverState::default(),
-            last_unheard_heartbeat: f64::NEG_INFINITY,
+            last_heartbeat_to_unknown: f64::NEG_INFINITY,
             leaving: false,
             loopback: VecDeque::new(),
             me,
@@ -179,7 +179,11 @@
         }
         for (address, peer) in &self.peers.all {
             all.push(address.clone());
-            all.extend(peer.status.iter().flat_map(|status| status.hears.clone()));
+            all.extend(
+                peer.status
+                    .iter()
+                    .flat_map(|status| status.heard_from.clone()),
+            );
         }
         all.sort();
         all.dedup();
--- a/crates/sandtrack-replication/src/snapshot_transfer/mod.rs
+++ b/crates/sandtrack-replication/src/snapshot_transfer/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) struct SnapshotTransfers {
     outgoing: Option<Outgoing>,
     incoming: Option<Incoming>,
-    refused: u64,
+    rejected: u64,
 }
 
 impl SnapshotTransfers {
@@ -43,15 +43,17 @@
     }
 
     /// When a chunk was last received, in milliseconds; `None` while nothing is fetched.
-    pub(crate) fn progress(&self) -> Option<f64> {
-        self.incoming.as_ref().map(|incoming| incoming.progress)
+    pub(crate) fn last_progress(&self) -> Option<f64> {
+        self.incoming
+            .as_ref()
+            .map(|incoming| incoming.last_progress)
     }
 }
 
 impl<M: StateMachine> Replica<M> {
     /// Snapshots that did not match their digest, or could not be read, since the start of the process (code E503).
     pub fn snapshots_rejected(&self) -> u64 {
-        self.snapshot_transfers.refused
+        self.snapshot_transfers.rejected
     }
 
     /// Bytes of the snapshots that are kept for transfers.
@@ -106,14 +108,14 @@
         let now = self.now;
         match &mut self.snapshot_transfers.incoming {
             Some(incoming) if incoming.id == id => {
-                if now - incoming.progress > SOURCE_TIMEOUT_MS {
+                if now - incoming.last_progress > SOURCE_TIMEOUT_MS {
                     incoming.from = sender.address.clone();
                 }
             }
             // The sender of the one that is being fetched has it no more, or is not there.
             Some(incoming)
                 if incoming.from != sender.address
-                    && now - incoming.progress <= SOURCE_TIMEOUT_MS => {}
+                    && now - incoming.last_progress <= SOURCE_TIMEOUT_MS => {}
             incoming => *incoming = Some(Incoming::new(id, sender.address.clone(), now)),
         }
         self.request_chunks(effects);
@@ -180,8 +182,8 @@
         else {
             return;
         };
-        incoming.take(offset, bytes);
-        (incoming.moved, incoming.progress) = (now, now);
+        incoming.add_chunk(offset, bytes);
+        (incoming.last_activity, incoming.last_progress) = (now, now);
         if !incoming.is_complete() {
             return self.request_chunks(effects);
         }
@@ -211,7 +213,7 @@
         if is_restored {
             self.request_log_sync_now(effects);
         } else {
-            self.snapshot_transfers.refused += 1;
+            self.snapshot_transfers.rejected += 1;
         }
     }
 
@@ -234,19 +236,19 @@
         let (now, applied) = (self.now, self.applied.position.number);
         self.snapshot_transfers.incoming.take_if(|incoming| {
             incoming.id.position.number <= applied
-                || now - incoming.progress > IDLE_TRANSFER_TIMEOUT_MS
+                || now - incoming.last_progress > IDLE_TRANSFER_TIMEOUT_MS
         });
         if let Some(incoming) = &mut self.snapshot_transfers.incoming {
-            if now - incoming.moved > CHUNK_RETRY_TIMEOUT_MS {
-                incoming.moved = now;
-                incoming.asked = incoming.received();
+            if now - incoming.last_activity > CHUNK_RETRY_TIMEOUT_MS {
+                incoming.last_activity = now;
+                incoming.requested = incoming.received();
                 self.request_chunks(effects);
             }
         }
         self.snapshot_transfers.outgoing.take_if(|outgoing| {
             outgoing
                 .receivers
-                .retain(|_, asked| now - *asked <= IDLE_TRANSFER_TIMEOUT_MS);
+                .retain(|_, requested_at| now - *requested_at <= IDLE_TRANSFER_TIMEOUT_MS);
             outgoing.receivers.is_empty()
         });
     }
--- a/crates/sandtrack-replication/src/snapshot_transfer/transfer_state.rs
+++ b/crates/sandtrack-replication/src/snapshot_transfer/transfer_state.rs
@@ -31,11 +31,11 @@
     /// Pieces that came before one in front of them.
     pub(super) out_of_order: BTreeMap<u64, Vec<u8>>,
     /// Up to which byte chunks were requested.
-    pub(super) asked: u64,
+    pub(super) requested: u64,
     /// When a chunk was last received, or requested again.
-    pub(super) moved: f64,
+    pub(super) last_activity: f64,
     /// When a chunk was last received.
-    pub(super) progress: f64,
+    pub(super) last_progress: f64,
 }
 
 impl Incoming {
@@ -45,9 +45,9 @@
             from,
             state: Vec::new(),
             out_of_order: BTreeMap::new(),
-            asked: 0,
-            moved: now,
-            progress: now,
+            requested: 0,
+            last_activity: now,
+            last_progress: now,
         }
     }
 
@@ -58,14 +58,14 @@
     /// The offsets to ask for now.
     pub(super) fn next_offsets(&mut self) -> Vec<u64> {
         let mut offsets = Vec::new();
-        while self.asked < self.id.length.min(self.received() + MAX_REQUESTED_BYTES) {
-            offsets.push(self.asked);
-            self.asked += CHUNK_BYTES as u64;
+        while self.requested < self.id.length.min(self.received() + MAX_REQUESTED_BYTES) {
+            offsets.push(self.requested);
+            self.requested += CHUNK_BYTES as u64;
         }
         offsets
     }
 
-    pub(super) fn take(&mut self, offset: u64, bytes: Vec<u8>) {
+    pub(super) fn add_chunk(&mut self, offset: u64, bytes: Vec<u8>) {
         if offset >= self.received() && offset < self.received() + MAX_REQUESTED_BYTES {
             self.out_of_order.insert(offset, bytes);
         }
--- a/crates/sandtrack-replication/src/view_attestation.rs
+++ b/crates/sandtrack-replication/src/view_attestation.rs
@@ -19,9 +19,9 @@
     /// The next view is decided by a majority of acceptances. So if a majority confirms this view, no later one had been
     /// decided when the first of them attested.
     pub fn confirms(&self, address: &str, view: &View) -> bool {
-        let is_it =
+        let is_sender =
             |voter: &Member| voter.address == address && voter.incarnation == self.incarnation;
-        self.highest_epoch <= view.epoch && view.voters.iter().any(is_it)
+        self.highest_epoch <= view.epoch && view.voters.iter().any(is_sender)
     }
 }
 
@@ -57,7 +57,7 @@
     /// The epoch in which this process, as an in-sync member of the chain, has applied all acknowledged commands; `None`
     /// while it has not.
     pub fn fully_applied_epoch(&self) -> Option<u64> {
-        let is_up_to_date = self.is_in_sync() && self.chain.confirmed >= self.chain.floor;
+        let is_up_to_date = self.is_in_sync() && self.chain.confirmed >= self.chain.initial_end;
         is_up_to_date.then_some(self.durable.view.epoch)
     }
 
@@ -66,9 +66,9 @@
     ///
     /// A member that has been in the chain without a break since then does: each command acknowledged since was applied
     /// here before the head answered. Any other process relies on the last status of its replication source.
-    pub fn is_up_to_date(&self, held: Option<u64>) -> bool {
+    pub fn is_up_to_date(&self, last_fully_applied: Option<u64>) -> bool {
         match self.latest_view.position(&self.me) {
-            Some(position) => held >= Some(self.latest_view.since[position]),
+            Some(position) => last_fully_applied >= Some(self.latest_view.since[position]),
             None => self.is_level_with_source(),
         }
     }
@@ -77,9 +77,9 @@
         let Some(source) = &self.source else {
             return false;
         };
-        let is_near =
+        let is_live =
             |peer: &&Peer| self.now - peer.last_heard <= self.settings.timings.failure_timeout;
-        let peer = self.peers.all.get(source).filter(is_near);
+        let peer = self.peers.all.get(source).filter(is_live);
         let is_in_chain = |peer: &&Peer| {
             let member = Member {
                 address: source.clone(),
