--- a/crates/sandtrack-balancer/src/interface.rs
+++ b/crates/sandtrack-balancer/src/interface.rs
@@ -196,8 +196,8 @@
 pub enum ListKind {
     /// Complete, as last held, possibly stale.
     Stale,
-    Full,
-    Delta,
+    Whole,
+    Patch,
 }
 
 /// A load report; what an upstream does not tell is `None`.
@@ -210,7 +210,7 @@
     /// Fraction of the CPU occupied.
     pub cpu: Option<f64>,
     /// Recent service time.
-    pub service_time: Option<Millis>,
+    pub service: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/sandtrack-balancer/src/state.rs
+++ b/crates/sandtrack-balancer/src/state.rs
@@ -310,7 +310,7 @@
         let mut vacant: Vec<usize> = (0..self.upstreams.len()).filter(free).collect();
         self.places
             .retain(|_, place| vacant.binary_search(place).is_err());
-        if kind != ListKind::Delta {
+        if kind != ListKind::Patch {
             let named: HashSet<UpstreamId> = entries.iter().map(|entry| entry.upstream).collect();
             let missing = self
                 .upstreams
--- a/crates/sandtrack-balancer/tests/decisions.rs
+++ b/crates/sandtrack-balancer/tests/decisions.rs
@@ -106,12 +106,12 @@
             ..entry(0)
         }];
         front.feed(Event::List {
-            kind: ListKind::Delta,
+            kind: ListKind::Patch,
             entries,
         });
         assert!(front.spread(50).iter().all(|id| *id == 1));
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries: vec![entry(0)],
         });
         assert!(front.spread(50).iter().all(|id| *id == 0));
@@ -128,7 +128,7 @@
         ..entry(0)
     }];
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries,
     });
     let (_, actions) = front.request();
@@ -278,7 +278,7 @@
             })
             .collect();
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries,
         });
         if let Some(to) = sent_to(&front.request().1) {
@@ -338,7 +338,7 @@
         })
         .collect();
     let asked = probes(&front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries,
     }));
     for id in asked {
@@ -374,11 +374,11 @@
     let mut front = Front::new(settings(Idempotency::Idempotent), 1);
     front.probe(0, 1.0, true);
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries: Vec::new(),
     });
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries: vec![entry(0)],
     });
     let mut probed = 0;
@@ -461,7 +461,7 @@
     };
     let mut front = Front::new(odd, 0);
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries: Vec::new(),
     });
     assert!(refused(&front.request().1));
@@ -474,7 +474,7 @@
         })
         .collect();
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries,
     });
     front.now += 10.0;
@@ -484,12 +484,12 @@
         content: vec![0xff; 300],
     });
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries: Vec::new(),
     });
     assert!(refused(&front.request().1));
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries: vec![entry(9)],
     });
     assert!(front.spread(20).iter().all(|to| *to == 9));
@@ -615,7 +615,7 @@
         ..entry(slow)
     }];
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries,
     });
     assert!(refused(&front.request().1));
@@ -706,7 +706,7 @@
         ..entry(9)
     }];
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries,
     });
     front.probe(9, 1.0, true);
@@ -716,7 +716,7 @@
         ..entry(9)
     }];
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries,
     });
     let sent = front.spread(60);
@@ -739,7 +739,7 @@
                 ..entry(0)
             }];
             front.feed(Event::List {
-                kind: ListKind::Delta,
+                kind: ListKind::Patch,
                 entries,
             });
             teach(&mut front, 1, elapsed);
@@ -955,7 +955,7 @@
 
 fn listed(front: &mut Front, entries: Vec<Entry>) {
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries,
     });
 }
@@ -1176,7 +1176,7 @@
     let entries =
         (first..first + upstreams).map(|id| named(first + (id * 7 + seed as u32) % upstreams));
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries: entries.collect(),
     });
     front
@@ -1229,7 +1229,7 @@
     let mut front = keyed(1, 0, 40);
     let home = ask(&mut front, 1, 7).expect("a send");
     front.feed(Event::List {
-        kind: ListKind::Delta,
+        kind: ListKind::Patch,
         entries: vec![Entry {
             identity: u64::from(home),
             readiness: Readiness::Draining,
@@ -1295,7 +1295,7 @@
             })
             .collect();
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries,
         });
         for n in 0..60 {
@@ -1636,7 +1636,7 @@
                 ..entry(id)
             }];
             front.feed(Event::List {
-                kind: ListKind::Delta,
+                kind: ListKind::Patch,
                 entries,
             });
         };
@@ -1644,7 +1644,7 @@
         assert_eq!(front.spread(50).contains(&1), soft_removal);
         // Left out of a full list is no more than that either.
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries: vec![entry(0)],
         });
         assert_eq!(front.spread(50).contains(&1), soft_removal);
@@ -1663,7 +1663,7 @@
         let mut front = Front::new(drifting, 2);
         let since = Some(front.now - 8000.0);
         front.feed(Event::List {
-            kind: ListKind::Delta,
+            kind: ListKind::Patch,
             entries: vec![Entry {
                 started_at: since,
                 ..entry(1)
@@ -1693,7 +1693,7 @@
         };
         let mut entries: Vec<Entry> = (0..12).map(zoned).collect();
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries: entries.clone(),
         });
         // Deep probes wait in the queues of the near ones.
@@ -1719,7 +1719,7 @@
         // None near: the far ones serve.
         entries.retain(|entry| entry.zone != ZoneId(0));
         front.feed(Event::List {
-            kind: ListKind::Full,
+            kind: ListKind::Whole,
             entries,
         });
         assert!((300..340).all(|n| to(&mut front, n) != 0));
@@ -1768,7 +1768,7 @@
     .chain(far)
     .collect();
     front.feed(Event::List {
-        kind: ListKind::Full,
+        kind: ListKind::Whole,
         entries,
     });
     (0..6).for_each(|id| drop(front.probe(id, if id < 2 { 1.0 } else { 8.0 }, true)));
--- a/crates/sandtrack-balancer/tests/invariants.rs
+++ b/crates/sandtrack-balancer/tests/invariants.rs
@@ -298,7 +298,7 @@
                         _ => world.closed_to_new.insert(id),
                     };
                     let entries = vec![Entry { readiness, started_at: since, ..entry(id) }];
-                    world.feed(Event::List { kind: ListKind::Delta, entries });
+                    world.feed(Event::List { kind: ListKind::Patch, entries });
                 }
                 Step::Broken => world.feed(Event::ListFailed),
                 Step::Gone(which) => {
--- a/crates/sandtrack-sidecar-core/src/reducer/links.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/links.rs
@@ -521,7 +521,7 @@
             "inflight" | "active" => &mut report.active,
             "queue" | "waiting" => &mut report.waiting,
             "util" | "cpu" => &mut report.cpu,
-            "latency_ms" | "avg_ms" => &mut report.service_time,
+            "latency_ms" | "avg_ms" => &mut report.service,
             _ => continue,
         };
         let value = value
--- a/crates/sandtrack-sidecar-core/src/reducer/lists.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/lists.rs
@@ -95,9 +95,9 @@
         self.watch_heard();
         self.generation = Some(catalog.generation);
         let kind = if catalog.reset {
-            ListKind::Full
+            ListKind::Whole
         } else {
-            ListKind::Delta
+            ListKind::Patch
         };
         tracing::info!(
             generation = catalog.generation,
@@ -153,7 +153,7 @@
 
     pub(super) fn list(&mut self, kind: ListKind, instances: Vec<Instance>) {
         let mut before = Vec::new();
-        if kind != ListKind::Delta {
+        if kind != ListKind::Patch {
             for (number, server) in &mut self.servers {
                 server.standing = Readiness::Removed;
                 if std::mem::replace(&mut server.told.readiness, Readiness::Removed)
--- a/crates/sandtrack-sidecar-core/src/reducer/staff.rs
+++ b/crates/sandtrack-sidecar-core/src/reducer/staff.rs
@@ -199,7 +199,7 @@
             .collect();
         if !entries.is_empty() {
             self.events.push_back(Event::List {
-                kind: ListKind::Delta,
+                kind: ListKind::Patch,
                 entries,
             });
         }
--- a/crates/sandtrack-sidecar-simulator/benches/emulator.rs
+++ b/crates/sandtrack-sidecar-simulator/benches/emulator.rs
@@ -52,7 +52,7 @@
         balancer.handle(
             0.0,
             Event::List {
-                kind: ListKind::Full,
+                kind: ListKind::Whole,
                 entries,
             },
             &mut actions,
--- a/crates/sandtrack-sidecar-simulator/src/baseline.rs
+++ b/crates/sandtrack-sidecar-simulator/src/baseline.rs
@@ -52,7 +52,7 @@
         match event {
             Event::Start => actions.push(Action::Subscribe),
             Event::List { kind, entries } => {
-                if kind != ListKind::Delta {
+                if kind != ListKind::Patch {
                     self.listed.clear();
                 }
                 for entry in entries {
--- a/crates/sandtrack-sidecar-simulator/src/node.rs
+++ b/crates/sandtrack-sidecar-simulator/src/node.rs
@@ -302,9 +302,9 @@
             } => {
                 self.generation = Some(generation);
                 let kind = if whole {
-                    ListKind::Full
+                    ListKind::Whole
                 } else {
-                    ListKind::Delta
+                    ListKind::Patch
                 };
                 events.push_back(Event::List {
                     kind,
@@ -378,7 +378,7 @@
                     active: Some(active),
                     waiting: Some(waiting),
                     cpu: None,
-                    service_time: None,
+                    service: None,
                 }),
                 _ => None,
             };
--- a/crates/sandtrack-simulator-adapter/src/host.rs
+++ b/crates/sandtrack-simulator-adapter/src/host.rs
@@ -116,8 +116,8 @@
                     wire::Scope::Broken => {
                         return self.deliver(now, &sidecar, Event::ListFailed, reply)
                     }
-                    wire::Scope::Patch => ListKind::Delta,
-                    wire::Scope::Whole => ListKind::Full,
+                    wire::Scope::Patch => ListKind::Patch,
+                    wire::Scope::Whole => ListKind::Whole,
                     wire::Scope::StaleCopy => ListKind::Stale,
                 };
                 let Some(instance) = self.instances.get_mut(&sidecar) else {
@@ -425,7 +425,7 @@
         active: telemetry.active,
         waiting: telemetry.waiting,
         cpu: telemetry.cpu,
-        service_time: telemetry.avg_ms,
+        service: telemetry.avg_ms,
     }
 }
 
